--- a/crates/authority/src/claim.rs
+++ b/crates/authority/src/claim.rs
@@ -1,9 +1,10 @@
-//! A node's claim on one pool. The pool's key is created by compare-and-swap, attached to the
-//! node's lease, with the lease's identifier in its value. Who holds the pool is only ever read
-//! from the key: an answer that was lost is thereby read back, and a restarted node, which has
-//! another lease, never takes the key of its earlier incarnation for its own.
+//! A node's claim on one pool. The node creates the pool's key by compare-and-swap, attaches it to
+//! its lease, and stores the lease identifier in the value. The key alone determines who holds the
+//! pool. A node whose create call got no answer therefore learns the result by reading the key, and
+//! a restarted node, which has a new lease, never mistakes the key of its previous incarnation for
+//! its own.
 //!
-//! Implements the steps from `claim` to `seal` of `Holder` in `spec/authority.pml`.
+//! Implements `Holder` in `spec/authority.pml` from the label `claim` to the label `seal`.
 
 use tansyhall_core::hash::rendezvous_weight;
 use tansyhall_core::{Duration, NodeId, PoolName, Timestamp};
@@ -14,36 +15,37 @@
 /// The pool's key as read from the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// The lease named in the key's value.
+    /// The lease identifier in the key's value.
     pub lease: Lease,
-    /// The revision at which the key was created.
+    /// The store revision at which the key was created.
     pub epoch: Epoch,
 }
 
-/// What the owner tells the claim.
+/// Input to [`PoolClaim::step`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// The key was read while the node held this lease.
+    /// The key was read from the store.
     Observed {
-        /// The key, or `None` if it does not exist.
+        /// The key's content, or `None` if the key does not exist.
         record: Option<ClaimRecord>,
-        /// The node's lease.
+        /// The lease that the node held when the key was read, if any.
         lease: Option<Lease>,
     },
-    /// The node's lease is gone, and the key with it.
+    /// The node's lease has lapsed, and the store has deleted the key with it.
     LeaseLost,
 }
 
-/// What the claim asks its owner to do.
+/// What the caller of [`PoolClaim::step`] must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Nothing before the next reading of the key.
+    /// Do nothing until the key is read again.
     Wait,
-    /// Create the key under this lease if it does not exist, then read it, whatever the answer.
+    /// Create the key under this lease if it does not exist, then read it, whatever the answer to the
+    /// create call was.
     Create(Lease),
-    /// The pool is held from now on.
+    /// The node now holds the pool.
     Acquired(Epoch),
-    /// The pool is no longer held.
+    /// The node no longer holds the pool.
     Lost,
 }
 
@@ -62,7 +64,7 @@
 }
 
 impl PoolClaim {
-    /// A claim that waits for `delay` after it finds the pool free.
+    /// Creates a claim that waits for `delay` after it finds the pool free.
     pub fn new(delay: Duration) -> Self {
         Self {
             delay,
@@ -70,7 +72,7 @@
         }
     }
 
-    /// The epoch under which the pool is held.
+    /// Returns the epoch in which the node holds the pool, or `None` if it does not hold it.
     pub fn held(&self) -> Option<Epoch> {
         match self.state {
             State::Held(epoch) => Some(epoch),
@@ -78,8 +80,8 @@
         }
     }
 
-    /// Whether the node needs a lease: to keep the pool, or to claim it now that it is free and the
-    /// delay is over.
+    /// Returns whether the node needs a lease: either to keep the pool, or to claim it because it is
+    /// free and the delay has passed.
     pub fn needs_lease(&self, now: Timestamp) -> bool {
         match self.state {
             State::Held(_) => true,
@@ -88,25 +90,25 @@
         }
     }
 
-    /// The next action after an event.
+    /// Processes an event and returns the next action.
     pub fn step(&mut self, now: Timestamp, event: ClaimEvent) -> ClaimAction {
         match event {
-            ClaimEvent::LeaseLost => self.leave(State::HeldByOther),
+            ClaimEvent::LeaseLost => self.set_not_held(State::HeldByOther),
             ClaimEvent::Observed {
                 record: Some(record),
                 lease,
-            } if lease == Some(record.lease) => self.acquire(record.epoch),
+            } if lease == Some(record.lease) => self.set_held(record.epoch),
             ClaimEvent::Observed {
                 record: Some(_), ..
-            } => self.leave(State::HeldByOther),
+            } => self.set_not_held(State::HeldByOther),
             ClaimEvent::Observed {
                 record: None,
                 lease,
-            } => self.free(now, lease),
+            } => self.step_while_free(now, lease),
         }
     }
 
-    fn acquire(&mut self, epoch: Epoch) -> ClaimAction {
+    fn set_held(&mut self, epoch: Epoch) -> ClaimAction {
         if self.state == State::Held(epoch) {
             return ClaimAction::Wait;
         }
@@ -114,19 +116,19 @@
         ClaimAction::Acquired(epoch)
     }
 
-    fn leave(&mut self, state: State) -> ClaimAction {
-        let held = self.held().is_some();
+    fn set_not_held(&mut self, state: State) -> ClaimAction {
+        let was_held = self.held().is_some();
         self.state = state;
-        if held {
+        if was_held {
             return ClaimAction::Lost;
         }
         ClaimAction::Wait
     }
 
-    fn free(&mut self, now: Timestamp, lease: Option<Lease>) -> ClaimAction {
+    fn step_while_free(&mut self, now: Timestamp, lease: Option<Lease>) -> ClaimAction {
         let since = match self.state {
             State::FreeSince(since) => since,
-            State::HeldByOther | State::Held(_) => return self.leave(State::FreeSince(now)),
+            State::HeldByOther | State::Held(_) => return self.set_not_held(State::FreeSince(now)),
         };
         match lease {
             Some(lease) if now.since(since) >= self.delay => ClaimAction::Create(lease),
@@ -135,11 +137,11 @@
     }
 }
 
-/// How long a node waits before it claims a free pool: the higher its rendezvous weight for the
-/// pool, the shorter, up to `spread`. Nodes that run spread the pools among themselves this way
-/// without talking.
-pub fn claim_delay(pool: &PoolName, node: &NodeId, spread: Duration) -> Duration {
+/// Returns how long a node waits before it claims a free pool: at most `max_delay`, and less the
+/// higher its rendezvous weight for the pool is. This distributes the pools over the running nodes
+/// without communication between them.
+pub fn claim_delay(pool: &PoolName, node: &NodeId, max_delay: Duration) -> Duration {
     let weight = rendezvous_weight(pool.as_ref(), node.as_ref());
-    let part = weight as f64 / u64::MAX as f64;
-    spread.mul_f64(1.0 - part)
+    let relative_weight = weight as f64 / u64::MAX as f64;
+    max_delay.mul_f64(1.0 - relative_weight)
 }
--- a/crates/authority/src/fence.rs
+++ b/crates/authority/src/fence.rs
@@ -1,42 +1,44 @@
-//! Fence tokens. A token is the epoch of a claim, which the store hands out and which only grows,
-//! followed by the sequence of the order below that claim. An engine refuses any token below the
-//! highest it has seen, so a late duplicate of an overtaken order of the *same* holder is refused
-//! just as the order of an earlier holder is.
+//! Fence tokens. The high bits of a token are the epoch of a claim, which the store assigns and
+//! which only increases. The low bits are the sequence number of the order within that claim. An
+//! engine refuses every token lower than the highest it has seen. It therefore refuses orders of
+//! earlier holders, and also late duplicates of superseded orders of the *same* holder.
 //!
-//! Implements the macro `REGISTER` of `spec/authority.pml`; without the sequence (`NO_SEQUENCE`) a
-//! drain that arrives twice takes effect again after the engine has resumed.
+//! Implements the macro `REGISTER` of `spec/authority.pml`. Without the sequence number (mutant
+//! `NO_SEQUENCE`), a drain order that is delivered again after the engine has resumed takes effect
+//! a second time.
 
 use tansyhall_engine::protocol::FenceToken;
 
-/// Bits of a token that hold the sequence.
+/// Number of low bits of a token that hold the sequence number.
 const SEQUENCE_BITS: u32 = 20;
-/// The last sequence below one epoch; a holder that has used it must claim the pool anew.
+/// The last sequence number of an epoch. A holder that has used it must claim the pool again.
 pub const MAX_SEQUENCE: u64 = (1 << SEQUENCE_BITS) - 1;
 
-/// The highest epoch that an engine is believed to have heard of; a token holds twice as much, so that claims can
-/// follow it for ever.
-const MAX_HEARD_EPOCH: u64 = 1 << 43;
+/// The highest epoch that is accepted from an engine as plausible. A token has room for epochs up to
+/// twice as high, so claims never run out of epochs above it.
+const MAX_PLAUSIBLE_EPOCH: u64 = 1 << 43;
 
-/// The epoch of a claim on a pool: the store's revision at which the claim was made.
+/// The epoch of a claim on a pool: the store revision at which the claim's key was created.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The token of the order with this sequence; zero is the token that seals an engine before
-    /// the first order.
+    /// Returns the token of the order with this sequence number. Sequence number zero gives the token
+    /// that seals an engine before the first order.
     pub const fn token(self, sequence: u64) -> FenceToken {
         FenceToken((self.0 << SEQUENCE_BITS) | sequence)
     }
 
-    /// The least epoch of a claim whose orders are obeyed by engines that have heard of these tokens. Tokens that
-    /// no claim can have had are passed over: one engine's mistake must not use up the epochs of all.
-    pub fn after(heard: impl IntoIterator<Item = FenceToken>) -> Self {
-        let epochs = heard.into_iter().map(Self::of);
-        let believed = epochs.filter(|epoch| epoch.0 <= MAX_HEARD_EPOCH);
-        Self(believed.max().map_or(0, |epoch| epoch.0 + 1))
+    /// Returns the lowest epoch whose orders are accepted by engines that have seen these tokens.
+    /// Ignores tokens that no claim can have had, so that one faulty engine cannot use up the epochs
+    /// of the whole pool.
+    pub fn after(seen_tokens: impl IntoIterator<Item = FenceToken>) -> Self {
+        let epochs = seen_tokens.into_iter().map(Self::of);
+        let plausible = epochs.filter(|epoch| epoch.0 <= MAX_PLAUSIBLE_EPOCH);
+        Self(plausible.max().map_or(0, |epoch| epoch.0 + 1))
     }
 
-    /// The epoch that a token belongs to.
+    /// Returns the epoch that a token belongs to.
     pub const fn of(token: FenceToken) -> Self {
         Self(token.0 >> SEQUENCE_BITS)
     }
--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -1,61 +1,64 @@
-//! The node's one lease. It counts from the moment the grant or renewal was *sent*, less a margin,
-//! on the holder's monotonic clock: the service started counting no earlier than that, so the
-//! holder always stops believing before the service lets another take over.
+//! The lease of a node. The holder counts the time to live from the moment it *sent* the grant or
+//! renewal request, on its own monotonic clock, and subtracts a margin. The store starts to count no
+//! earlier than that, so the holder always considers the lease lapsed before the store lets another
+//! node take over.
 //!
 //! Implements the lease of `Holder` in `spec/authority.pml`. The model's check `live[lease]` stands
 //! for [`LeaseClock::is_valid`], which is never true for longer than the store keeps the lease.
 
 use tansyhall_core::{Duration, Timestamp};
 
-/// A lease of the store, by its identifier there.
+/// The store's identifier of a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Lease(pub i64);
 
-/// When a lease must be considered lapsed.
+/// The period for which the holder may rely on a lease, on the holder's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseClock {
-    margin: Duration,
+    clock_drift_margin: Duration,
     valid_until: Option<Timestamp>,
 }
 
 impl LeaseClock {
-    /// A lease that is not held yet.
-    pub fn new(margin: Duration) -> Self {
+    /// Creates the state of a lease that has not been granted yet.
+    pub fn new(clock_drift_margin: Duration) -> Self {
         Self {
-            margin,
+            clock_drift_margin,
             valid_until: None,
         }
     }
 
-    /// A grant or renewal sent at `sent` was answered with `time_to_live`.
-    pub fn renewed(&mut self, sent: Timestamp, time_to_live: Duration) {
-        let until = sent + time_to_live.saturating_sub(self.margin);
+    /// Records that the store answered a grant or renewal request sent at `sent_at` with `time_to_live`.
+    /// A late answer never shortens the validity.
+    pub fn record_renewal(&mut self, sent_at: Timestamp, time_to_live: Duration) {
+        let until = sent_at + time_to_live.saturating_sub(self.clock_drift_margin);
         self.valid_until = Some(self.valid_until.map_or(until, |current| current.max(until)));
     }
 
-    /// The service said that the lease is gone.
-    pub fn lapsed(&mut self) {
+    /// Records that the lease has ended: it lapsed at the store, or the node stops.
+    pub fn record_end(&mut self) {
         self.valid_until = None;
     }
 
-    /// Whether an order may be sent at `now`.
+    /// Returns whether the lease is valid at `now`, so that an order may be sent.
     pub fn is_valid(&self, now: Timestamp) -> bool {
         self.valid_until.is_some_and(|until| now < until)
     }
 }
 
-/// Times of a lease.
+/// Durations that govern a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// Time to live asked of the store.
+    /// Time to live to request from the store.
     pub time_to_live: Duration,
-    /// Time from one renewal's sending to the next.
+    /// Time between sending one renewal request and sending the next.
     pub renewal: Duration,
-    /// Taken off the lease's end for clocks that run at different rates.
+    /// Subtracted from the end of the lease, because the clocks of the node and the store may run at
+    /// different rates.
     pub margin: Duration,
 }
 
-/// What the owner tells the keeper.
+/// Input to [`LeaseKeeper::step`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEvent {
     /// Time has passed.
@@ -72,68 +75,72 @@
         /// The time to live granted.
         time_to_live: Duration,
     },
-    /// The store does not know the lease any more.
+    /// The store no longer knows the lease.
     Lapsed,
-    /// The store did not answer. A lease whose grant is lost this way is never used: it lapses.
+    /// The store did not answer. If the answer to a grant is lost, the granted lease is never used and
+    /// lapses.
     NoAnswer,
-    /// The node stops as planned.
+    /// The node shuts down as planned.
     Stop,
 }
 
-/// What the keeper asks its owner to do.
+/// What the caller of [`LeaseKeeper::step`] must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Nothing before the next tick.
+    /// Do nothing until the next tick.
     Wait,
-    /// Ask the store for a lease of this time to live.
+    /// Request a lease with this time to live from the store.
     Grant(Duration),
     /// Renew the lease.
     Renew(Lease),
-    /// Give the lease up, with every key attached to it.
+    /// Revoke the lease, which deletes every key attached to it.
     Revoke(Lease),
 }
 
-/// Keeps the lease: one call to the store at a time, none after a planned stop.
+/// Obtains a lease and keeps it renewed. At most one grant or renewal request is in progress at a
+/// time, and none is started after a planned shutdown.
 #[derive(Debug, Clone)]
 pub struct LeaseKeeper {
     timing: LeaseTiming,
     clock: LeaseClock,
     lease: Option<Lease>,
-    sent: Option<Timestamp>,
-    next: Timestamp,
+    request_sent_at: Option<Timestamp>,
+    next_request_at: Timestamp,
     stopped: bool,
 }
 
 impl LeaseKeeper {
-    /// A keeper that holds no lease.
+    /// Creates a state machine that holds no lease.
     pub fn new(timing: LeaseTiming) -> Self {
         Self {
             timing,
             clock: LeaseClock::new(timing.margin),
             lease: None,
-            sent: None,
-            next: Timestamp::default(),
+            request_sent_at: None,
+            next_request_at: Timestamp::default(),
             stopped: false,
         }
     }
 
-    /// The lease, if one is held; whether it is still valid, [`LeaseKeeper::clock`] tells.
+    /// Returns the lease, if one is held. Use [`LeaseKeeper::is_valid`] to check whether it is still
+    /// valid.
     pub fn lease(&self) -> Option<Lease> {
         self.lease
     }
 
-    /// The lease's clock.
+    /// Returns the validity of the lease, by value.
     pub fn clock(&self) -> LeaseClock {
         self.clock
     }
 
-    /// Whether what hangs on a lease may be acted on at `now`: it is the lease that is held, and valid.
-    /// The clock alone may count for a later lease, which was granted after this one had lapsed.
+    /// Returns whether `lease` is the lease that is held and is valid at `now`, so that rights attached
+    /// to it may be used. Checking [`LeaseKeeper::clock`] alone is not enough: it may describe a later
+    /// lease, granted after `lease` had lapsed.
     pub fn is_valid(&self, lease: Lease, now: Timestamp) -> bool {
         self.lease == Some(lease) && self.clock.is_valid(now)
     }
 
-    /// The next action after an event.
+    /// Processes an event and returns the next action.
     pub fn step(&mut self, now: Timestamp, event: LeaseEvent) -> LeaseAction {
         match event {
             LeaseEvent::Tick => return self.tick(now),
@@ -141,51 +148,52 @@
             LeaseEvent::Granted {
                 lease,
                 time_to_live,
-            } => self.granted(lease, time_to_live),
-            LeaseEvent::Renewed { time_to_live } => self.renewed(time_to_live),
-            LeaseEvent::Lapsed => self.lapsed(),
+            } => self.apply_grant(lease, time_to_live),
+            LeaseEvent::Renewed { time_to_live } => self.apply_renewal(time_to_live),
+            LeaseEvent::Lapsed => self.apply_lapse(),
             LeaseEvent::NoAnswer => {}
         }
-        self.sent = None;
+        self.request_sent_at = None;
         LeaseAction::Wait
     }
 
     fn tick(&mut self, now: Timestamp) -> LeaseAction {
-        if self.stopped || self.sent.is_some() || now < self.next {
+        if self.stopped || self.request_sent_at.is_some() || now < self.next_request_at {
             return LeaseAction::Wait;
         }
-        self.sent = Some(now);
-        self.next = now + self.timing.renewal;
+        self.request_sent_at = Some(now);
+        self.next_request_at = now + self.timing.renewal;
         match self.lease {
             Some(lease) => LeaseAction::Renew(lease),
             None => LeaseAction::Grant(self.timing.time_to_live),
         }
     }
 
-    fn granted(&mut self, lease: Lease, time_to_live: Duration) {
+    fn apply_grant(&mut self, lease: Lease, time_to_live: Duration) {
         if self.stopped {
             return;
         }
         self.lease = Some(lease);
-        self.renewed(time_to_live);
+        self.apply_renewal(time_to_live);
     }
 
-    fn renewed(&mut self, time_to_live: Duration) {
-        if let (Some(sent), false) = (self.sent, self.stopped) {
-            self.clock.renewed(sent, time_to_live);
+    fn apply_renewal(&mut self, time_to_live: Duration) {
+        if let (Some(sent_at), false) = (self.request_sent_at, self.stopped) {
+            self.clock.record_renewal(sent_at, time_to_live);
         }
     }
 
-    fn lapsed(&mut self) {
+    fn apply_lapse(&mut self) {
         self.lease = None;
-        self.clock.lapsed();
-        self.next = Timestamp::default();
+        self.clock.record_end();
+        self.next_request_at = Timestamp::default();
     }
 
-    /// The node stops believing before the store is told, so that no order follows the release.
+    /// Marks the lease as lapsed before the store is asked to revoke it, so that no order is sent after
+    /// the lease is released.
     fn stop(&mut self) -> LeaseAction {
         self.stopped = true;
-        self.clock.lapsed();
+        self.clock.record_end();
         self.lease
             .take()
             .map_or(LeaseAction::Wait, LeaseAction::Revoke)
--- a/crates/authority/src/lib.rs
+++ b/crates/authority/src/lib.rs
@@ -1,9 +1,9 @@
-//! Authority over pools: who may order engines, and how a planned change is carried out without
-//! cutting a request short. State machines only: each takes the time and an event and returns an
-//! action; the node crate performs the actions.
+//! Authority over pools: decides which node may send orders to engines, and carries out planned
+//! changes without interrupting requests. The crate contains only state machines: each takes the
+//! time and an event and returns an action. The caller, such as the node crate, performs the actions.
 //!
-//! The protocol is checked exhaustively in `spec/authority.pml`; each module names the process of
-//! the model that it implements.
+//! `spec/authority.pml` is a model of the protocol that is checked exhaustively. Each module names
+//! the part of the model that it implements.
 
 #![forbid(unsafe_code)]
 
--- a/crates/authority/src/orders.rs
+++ b/crates/authority/src/orders.rs
@@ -1,12 +1,13 @@
-//! The orders that the holder of a pool gives to one of its engines: seal, drain, wait until no
-//! request is in progress, change, resume. Nothing is guessed: every order rests on the engine's
-//! state as read after the seal, a lost answer is found out by reading the state again, and a crash
-//! halfway is found by the engine's incarnation.
+//! The orders that the holder of a pool sends to one of its engines: seal, drain, wait until no
+//! request is in progress, change, resume. Every order is based on the engine's state as read after
+//! the seal. When an answer is lost, the state is read again to find out whether the order took
+//! effect. A crash of the engine during a change is detected by its incarnation.
 //!
-//! Implements the loop of `Holder` from `seal` on in `spec/authority.pml`. An order that is
-//! repeated keeps its identifier and token; any other order takes the next sequence, so that the
-//! engine refuses whatever has been overtaken. A request is never cut: an engine that does not run
-//! empty within the drain's patience is told to resume, and the change is given up.
+//! Implements the loop of `Holder` from the label `seal` on in `spec/authority.pml`. A repeated
+//! order keeps its identifier and token; any other order takes the next sequence number, so that the
+//! engine refuses superseded orders. Requests are never interrupted: if requests are still in
+//! progress when the drain time-out has passed, the engine is ordered to resume and the change is
+//! given up.
 
 use tansyhall_core::{Duration, Incarnation, ModelName, Role, Timestamp};
 use tansyhall_engine::protocol::{EngineState, FenceToken, Order, OrderAction, OrderReply};
@@ -14,22 +15,22 @@
 use crate::fence::{Epoch, MAX_SEQUENCE};
 use crate::lease::LeaseClock;
 
-/// What an engine is to become.
+/// The state that an engine is to be brought into.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Goal {
-    /// It accepts work in whatever shape it has: a change that an earlier holder began and did not
-    /// end is undone by resuming.
+    /// The engine accepts work, with whatever role, model and adapters it has. If an earlier holder
+    /// left the engine draining, it is ordered to resume.
     InService,
-    /// It plays this role.
+    /// The engine has this role.
     Role(Role),
-    /// It has this model loaded.
+    /// The engine has this model loaded.
     Model {
-        /// The model.
+        /// Name of the model.
         model: ModelName,
-        /// Its version.
+        /// Version of the model.
         version: String,
     },
-    /// It has this adapter loaded beside the others.
+    /// The engine has this adapter loaded in addition to those it has.
     Adapter(String),
 }
 
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Whether the engine must be empty while the change is carried out.
+    /// Returns whether no request may be in progress on the engine during the change.
     fn needs_drain(&self) -> bool {
         matches!(self, Goal::Role(_) | Goal::Model { .. })
     }
 
-    fn action(&self) -> OrderAction {
+    fn order_action(&self) -> OrderAction {
         match self {
             Goal::InService => OrderAction::Resume,
             Goal::Role(role) => OrderAction::SetRole { role: *role },
@@ -63,16 +64,16 @@
     }
 }
 
-/// What the owner tells the orders.
+/// Input to [`EngineOrders::step`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderEvent {
     /// The engine's state was read.
     State(EngineState),
-    /// The engine was sealed and answered with its state.
+    /// The engine accepted the seal and answered with its state.
     Sealed(EngineState),
     /// The engine answered an order.
     Reply(OrderReply),
-    /// The engine did not answer; what was asked may have taken effect.
+    /// The engine did not answer; the order may or may not have taken effect.
     NoReply,
 }
 
@@ -81,81 +82,85 @@
 pub enum Outcome {
     /// The engine has reached the goal and accepts work.
     Reached,
-    /// Requests did not end in time; the engine accepts work as before.
+    /// Requests were still in progress when the drain timed out; the engine accepts work as before.
     GivenUp,
 }
 
-/// What the orders ask their owner to do.
+/// What the caller of [`EngineOrders::step`] must do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderStep {
     /// Raise the engine's fence token.
     Seal(FenceToken),
-    /// Send this order now; a pause before sending is harmless, because the engine checks it.
+    /// Send this order now. A delay before sending is harmless, because the engine checks the fence
+    /// token.
     Send(Order),
-    /// Read the engine's state after a while.
+    /// Read the engine's state again after a delay.
     ReadState,
-    /// Nothing more is to be done.
+    /// Nothing is left to do for the current goal.
     Settled(Outcome),
-    /// The lease is not valid: no order is sent. Ask again once it is.
+    /// The lease is not valid, so no order may be sent. Call again once it is valid.
     LeaseInvalid,
-    /// A later holder is in charge, or the epoch has no sequence left: stop, and claim the pool anew
-    /// before giving another order.
+    /// A later holder has taken over the pool, or the epoch has no sequence numbers left. Stop, and
+    /// claim the pool again before sending another order.
     Superseded,
 }
 
+/// What identifies the last order. An order with the same incarnation and action is a repetition and
+/// keeps the sequence number.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Issued {
+struct IssuedOrder {
     incarnation: Incarnation,
     action: OrderAction,
 }
 
-/// The orders of one holder, in one epoch, to one engine. Lives as long as the pool is held, so
-/// that sequences never repeat.
+/// The orders of one holder, in one epoch, to one engine. Must be kept for as long as the pool is
+/// held, so that sequence numbers are never reused.
 #[derive(Debug, Clone)]
 pub struct EngineOrders {
     epoch: Epoch,
-    patience: Duration,
+    drain_timeout: Duration,
     goal: Goal,
     given_up: bool,
     sequence: u64,
-    sealed: Option<Incarnation>,
-    issued: Option<Issued>,
+    sealed_incarnation: Option<Incarnation>,
+    last_order: Option<IssuedOrder>,
     draining_since: Option<Timestamp>,
 }
 
 impl EngineOrders {
-    /// Orders below the token of `epoch`; a drain that lasts longer than `patience` is given up.
-    pub fn new(epoch: Epoch, patience: Duration) -> Self {
+    /// Creates the orders of `epoch`. A change whose drain takes `drain_timeout` or longer is given up.
+    pub fn new(epoch: Epoch, drain_timeout: Duration) -> Self {
         Self {
             epoch,
-            patience,
+            drain_timeout,
             goal: Goal::InService,
             given_up: false,
             sequence: 0,
-            sealed: None,
-            issued: None,
+            sealed_incarnation: None,
+            last_order: None,
             draining_since: None,
         }
     }
 
-    /// The epoch that the orders are given in.
+    /// Returns the epoch of the orders.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Sets what the engine is to become.
+    /// Sets the goal for the engine.
     pub fn pursue(&mut self, goal: Goal) {
         self.goal = goal;
         self.given_up = false;
         self.draining_since = None;
     }
 
-    /// The next step after an event. `lease` is looked at last, right before an order is returned.
+    /// Processes an event and returns the next step. `lease` is checked last, immediately before an
+    /// order is returned.
     pub fn step(&mut self, now: Timestamp, lease: &LeaseClock, event: OrderEvent) -> OrderStep {
         match event {
             OrderEvent::State(state) => self.after_state(now, lease, &state),
             OrderEvent::Sealed(state) => {
-                self.sealed = Some(state.incarnation);
+                self.sealed_incarnation = Some(state.incarnation);
                 self.after_state(now, lease, &state)
             }
             OrderEvent::Reply(OrderReply::StaleToken { highest })
@@ -180,39 +185,39 @@
         if self.is_superseded(state.fence_token) {
             return OrderStep::Superseded;
         }
-        if self.sealed != Some(state.incarnation) {
+        if self.sealed_incarnation != Some(state.incarnation) {
             return self.seal(now, lease);
         }
         if state.active_order.is_some() {
             return OrderStep::ReadState;
         }
-        match self.wanted(now, state) {
-            Wanted::Order(action) => self.send(now, lease, state.incarnation, action),
-            Wanted::Patience => OrderStep::ReadState,
-            Wanted::Nothing if self.given_up => OrderStep::Settled(Outcome::GivenUp),
-            Wanted::Nothing => OrderStep::Settled(Outcome::Reached),
+        match self.next_action(now, state) {
+            NextAction::Order(action) => self.send(now, lease, state.incarnation, action),
+            NextAction::WaitForRequests => OrderStep::ReadState,
+            NextAction::Nothing if self.given_up => OrderStep::Settled(Outcome::GivenUp),
+            NextAction::Nothing => OrderStep::Settled(Outcome::Reached),
         }
     }
 
-    fn wanted(&mut self, now: Timestamp, state: &EngineState) -> Wanted {
-        let settled = self.given_up || self.goal.is_reached(state);
-        match (settled, state.draining) {
-            (true, false) => Wanted::Nothing,
-            (true, true) => Wanted::Order(OrderAction::Resume),
-            (false, _) if !self.goal.needs_drain() => Wanted::Order(self.goal.action()),
-            (false, false) => Wanted::Order(OrderAction::Drain),
+    fn next_action(&mut self, now: Timestamp, state: &EngineState) -> NextAction {
+        let is_settled = self.given_up || self.goal.is_reached(state);
+        match (is_settled, state.draining) {
+            (true, false) => NextAction::Nothing,
+            (true, true) => NextAction::Order(OrderAction::Resume),
+            (false, _) if !self.goal.needs_drain() => NextAction::Order(self.goal.order_action()),
+            (false, false) => NextAction::Order(OrderAction::Drain),
             (false, true) if state.requests > 0 => self.wait_for_requests(now),
-            (false, true) => Wanted::Order(self.goal.action()),
+            (false, true) => NextAction::Order(self.goal.order_action()),
         }
     }
 
-    fn wait_for_requests(&mut self, now: Timestamp) -> Wanted {
+    fn wait_for_requests(&mut self, now: Timestamp) -> NextAction {
         let since = *self.draining_since.get_or_insert(now);
-        if now.since(since) < self.patience {
-            return Wanted::Patience;
+        if now.since(since) < self.drain_timeout {
+            return NextAction::WaitForRequests;
         }
         self.given_up = true;
-        Wanted::Order(OrderAction::Resume)
+        NextAction::Order(OrderAction::Resume)
     }
 
     fn seal(&self, now: Timestamp, lease: &LeaseClock) -> OrderStep {
@@ -232,11 +237,11 @@
         if !lease.is_valid(now) {
             return OrderStep::LeaseInvalid;
         }
-        let issued = Issued {
+        let issued = IssuedOrder {
             incarnation,
             action,
         };
-        if self.issued.as_ref() != Some(&issued) {
+        if self.last_order.as_ref() != Some(&issued) {
             if self.sequence == MAX_SEQUENCE {
                 return OrderStep::Superseded;
             }
@@ -248,13 +253,13 @@
             incarnation,
             action: issued.action.clone(),
         };
-        self.issued = Some(issued);
+        self.last_order = Some(issued);
         OrderStep::Send(order)
     }
 }
 
-enum Wanted {
+enum NextAction {
     Order(OrderAction),
-    Patience,
+    WaitForRequests,
     Nothing,
 }
--- a/crates/authority/tests/claim.rs
+++ b/crates/authority/tests/claim.rs
@@ -1,4 +1,4 @@
-//! A lease is asked for only by those who hold a pool or are next to claim it.
+//! A node needs a lease only while it holds a pool, or once it may claim a free one.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn no_lease_is_needed_while_another_holds_the_pool() {
+fn no_lease_is_needed_while_another_node_holds_the_pool() {
     let mut claim = PoolClaim::new(DELAY);
     claim.step(START, observed(None, None));
     claim.step(START + DELAY, observed(Some(record(4)), Some(Lease(3))));
--- a/crates/authority/tests/counterexamples.rs
+++ b/crates/authority/tests/counterexamples.rs
@@ -1,5 +1,6 @@
-//! The counterexamples that `spec/check` finds when a rule is dropped, replayed against the code
-//! that has the rule. The engine is the control side of the engine model.
+//! Replays the counterexamples that `spec/check` finds for mutants of the specification, which are
+//! the specification without one safety rule, against the code, which implements the rule. The
+//! engine is the control interface of the engine model.
 
 use tansyhall_authority::{ClaimAction, ClaimEvent, ClaimRecord, PoolClaim};
 use tansyhall_authority::{
@@ -10,9 +11,9 @@
 use tansyhall_engine::protocol::{Order, OrderAction, OrderReply};
 use tansyhall_engine_model::{Control, ControlTiming};
 
-const PATIENCE: Duration = Duration::from_secs(60);
-const OLD: Epoch = Epoch(10);
-const NEW: Epoch = Epoch(11);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
+const OLD_EPOCH: Epoch = Epoch(10);
+const NEW_EPOCH: Epoch = Epoch(11);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -32,28 +33,28 @@
 
 fn valid_lease() -> LeaseClock {
     let mut lease = LeaseClock::new(Duration::ZERO);
-    lease.renewed(at(0), Duration::from_secs(3_600));
+    lease.record_renewal(at(0), Duration::from_secs(3_600));
     lease
 }
 
 fn holder(epoch: Epoch, role: Role) -> EngineOrders {
-    let mut orders = EngineOrders::new(epoch, PATIENCE);
+    let mut orders = EngineOrders::new(epoch, DRAIN_TIMEOUT);
     orders.pursue(Goal::Role(role));
     orders
 }
 
-/// Seals the engine and returns the step that follows.
+/// Seals the engine and returns the step that follows the seal.
 fn seal(orders: &mut EngineOrders, engine: &mut Control, requests: u32) -> OrderStep {
     let state = OrderEvent::State(engine.state(requests));
     let OrderStep::Seal(token) = orders.step(at(0), &valid_lease(), state) else {
-        panic!("the engine is sealed first");
+        panic!("the first step does not seal the engine");
     };
     engine.seal(token);
     let sealed = OrderEvent::Sealed(engine.state(requests));
     orders.step(at(0), &valid_lease(), sealed)
 }
 
-fn read(orders: &mut EngineOrders, engine: &Control, requests: u32) -> OrderStep {
+fn read_state(orders: &mut EngineOrders, engine: &Control, requests: u32) -> OrderStep {
     let state = OrderEvent::State(engine.state(requests));
     orders.step(at(0), &valid_lease(), state)
 }
@@ -61,11 +62,11 @@
 fn order(step: OrderStep) -> Order {
     match step {
         OrderStep::Send(order) => order,
-        other => panic!("an order, not {other:?}"),
+        other => panic!("expected an order, got {other:?}"),
     }
 }
 
-/// Carries a change out to its end and returns the orders in turn.
+/// Carries out a change to the end and returns the orders in the sequence in which they were sent.
 fn carry_out(orders: &mut EngineOrders, engine: &mut Control) -> Vec<Order> {
     let mut sent = Vec::new();
     let mut step = seal(orders, engine, 0);
@@ -74,25 +75,27 @@
         assert_eq!(engine.order(at(0), next.clone(), 0), OrderReply::Accepted);
         sent.push(next);
         engine.advance(at(60_000));
-        step = read(orders, engine, 0);
+        step = read_state(orders, engine, 0);
     }
     sent
 }
 
+/// Mutant `NO_FENCE` of `spec/authority.pml`.
 #[test]
-fn no_fence_an_order_of_the_earlier_holder_arrives_after_the_seal() {
+fn an_order_of_an_earlier_holder_is_refused_after_the_seal() {
     let mut engine = engine(1);
-    let late = order(seal(&mut holder(OLD, Role::Prefill), &mut engine, 0));
-    seal(&mut holder(NEW, Role::Decode), &mut engine, 0);
+    let late = order(seal(&mut holder(OLD_EPOCH, Role::Prefill), &mut engine, 0));
+    seal(&mut holder(NEW_EPOCH, Role::Decode), &mut engine, 0);
     let reply = engine.order(at(1), late, 0);
     assert!(matches!(reply, OrderReply::StaleToken { .. }), "{reply:?}");
     assert!(engine.accepts_work());
 }
 
+/// Mutant `NO_SEQUENCE` of `spec/authority.pml`.
 #[test]
-fn no_sequence_a_drain_that_arrives_again_after_the_resume_has_no_effect() {
+fn orders_delivered_again_after_the_resume_have_no_effect() {
     let mut engine = engine(1);
-    let sent = carry_out(&mut holder(OLD, Role::Prefill), &mut engine);
+    let sent = carry_out(&mut holder(OLD_EPOCH, Role::Prefill), &mut engine);
     let actions: Vec<&OrderAction> = sent.iter().map(|order| &order.action).collect();
     let role = OrderAction::SetRole {
         role: Role::Prefill,
@@ -106,13 +109,14 @@
     }
 }
 
+/// Mutant `NO_IDEMPOTENCE` of `spec/authority.pml`.
 #[test]
-fn no_idempotence_a_repeated_change_is_begun_once() {
+fn a_repeated_change_is_started_once() {
     let mut engine = engine(1);
-    let mut orders = holder(OLD, Role::Prefill);
+    let mut orders = holder(OLD_EPOCH, Role::Prefill);
     let drain = order(seal(&mut orders, &mut engine, 0));
     engine.order(at(0), drain, 0);
-    let change = order(read(&mut orders, &engine, 0));
+    let change = order(read_state(&mut orders, &engine, 0));
     assert_eq!(engine.order(at(0), change.clone(), 0), OrderReply::Accepted);
     let ends = engine.active_order_ends();
     assert_eq!(
@@ -126,19 +130,20 @@
 }
 
 #[test]
-fn a_lost_answer_is_answered_by_the_same_order_again() {
+fn an_order_is_repeated_unchanged_if_it_had_no_effect_and_its_answer_was_lost() {
     let mut engine = engine(1);
-    let mut orders = holder(OLD, Role::Prefill);
+    let mut orders = holder(OLD_EPOCH, Role::Prefill);
     let first = order(seal(&mut orders, &mut engine, 0));
-    let lost = orders.step(at(0), &valid_lease(), OrderEvent::NoReply);
-    assert_eq!(lost, OrderStep::ReadState);
-    assert_eq!(order(read(&mut orders, &engine, 0)), first);
+    let next_step = orders.step(at(0), &valid_lease(), OrderEvent::NoReply);
+    assert_eq!(next_step, OrderStep::ReadState);
+    assert_eq!(order(read_state(&mut orders, &engine, 0)), first);
 }
 
+/// Mutant `NO_INCARNATION` of `spec/authority.pml`.
 #[test]
-fn no_incarnation_an_order_for_the_engine_before_its_crash_is_refused() {
+fn an_order_for_an_earlier_incarnation_of_the_engine_is_refused() {
     let mut before = engine(1);
-    let late = order(seal(&mut holder(OLD, Role::Prefill), &mut before, 0));
+    let late = order(seal(&mut holder(OLD_EPOCH, Role::Prefill), &mut before, 0));
     let mut after = engine(2);
     let reply = after.order(at(1), late, 0);
     assert!(
@@ -148,12 +153,12 @@
 }
 
 #[test]
-fn an_engine_that_crashed_halfway_is_sealed_again_and_changed() {
+fn an_engine_that_crashed_during_a_change_is_sealed_again_and_changed() {
     let mut first = engine(1);
-    let mut orders = holder(OLD, Role::Prefill);
+    let mut orders = holder(OLD_EPOCH, Role::Prefill);
     let drain = order(seal(&mut orders, &mut first, 0));
     first.order(at(0), drain, 0);
-    let change = order(read(&mut orders, &first, 0));
+    let change = order(read_state(&mut orders, &first, 0));
     first.order(at(0), change, 0);
     let mut second = engine(2);
     let sent = carry_out(&mut orders, &mut second);
@@ -161,29 +166,31 @@
     assert_eq!(second.state(0).role, Role::Prefill);
 }
 
+/// Mutant `NO_SEAL` of `spec/authority.pml`.
 #[test]
-fn no_seal_a_holder_does_not_settle_on_a_state_that_an_earlier_order_may_still_change() {
+fn an_earlier_order_cannot_change_the_state_on_which_a_holder_has_settled() {
     let mut engine = engine(1);
-    let late = order(seal(&mut holder(OLD, Role::Prefill), &mut engine, 0));
-    let mut new = EngineOrders::new(NEW, PATIENCE);
+    let late = order(seal(&mut holder(OLD_EPOCH, Role::Prefill), &mut engine, 0));
+    let mut new = EngineOrders::new(NEW_EPOCH, DRAIN_TIMEOUT);
     let step = seal(&mut new, &mut engine, 0);
     assert_eq!(step, OrderStep::Settled(Outcome::Reached));
     engine.order(at(1), late, 0);
     assert!(engine.accepts_work());
 }
 
+/// Mutant `NO_SELF_FENCE` of `spec/authority.pml`.
 #[test]
-fn no_self_fence_a_lapsed_holder_sends_nothing_to_an_engine_that_has_restarted() {
+fn a_holder_with_a_lapsed_lease_sends_nothing_to_a_restarted_engine() {
     let mut lease = LeaseClock::new(Duration::from_secs(1));
-    lease.renewed(at(0), Duration::from_secs(6));
-    let mut orders = holder(OLD, Role::Prefill);
+    lease.record_renewal(at(0), Duration::from_secs(6));
+    let mut orders = holder(OLD_EPOCH, Role::Prefill);
     let mut restarted = engine(2);
     let state = OrderEvent::State(restarted.state(0));
     assert_eq!(
         orders.step(at(5_000), &lease, state),
         OrderStep::LeaseInvalid
     );
-    restarted.seal(OLD.token(0));
+    restarted.seal(OLD_EPOCH.token(0));
     let sealed = OrderEvent::Sealed(restarted.state(0));
     assert_eq!(
         orders.step(at(5_000), &lease, sealed),
@@ -191,46 +198,48 @@
     );
 }
 
+/// Mutant `NO_ONE_ORDER` of `spec/authority.pml`.
 #[test]
-fn no_one_order_a_later_holder_waits_for_the_change_in_force() {
+fn a_later_holder_waits_for_the_change_in_progress() {
     let mut engine = engine(1);
-    let mut old = holder(OLD, Role::Prefill);
+    let mut old = holder(OLD_EPOCH, Role::Prefill);
     let drain = order(seal(&mut old, &mut engine, 0));
     engine.order(at(0), drain, 0);
-    let change = order(read(&mut old, &engine, 0));
+    let change = order(read_state(&mut old, &engine, 0));
     engine.order(at(0), change, 0);
-    let mut new = holder(NEW, Role::Decode);
+    let mut new = holder(NEW_EPOCH, Role::Decode);
     assert_eq!(seal(&mut new, &mut engine, 0), OrderStep::ReadState);
     engine.advance(at(60_000));
-    let next = order(read(&mut new, &engine, 0));
+    let next = order(read_state(&mut new, &engine, 0));
     assert_eq!(next.action, OrderAction::SetRole { role: Role::Decode });
 }
 
+/// Mutant `NO_IDLE_CHECK` of `spec/authority.pml`.
 #[test]
-fn no_idle_check_a_change_waits_for_requests_and_is_refused_while_they_last() {
+fn a_change_waits_for_requests_and_is_refused_while_one_is_in_progress() {
     let mut engine = engine(1);
-    let mut orders = holder(OLD, Role::Prefill);
+    let mut orders = holder(OLD_EPOCH, Role::Prefill);
     let drain = order(seal(&mut orders, &mut engine, 1));
     engine.order(at(0), drain, 1);
-    assert_eq!(read(&mut orders, &engine, 1), OrderStep::ReadState);
-    let change = order(read(&mut orders, &engine, 0));
+    assert_eq!(read_state(&mut orders, &engine, 1), OrderStep::ReadState);
+    let change = order(read_state(&mut orders, &engine, 0));
     let reply = engine.order(at(0), change, 1);
     assert_eq!(reply, OrderReply::WorkInProgress { requests: 1 });
 }
 
 #[test]
-fn a_drain_that_outlasts_its_patience_is_given_up_and_cuts_nothing() {
+fn a_drain_that_times_out_is_given_up_without_interrupting_requests() {
     let mut engine = engine(1);
-    let mut orders = holder(OLD, Role::Prefill);
+    let mut orders = holder(OLD_EPOCH, Role::Prefill);
     let drain = order(seal(&mut orders, &mut engine, 1));
     engine.order(at(0), drain, 1);
-    assert_eq!(read(&mut orders, &engine, 1), OrderStep::ReadState);
-    let later = Timestamp::default() + PATIENCE;
+    assert_eq!(read_state(&mut orders, &engine, 1), OrderStep::ReadState);
+    let later = Timestamp::default() + DRAIN_TIMEOUT;
     let state = OrderEvent::State(engine.state(1));
     let resume = order(orders.step(later, &valid_lease(), state));
     assert_eq!(resume.action, OrderAction::Resume);
     engine.order(later, resume, 1);
-    let settled = read(&mut orders, &engine, 1);
+    let settled = read_state(&mut orders, &engine, 1);
     assert_eq!(settled, OrderStep::Settled(Outcome::GivenUp));
     assert!(engine.accepts_work());
 }
@@ -238,9 +247,9 @@
 #[test]
 fn a_drain_left_by_an_earlier_holder_is_undone() {
     let mut engine = engine(1);
-    let drain = order(seal(&mut holder(OLD, Role::Prefill), &mut engine, 0));
+    let drain = order(seal(&mut holder(OLD_EPOCH, Role::Prefill), &mut engine, 0));
     engine.order(at(0), drain, 0);
-    let mut new = EngineOrders::new(NEW, PATIENCE);
+    let mut new = EngineOrders::new(NEW_EPOCH, DRAIN_TIMEOUT);
     let resume = order(seal(&mut new, &mut engine, 3));
     assert_eq!(resume.action, OrderAction::Resume);
     assert_eq!(engine.order(at(0), resume, 3), OrderReply::Accepted);
@@ -250,21 +259,21 @@
 #[test]
 fn a_superseded_holder_stops() {
     let mut engine = engine(1);
-    let mut old = holder(OLD, Role::Prefill);
+    let mut old = holder(OLD_EPOCH, Role::Prefill);
     seal(&mut old, &mut engine, 0);
-    seal(&mut holder(NEW, Role::Decode), &mut engine, 0);
-    assert_eq!(read(&mut old, &engine, 0), OrderStep::Superseded);
+    seal(&mut holder(NEW_EPOCH, Role::Decode), &mut engine, 0);
+    assert_eq!(read_state(&mut old, &engine, 0), OrderStep::Superseded);
     let reply = OrderReply::StaleToken {
-        highest: NEW.token(0),
+        highest: NEW_EPOCH.token(0),
     };
     let step = old.step(at(0), &valid_lease(), OrderEvent::Reply(reply));
     assert_eq!(step, OrderStep::Superseded);
 }
 
 #[test]
-fn models_and_adapters_are_loaded_by_the_same_orders() {
+fn models_are_loaded_while_drained_and_adapters_while_serving_requests() {
     let mut engine = engine(1);
-    let mut orders = EngineOrders::new(OLD, PATIENCE);
+    let mut orders = EngineOrders::new(OLD_EPOCH, DRAIN_TIMEOUT);
     orders.pursue(Goal::Model {
         model: "base".into(),
         version: "2".into(),
@@ -272,10 +281,10 @@
     assert_eq!(carry_out(&mut orders, &mut engine).len(), 3);
     assert_eq!(engine.state(0).version, "2");
     orders.pursue(Goal::Adapter("slips".into()));
-    let load = order(read(&mut orders, &engine, 5));
+    let load = order(read_state(&mut orders, &engine, 5));
     assert_eq!(engine.order(at(0), load, 5), OrderReply::Accepted);
     engine.advance(at(60_000));
-    let settled = read(&mut orders, &engine, 5);
+    let settled = read_state(&mut orders, &engine, 5);
     assert_eq!(settled, OrderStep::Settled(Outcome::Reached));
 }
 
@@ -285,7 +294,7 @@
     margin: Duration::from_secs(1),
 };
 
-fn granted(keeper: &mut LeaseKeeper, sent: Timestamp, lease: Lease) {
+fn grant_lease(keeper: &mut LeaseKeeper, sent: Timestamp, lease: Lease) {
     assert!(matches!(
         keeper.step(sent, LeaseEvent::Tick),
         LeaseAction::Grant(_)
@@ -301,18 +310,19 @@
 }
 
 #[test]
-fn a_lease_counts_from_its_sending_less_the_margin() {
+fn a_lease_is_valid_for_its_ttl_minus_the_margin_after_the_request_was_sent() {
     let mut keeper = LeaseKeeper::new(TIMING);
-    granted(&mut keeper, at(0), Lease(7));
+    grant_lease(&mut keeper, at(0), Lease(7));
     assert!(keeper.clock().is_valid(at(4_999)));
     assert!(!keeper.clock().is_valid(at(5_000)));
 }
 
-/// NO_LEASE_OF_CLAIM of `spec/duties.pml`: what hangs on a lapsed lease does not stand again with the next.
+/// Mutant `NO_LEASE_OF_CLAIM` of `spec/duties.pml`: rights attached to a lapsed lease do not become
+/// valid again when the next lease is granted.
 #[test]
-fn the_next_lease_does_not_count_for_a_lapsed_one() {
+fn the_next_lease_does_not_make_a_lapsed_one_valid() {
     let mut keeper = LeaseKeeper::new(TIMING);
-    granted(&mut keeper, at(0), Lease(7));
+    grant_lease(&mut keeper, at(0), Lease(7));
     assert!(keeper.is_valid(Lease(7), at(4_999)));
     assert!(!keeper.is_valid(Lease(7), at(5_000)));
     assert_eq!(
@@ -320,13 +330,13 @@
         LeaseAction::Renew(Lease(7))
     );
     keeper.step(at(8_010), LeaseEvent::Lapsed);
-    granted(&mut keeper, at(8_200), Lease(8));
+    grant_lease(&mut keeper, at(8_200), Lease(8));
     assert!(keeper.is_valid(Lease(8), at(8_300)));
     assert!(!keeper.is_valid(Lease(7), at(8_300)));
 }
 
 #[test]
-fn a_lost_grant_is_asked_for_again_and_a_lost_renewal_keeps_the_lease() {
+fn a_lost_grant_is_requested_again_and_a_lost_renewal_keeps_the_lease() {
     let mut keeper = LeaseKeeper::new(TIMING);
     assert!(matches!(
         keeper.step(at(0), LeaseEvent::Tick),
@@ -334,7 +344,7 @@
     ));
     keeper.step(at(1_000), LeaseEvent::NoAnswer);
     assert_eq!(keeper.lease(), None);
-    granted(&mut keeper, at(2_000), Lease(8));
+    grant_lease(&mut keeper, at(2_000), Lease(8));
     assert_eq!(
         keeper.step(at(4_000), LeaseEvent::Tick),
         LeaseAction::Renew(Lease(8))
@@ -345,9 +355,9 @@
 }
 
 #[test]
-fn a_planned_stop_stops_believing_before_it_revokes() {
+fn a_planned_stop_invalidates_the_lease_before_revoking_it() {
     let mut keeper = LeaseKeeper::new(TIMING);
-    granted(&mut keeper, at(0), Lease(9));
+    grant_lease(&mut keeper, at(0), Lease(9));
     assert_eq!(
         keeper.step(at(1_500), LeaseEvent::Stop),
         LeaseAction::Revoke(Lease(9))
@@ -362,7 +372,7 @@
 }
 
 #[test]
-fn a_claim_whose_answer_was_lost_is_read_back() {
+fn a_claim_whose_answer_was_lost_is_found_by_reading_the_key() {
     let mut claim = PoolClaim::new(Duration::from_secs(1));
     assert_eq!(
         claim.step(at(0), observed(None, Lease(1))),
@@ -372,28 +382,29 @@
     assert_eq!(create, ClaimAction::Create(Lease(1)));
     let record = ClaimRecord {
         lease: Lease(1),
-        epoch: OLD,
+        epoch: OLD_EPOCH,
     };
     let step = claim.step(at(1_100), observed(Some(record), Lease(1)));
-    assert_eq!(step, ClaimAction::Acquired(OLD));
+    assert_eq!(step, ClaimAction::Acquired(OLD_EPOCH));
 }
 
+/// Mutant `NO_LEASE_IN_VALUE` of `spec/authority.pml`.
 #[test]
-fn no_lease_in_value_a_restarted_node_does_not_take_its_earlier_claim_for_its_own() {
+fn a_restarted_node_does_not_mistake_its_earlier_claim_for_its_own() {
     let mut claim = PoolClaim::new(Duration::ZERO);
     let record = ClaimRecord {
         lease: Lease(1),
-        epoch: OLD,
+        epoch: OLD_EPOCH,
     };
     claim.step(at(0), observed(Some(record), Lease(2)));
     assert_eq!(claim.held(), None);
 }
 
 #[test]
-fn a_claim_ends_with_its_key_or_its_lease() {
+fn a_claim_is_lost_with_its_key_or_its_lease() {
     let record = ClaimRecord {
         lease: Lease(1),
-        epoch: OLD,
+        epoch: OLD_EPOCH,
     };
     for end in [observed(None, Lease(1)), ClaimEvent::LeaseLost] {
         let mut claim = PoolClaim::new(Duration::ZERO);
--- a/crates/authority/tests/order_machine.rs
+++ b/crates/authority/tests/order_machine.rs
@@ -1,5 +1,6 @@
-//! Two holders, one engine and a link that delays, reorders, loses and duplicates, driven by random
-//! histories. The oracle keeps only what took effect at the engine and the newest epoch that sealed it.
+//! Checks the safety rules of orders under random histories: two holders send orders to one engine
+//! over a link that delays, reorders, loses and duplicates them. The oracle records only the newest
+//! order that took effect at the engine and the newest epoch that the engine has learnt of.
 
 use std::collections::VecDeque;
 
@@ -13,24 +14,24 @@
 
 const HOLDERS: usize = 2;
 const LINK_CAPACITY: usize = 6;
-const LEASE: Duration = Duration::from_secs(6);
+const LEASE_TTL: Duration = Duration::from_secs(6);
 const SEED: u64 = 0x7461_6e73_7968;
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// The holder claims a new epoch; the other's lease has lapsed.
+    /// The holder claims a new epoch, after the other holder's lease has lapsed.
     Claim(usize),
-    /// The holder reads the engine's state, and sends what follows.
-    Work(usize),
-    /// The holder takes its next step on the state that it read last.
-    WorkOnOldState(usize),
-    /// An order on the link arrives, and stays if `again`.
-    Deliver { index: usize, again: bool },
+    /// The holder reads the engine's state and takes its next step.
+    StepOnNewState(usize),
+    /// The holder takes its next step based on the state that it read last, which may be outdated.
+    StepOnOldState(usize),
+    /// An order on the link arrives. It stays on the link if `keep`, and may arrive again.
+    Deliver { index: usize, keep: bool },
     /// An order is lost.
     Lose(usize),
-    /// The change in force ends.
+    /// The change that the engine is carrying out ends.
     FinishChange,
-    /// A request begins, if the engine accepts it.
+    /// A request begins, if the engine accepts work.
     BeginRequest,
     /// A request ends.
     EndRequest,
@@ -38,10 +39,10 @@
     Crash,
 }
 
-/// The oracle holds no state: every history is allowed.
-struct Histories;
+/// The reference machine without state: every history is allowed.
+struct AnyHistory;
 
-impl ReferenceStateMachine for Histories {
+impl ReferenceStateMachine for AnyHistory {
     type State = ();
     type Transition = Step;
 
@@ -53,10 +54,10 @@
         let holder = || 0..HOLDERS;
         prop_oneof![
             1 => holder().prop_map(Step::Claim),
-            8 => holder().prop_map(Step::Work),
-            2 => holder().prop_map(Step::WorkOnOldState),
+            8 => holder().prop_map(Step::StepOnNewState),
+            2 => holder().prop_map(Step::StepOnOldState),
             8 => (0..LINK_CAPACITY, any::<bool>())
-                .prop_map(|(index, again)| Step::Deliver { index, again }),
+                .prop_map(|(index, keep)| Step::Deliver { index, keep }),
             1 => (0..LINK_CAPACITY).prop_map(Step::Lose),
             3 => Just(Step::FinishChange),
             2 => Just(Step::BeginRequest),
@@ -82,11 +83,11 @@
     engine: Control,
     requests: u32,
     incarnation: u64,
-    epochs: u64,
+    last_claimed_epoch: u64,
     holders: [Option<Holder>; HOLDERS],
     link: VecDeque<Order>,
     newest_epoch: u64,
-    last_effect: u64,
+    newest_effective_token: u64,
 }
 
 fn engine(incarnation: u64) -> Control {
@@ -103,14 +104,14 @@
 
 impl Pool {
     fn claim(&mut self, index: usize) {
-        // The store lets another claim only once every earlier lease has lapsed.
-        self.now = self.now + LEASE;
-        self.epochs += 1;
-        let mut orders = EngineOrders::new(Epoch(self.epochs), Duration::from_secs(30));
+        // The store permits a new claim only after every earlier lease has lapsed.
+        self.now = self.now + LEASE_TTL;
+        self.last_claimed_epoch += 1;
+        let mut orders = EngineOrders::new(Epoch(self.last_claimed_epoch), Duration::from_secs(30));
         let role = [Role::Prefill, Role::Decode][index];
         orders.pursue(Goal::Role(role));
         let mut lease = LeaseClock::new(Duration::ZERO);
-        lease.renewed(self.now, LEASE);
+        lease.record_renewal(self.now, LEASE_TTL);
         self.holders[index] = Some(Holder {
             orders,
             lease,
@@ -118,13 +119,13 @@
         });
     }
 
-    fn work(&mut self, index: usize, reads: bool) {
+    fn step_holder(&mut self, index: usize, reads_state: bool) {
         let state = self.engine.state(self.requests);
         let now = self.now;
         let Some(holder) = self.holders[index].as_mut() else {
             return;
         };
-        if reads || holder.last_read.is_none() {
+        if reads_state || holder.last_read.is_none() {
             holder.last_read = Some(state);
         }
         let Some(read) = holder.last_read.clone() else {
@@ -161,11 +162,11 @@
         }
     }
 
-    fn deliver(&mut self, index: usize, again: bool) {
+    fn deliver(&mut self, index: usize, keep: bool) {
         let Some(order) = self.link.get(index).cloned() else {
             return;
         };
-        if !again {
+        if !keep {
             self.link.remove(index);
         }
         let before = self.engine.state(0);
@@ -176,21 +177,30 @@
             return;
         }
         let epoch = Epoch::of(order.fence_token).0;
-        assert!(epoch >= self.newest_epoch, "a stale order took effect");
         assert!(
-            order.fence_token.0 > self.last_effect,
-            "an order took effect late or twice"
+            epoch >= self.newest_epoch,
+            "an order of a superseded epoch took effect"
+        );
+        assert!(
+            order.fence_token.0 > self.newest_effective_token,
+            "an order took effect twice or after a later one"
+        );
+        self.newest_effective_token = order.fence_token.0;
+        assert!(
+            before.active_order.is_none(),
+            "an order took effect while another was being carried out"
         );
-        self.last_effect = order.fence_token.0;
-        assert!(before.active_order.is_none(), "two orders in force");
         let changes_role = matches!(order.action, OrderAction::SetRole { .. });
-        assert!(!changes_role || self.requests == 0, "a request was cut");
+        assert!(
+            !changes_role || self.requests == 0,
+            "a change was carried out while a request was in progress"
+        );
     }
 }
 
 impl StateMachineTest for Pool {
     type SystemUnderTest = Self;
-    type Reference = Histories;
+    type Reference = AnyHistory;
 
     fn init_test((): &()) -> Self {
         Self {
@@ -198,24 +208,27 @@
             engine: engine(1),
             requests: 0,
             incarnation: 1,
-            epochs: 0,
+            last_claimed_epoch: 0,
             holders: [None, None],
             link: VecDeque::new(),
             newest_epoch: 0,
-            last_effect: 0,
+            newest_effective_token: 0,
         }
     }
 
     fn apply(mut pool: Self, (): &(), step: Step) -> Self {
         match step {
             Step::Claim(index) => pool.claim(index),
-            Step::Work(index) => pool.work(index, true),
-            Step::WorkOnOldState(index) => pool.work(index, false),
-            Step::Deliver { index, again } => pool.deliver(index, again),
+            Step::StepOnNewState(index) => pool.step_holder(index, true),
+            Step::StepOnOldState(index) => pool.step_holder(index, false),
+            Step::Deliver { index, keep } => pool.deliver(index, keep),
             Step::Lose(index) => drop(pool.link.remove(index)),
             Step::FinishChange => {
                 if let Some(ends) = pool.engine.active_order_ends() {
-                    assert_eq!(pool.requests, 0, "a request was cut");
+                    assert_eq!(
+                        pool.requests, 0,
+                        "a change was carried out while a request was in progress"
+                    );
                     pool.engine.advance(ends);
                 }
             }
@@ -225,7 +238,7 @@
                 pool.incarnation += 1;
                 pool.engine = engine(pool.incarnation);
                 pool.requests = 0;
-                pool.last_effect = 0;
+                pool.newest_effective_token = 0;
             }
         }
         pool
@@ -236,5 +249,5 @@
     #![proptest_config(fixed_number_of_cases(SEED, 2_000))]
 
     #[test]
-    fn no_history_breaks_a_rule(sequential 1..120 => Pool);
+    fn no_random_history_violates_a_safety_rule(sequential 1..120 => Pool);
 }
--- a/crates/shares/src/division.rs
+++ b/crates/shares/src/division.rs
@@ -1,4 +1,4 @@
-//! How the limits of one group are divided into home shares.
+//! Division of the limits of one group into base shares.
 
 use std::collections::BTreeMap;
 
@@ -6,50 +6,54 @@
 
 use crate::key::{Amount, LimitKey};
 
-/// The part of a home share that is never lent, so that a node can always serve a little at once.
+/// A node never lends one part in this of its base share, so that it can always admit some requests
+/// without waiting for a grant.
 const RETAINED_DIVISOR: Amount = 4;
 
-/// Home shares of the limits of one group, the same at every node with the same limits and the
-/// same size of the fleet.
+/// The base shares of the limits of one group. They are the same on all nodes that have the same
+/// limits and fleet size.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Division {
-    home: BTreeMap<LimitKey, Amount>,
+    base_shares: BTreeMap<LimitKey, Amount>,
     digest: u64,
 }
 
 impl Division {
-    /// Divides each limit by the nodes of the fleet.
+    /// Divides each limit by the number of nodes in the fleet.
     pub fn new(limits: impl IntoIterator<Item = (LimitKey, Amount)>, nodes: u64) -> Self {
         let nodes = nodes.max(1);
-        let part = |(key, limit): (LimitKey, Amount)| (key, limit / nodes);
-        let home: BTreeMap<_, _> = limits.into_iter().map(part).collect();
-        let digest = home.iter().fold(1, |digest, (key, amount)| {
+        let base_share = |(key, limit): (LimitKey, Amount)| (key, limit / nodes);
+        let base_shares: BTreeMap<_, _> = limits.into_iter().map(base_share).collect();
+        let digest = base_shares.iter().fold(1, |digest, (key, amount)| {
             let digest = xxh3_64_with_seed(&key.0.to_le_bytes(), digest);
             xxh3_64_with_seed(&amount.to_le_bytes(), digest)
         });
-        // Zero stands for "nothing lent" in messages.
+        // In messages, zero means that nothing is lent.
         let digest = digest.max(1);
-        Self { home, digest }
+        Self {
+            base_shares,
+            digest,
+        }
     }
 
-    /// Tells divisions apart; never zero but for the default one.
+    /// Returns a hash that identifies the division. It is zero only for the default division.
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The part of a home share that a node keeps.
+    /// Returns the part of the base share that the node never lends.
     pub fn retained(&self, key: LimitKey) -> Amount {
-        self.home.get(&key).copied().unwrap_or(0) / RETAINED_DIVISOR
+        self.base_shares.get(&key).copied().unwrap_or(0) / RETAINED_DIVISOR
     }
 
-    /// The part of a home share that a node lends.
+    /// Returns the part of the base share that the node may lend.
     pub fn lendable(&self, key: LimitKey) -> Amount {
-        let home = self.home.get(&key).copied().unwrap_or(0);
-        home - home / RETAINED_DIVISOR
+        let base_share = self.base_shares.get(&key).copied().unwrap_or(0);
+        base_share - base_share / RETAINED_DIVISOR
     }
 
-    /// Whether the group has no limits.
+    /// Returns whether the group has no limits.
     pub fn is_empty(&self) -> bool {
-        self.home.is_empty()
+        self.base_shares.is_empty()
     }
 }
--- a/crates/shares/src/holder.rs
+++ b/crates/shares/src/holder.rs
@@ -1,5 +1,5 @@
-//! A node's side of one group: its home shares, lent to at most one owner at a time, and the
-//! shares that were granted to it.
+//! The holder's side of one group: the node's base shares, which are lent to at most one owner at a
+//! time, and the shares that were granted to the node.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,211 +9,232 @@
 
 use crate::division::Division;
 use crate::key::{Amount, GroupId, LimitKey};
-use crate::message::{Ask, Grant, KeyAmount, MAX_KEYS};
+use crate::message::{Grant, KeyAmount, ShareRequest, MAX_KEYS_PER_MESSAGE};
 use crate::settings::ShareSettings;
 
-/// Demand that has grown by more than this part since the last ask is asked for early.
+/// Demand that has grown since the last request by more than one part in this is requested early.
 const GROWTH_DIVISOR: Amount = 4;
 
-/// The run of an owner that the home shares are lent to. A restarted owner is another one: what
-/// its earlier run granted may still be in use.
+/// The loan of the base shares to one incarnation of an owner. A restarted owner counts as another
+/// owner, because shares that its previous incarnation granted may still be in use.
 #[derive(Debug, Clone)]
-struct Lent {
-    to: NodeId,
+struct LoanToOwner {
+    owner: NodeId,
     incarnation: u64,
     until: Timestamp,
 }
 
-/// An owner as last heard.
+/// An owner, and its incarnation and time in the last answer received from it.
 #[derive(Debug, Clone)]
-struct Heard {
+struct KnownOwner {
     owner: NodeId,
     incarnation: u64,
     time: u64,
 }
 
+/// A share that an owner has granted.
 #[derive(Debug, Clone, Copy)]
-struct Granted {
+struct GrantedShare {
     amount: Amount,
     until: Timestamp,
 }
 
-/// A node's side of one group.
+/// The holder's side of one group.
 #[derive(Debug, Clone)]
 pub struct HeldGroup {
     settings: ShareSettings,
     group: GroupId,
     division: Arc<Division>,
-    /// Until then an earlier run of this node may have lent the home shares.
-    home_from: Timestamp,
-    lent: Option<Lent>,
-    heard: Option<Heard>,
-    granted: BTreeMap<LimitKey, Granted>,
-    wants: BTreeMap<LimitKey, Amount>,
-    asked: BTreeMap<LimitKey, Amount>,
-    asked_at: Option<Timestamp>,
+    /// Before this time, the base shares may be on loan from a previous incarnation of this node.
+    base_shares_from: Timestamp,
+    loan: Option<LoanToOwner>,
+    known_owner: Option<KnownOwner>,
+    granted: BTreeMap<LimitKey, GrantedShare>,
+    /// The largest demand since the last request.
+    demand: BTreeMap<LimitKey, Amount>,
+    /// The demand at the last request.
+    requested: BTreeMap<LimitKey, Amount>,
+    requested_at: Option<Timestamp>,
     answered: bool,
     urgent: bool,
 }
 
 impl HeldGroup {
-    /// A group at a node that may use and lend its home shares from `home_from`.
-    pub fn new(settings: ShareSettings, group: GroupId, home_from: Timestamp) -> Self {
+    /// Creates the state of a group on a node that may use and lend its base shares from
+    /// `base_shares_from` on.
+    pub fn new(settings: ShareSettings, group: GroupId, base_shares_from: Timestamp) -> Self {
         Self {
             settings,
             group,
             division: Arc::default(),
-            home_from,
-            lent: None,
-            heard: None,
+            base_shares_from,
+            loan: None,
+            known_owner: None,
             granted: BTreeMap::new(),
-            wants: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            asked_at: None,
+            demand: BTreeMap::new(),
+            requested: BTreeMap::new(),
+            requested_at: None,
             answered: true,
             urgent: false,
         }
     }
 
-    /// Replaces the home shares.
+    /// Replaces the base shares.
     pub fn set_division(&mut self, division: Arc<Division>) {
         self.division = division;
     }
 
-    /// Takes back what is lent, and forgets what was granted: no other node is left.
+    /// Ends the loan and removes all granted shares. Called only when no other node is left.
     pub fn reclaim(&mut self) {
-        self.lent = None;
+        self.loan = None;
         self.granted.clear();
     }
 
-    /// The share of a limit that this node may use now.
+    /// Returns the share of a limit that this node may use now.
     pub fn usable(&self, now: Timestamp, key: LimitKey) -> Amount {
-        self.own(now, key) + self.borrowed(now, key)
+        self.usable_base_share(now, key) + self.usable_grant(now, key)
     }
 
-    /// Notes what this node could use of a limit. The largest one since the last ask counts.
-    pub fn want(&mut self, now: Timestamp, key: LimitKey, amount: Amount) {
-        let want = self.wants.entry(key).or_default();
-        *want = amount.max(*want);
-        let asked = self.asked.get(&key).copied().unwrap_or(0);
-        if amount > asked + asked / GROWTH_DIVISOR && amount > self.usable(now, key) {
+    /// Records the amount of a limit that this node could use. Of the amounts recorded since the last
+    /// request, the largest counts.
+    pub fn record_demand(&mut self, now: Timestamp, key: LimitKey, amount: Amount) {
+        let demand = self.demand.entry(key).or_default();
+        *demand = amount.max(*demand);
+        let requested = self.requested.get(&key).copied().unwrap_or(0);
+        if amount > requested + requested / GROWTH_DIVISOR && amount > self.usable(now, key) {
             self.urgent = true;
         }
     }
 
-    /// The next ask to an owner, once it is due.
-    pub fn ask(&mut self, now: Timestamp, incarnation: u64, owner: &NodeId) -> Option<Ask> {
-        if self.division.is_empty() || !self.is_due(now) {
+    /// Returns the next request to the owner, or `None` if no request is due.
+    pub fn next_request(
+        &mut self,
+        now: Timestamp,
+        incarnation: u64,
+        owner: &NodeId,
+    ) -> Option<ShareRequest> {
+        if self.division.is_empty() || !self.is_request_due(now) {
             return None;
         }
-        self.asked_at = Some(now);
-        self.asked = self.wants.clone();
+        self.requested_at = Some(now);
+        self.requested = self.demand.clone();
         self.answered = false;
         self.urgent = false;
-        let heard = self.heard.as_ref().filter(|heard| heard.owner == *owner);
+        let known = self
+            .known_owner
+            .as_ref()
+            .filter(|known| known.owner == *owner);
         let (owner_incarnation, owner_time) =
-            heard.map_or((0, 0), |heard| (heard.incarnation, heard.time));
-        let lends = heard.is_some() && self.may_lend(now, owner, owner_incarnation);
+            known.map_or((0, 0), |known| (known.incarnation, known.time));
+        let lends = known.is_some() && self.may_lend(now, owner, owner_incarnation);
         if lends {
-            self.lent = Some(Lent {
-                to: owner.clone(),
+            self.loan = Some(LoanToOwner {
+                owner: owner.clone(),
                 incarnation: owner_incarnation,
-                until: now + self.settings.loan + self.settings.margin,
+                until: now + self.settings.loan_ttl + self.settings.clock_drift_margin,
             });
         }
-        Some(Ask {
+        Some(ShareRequest {
             group: self.group.0,
             incarnation,
             sent_at: now.0,
             lent_division: if lends { self.division.digest() } else { 0 },
             owner_incarnation,
             owner_time,
-            wants: self.take_wants(now),
+            wants: self.take_demand(now),
         })
     }
 
-    /// Takes an owner's answer; it is counted from the time of its ask.
-    pub fn take_grant(&mut self, now: Timestamp, owner: &NodeId, grant: &Grant) {
-        self.answered |= self.asked_at == Some(Timestamp(grant.asked_at));
-        self.hear(owner, grant);
-        let until = Timestamp(grant.asked_at) + self.settings.grant - self.settings.margin;
+    /// Applies an owner's answer. The grant is counted from the time at which the request was sent.
+    pub fn apply_grant(&mut self, now: Timestamp, owner: &NodeId, grant: &Grant) {
+        self.answered |= self.requested_at == Some(Timestamp(grant.asked_at));
+        self.record_owner(owner, grant);
+        let until =
+            Timestamp(grant.asked_at) + self.settings.grant_ttl - self.settings.clock_drift_margin;
         if until <= now {
             return;
         }
-        for share in grant.shares.iter().take(MAX_KEYS) {
-            self.take_share(LimitKey(share.key), share.amount, until);
+        for share in grant.shares.iter().take(MAX_KEYS_PER_MESSAGE) {
+            self.apply_share(LimitKey(share.key), share.amount, until);
         }
     }
 
-    /// Notes an owner's time. An answer of an earlier run, or an older one, says nothing new.
-    fn hear(&mut self, owner: &NodeId, grant: &Grant) {
-        let known = self.heard.as_ref().filter(|heard| heard.owner == *owner);
-        let known = known.map(|heard| (heard.incarnation, heard.time));
+    /// Records an owner's incarnation and time. Ignores answers of earlier incarnations and answers that
+    /// are not newer than the last.
+    fn record_owner(&mut self, owner: &NodeId, grant: &Grant) {
+        let known = self
+            .known_owner
+            .as_ref()
+            .filter(|known| known.owner == *owner);
+        let known = known.map(|known| (known.incarnation, known.time));
         if known.is_some_and(|known| known >= (grant.owner_incarnation, grant.owner_time)) {
             return;
         }
-        // Nothing is granted before something is lent: lend soon to a run heard for the first time.
+        // An owner grants nothing before shares are lent to it, so lend soon to a new incarnation.
         self.urgent |= known.is_none_or(|(incarnation, _)| incarnation < grant.owner_incarnation);
-        self.heard = Some(Heard {
+        self.known_owner = Some(KnownOwner {
             owner: owner.clone(),
             incarnation: grant.owner_incarnation,
             time: grant.owner_time,
         });
     }
 
-    fn take_share(&mut self, key: LimitKey, amount: Amount, until: Timestamp) {
-        let newer = |old: &Granted| until > old.until;
-        if self.granted.get(&key).is_none_or(newer) {
-            self.granted.insert(key, Granted { amount, until });
+    fn apply_share(&mut self, key: LimitKey, amount: Amount, until: Timestamp) {
+        let is_newer = |old: &GrantedShare| until > old.until;
+        if self.granted.get(&key).is_none_or(is_newer) {
+            self.granted.insert(key, GrantedShare { amount, until });
         }
     }
 
-    fn own(&self, now: Timestamp, key: LimitKey) -> Amount {
-        if now < self.home_from {
+    fn usable_base_share(&self, now: Timestamp, key: LimitKey) -> Amount {
+        if now < self.base_shares_from {
             return 0;
         }
         let retained = self.division.retained(key);
-        match &self.lent {
-            Some(lent) if now < lent.until => retained,
+        match &self.loan {
+            Some(loan) if now < loan.until => retained,
             _ => retained + self.division.lendable(key),
         }
     }
 
-    fn borrowed(&self, now: Timestamp, key: LimitKey) -> Amount {
+    fn usable_grant(&self, now: Timestamp, key: LimitKey) -> Amount {
         let granted = self.granted.get(&key);
         let live = granted.filter(|granted| now < granted.until);
         live.map_or(0, |granted| granted.amount)
     }
 
-    fn is_due(&self, now: Timestamp) -> bool {
+    fn is_request_due(&self, now: Timestamp) -> bool {
         let wait = if self.urgent {
-            self.settings.urgent
+            self.settings.urgent_interval
         } else if self.answered {
-            self.settings.renewal
+            self.settings.renewal_interval
         } else {
-            self.settings.repeat
+            self.settings.retry_interval
         };
-        self.asked_at.is_none_or(|asked| now >= asked + wait)
+        self.requested_at
+            .is_none_or(|requested_at| now >= requested_at + wait)
     }
 
     fn may_lend(&self, now: Timestamp, owner: &NodeId, incarnation: u64) -> bool {
-        let same = |lent: &Lent| lent.to == *owner && lent.incarnation == incarnation;
-        let free = |lent: &Lent| same(lent) || now >= lent.until;
-        now >= self.home_from && self.lent.as_ref().is_none_or(free)
+        let is_same_owner =
+            |loan: &LoanToOwner| loan.owner == *owner && loan.incarnation == incarnation;
+        let is_lendable = |loan: &LoanToOwner| is_same_owner(loan) || now >= loan.until;
+        now >= self.base_shares_from && self.loan.as_ref().is_none_or(is_lendable)
     }
 
-    /// The largest wants, without what this node keeps anyhow.
-    fn take_wants(&mut self, now: Timestamp) -> Vec<KeyAmount> {
+    /// Returns and clears the demand, without the amounts that this node retains. Only the largest
+    /// demands are returned if they do not all fit into a message.
+    fn take_demand(&mut self, now: Timestamp) -> Vec<KeyAmount> {
         self.granted.retain(|_, granted| now < granted.until);
-        let wants = std::mem::take(&mut self.wants);
-        let beyond_retained = |(key, want): (LimitKey, Amount)| KeyAmount {
+        let demand = std::mem::take(&mut self.demand);
+        let beyond_retained = |(key, amount): (LimitKey, Amount)| KeyAmount {
             key: key.0,
-            amount: want.saturating_sub(self.division.retained(key)),
+            amount: amount.saturating_sub(self.division.retained(key)),
         };
-        let wants = wants.into_iter().map(beyond_retained);
+        let wants = demand.into_iter().map(beyond_retained);
         let mut wants: Vec<KeyAmount> = wants.filter(|want| want.amount > 0).collect();
         wants.sort_by_key(|want| Reverse(want.amount));
-        wants.truncate(MAX_KEYS);
+        wants.truncate(MAX_KEYS_PER_MESSAGE);
         wants
     }
 }
--- a/crates/shares/src/key.rs
+++ b/crates/shares/src/key.rs
@@ -1,45 +1,47 @@
-//! What is divided: keys of limits, their groups, and amounts.
+//! Keys of limits, groups of limits, and amounts.
 
 use tansyhall_core::{ServiceName, TenantName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Thousandths of a unit; a unit is a request per second, a token per second, or a request in
-/// progress.
+/// An amount in thousandths of a unit. A unit is a request per second, a token per second, or a
+/// request in progress.
 pub type Amount = u64;
 
-/// Thousandths in a unit.
+/// One unit as an [`Amount`].
 pub const UNIT: Amount = 1_000;
 
-/// Groups of limits; each has one owner, so that a node talks to at most this many others.
-pub const GROUPS: u64 = 16;
+/// Number of groups of limits. Each group has one owner, so a node sends requests to at most this many
+/// others.
+pub const GROUP_COUNT: u64 = 16;
 
 /// What a limit counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum LimitKind {
-    /// Requests in a second.
+    /// Requests per second.
     RequestsPerSecond,
-    /// Prompt and output tokens in a second.
+    /// Prompt and output tokens per second.
     TokensPerSecond,
-    /// Requests in progress at once.
+    /// Requests in progress at the same time.
     Concurrent,
 }
 
-/// Names one limit: what it counts, for which tenant, at which service if the service's policy
-/// sets it. A hash, so that messages stay small.
+/// Identifies one limit by what it counts, the tenant, and the service if the service's policy sets
+/// the limit. The key is a hash, so that messages stay small.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LimitKey(pub u64);
 
 impl LimitKey {
-    /// The key of a tenant's limit; `service` is given if the limit is that of a service's policy.
+    /// Returns the key of a tenant's limit. `service` is given if the limit is set by the policy of a
+    /// service.
     pub fn new(tenant: &TenantName, service: Option<&ServiceName>, kind: LimitKind) -> Self {
         let service = service.map_or("", ServiceName::as_str);
-        let of_service = xxh3_64_with_seed(service.as_bytes(), kind as u64);
-        Self(xxh3_64_with_seed(tenant.as_str().as_bytes(), of_service))
+        let service_hash = xxh3_64_with_seed(service.as_bytes(), kind as u64);
+        Self(xxh3_64_with_seed(tenant.as_str().as_bytes(), service_hash))
     }
 
-    /// The group that it belongs to.
+    /// Returns the group that the limit belongs to.
     pub const fn group(self) -> GroupId {
-        GroupId(self.0 % GROUPS)
+        GroupId(self.0 % GROUP_COUNT)
     }
 }
 
@@ -48,8 +50,8 @@
 pub struct GroupId(pub u64);
 
 impl GroupId {
-    /// Every group.
+    /// Returns all groups.
     pub fn all() -> impl Iterator<Item = Self> {
-        (0..GROUPS).map(Self)
+        (0..GROUP_COUNT).map(Self)
     }
 }
--- a/crates/shares/src/settings.rs
+++ b/crates/shares/src/settings.rs
@@ -1,35 +1,37 @@
-//! Times of the protocol.
+//! Durations of the protocol.
 
 use std::time::Duration;
 
-/// Times of the protocol; the same at every node.
+/// Durations of the protocol. They must be the same on all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShareSettings {
-    /// How long a home share is lent. Also how long a node that starts waits before it uses its
-    /// home share, since its earlier run may have lent it.
-    pub loan: Duration,
-    /// How long a grant is usable; more than `renewal`. `loan` is at least this and two renewals,
-    /// so that a loan backs grants until it is renewed.
-    pub grant: Duration,
-    /// Time between a node's regular asks to one owner.
-    pub renewal: Duration,
-    /// Time after which an ask without an answer is repeated.
-    pub repeat: Duration,
-    /// Least time between asks to one owner when demand has grown.
-    pub urgent: Duration,
-    /// Taken off what is borrowed and added to what is lent, for clocks of different rates.
-    pub margin: Duration,
+    /// How long a base share is lent. A node that starts also waits this long before it uses its base
+    /// share, because its previous incarnation may have lent it.
+    pub loan_ttl: Duration,
+    /// How long a grant is usable. Must be longer than `renewal_interval`. `loan_ttl` must be at least
+    /// `grant_ttl` plus two renewal intervals, so that a loan backs grants until it is renewed.
+    pub grant_ttl: Duration,
+    /// Time between regular requests of a node to the owner of a group.
+    pub renewal_interval: Duration,
+    /// Time after which an unanswered request is repeated.
+    pub retry_interval: Duration,
+    /// Minimum time between requests to the owner of a group when demand has grown or when the owner
+    /// is a new incarnation.
+    pub urgent_interval: Duration,
+    /// Subtracted from the end of a received grant and added to the end of a given loan, because the
+    /// clocks of the nodes may run at different rates.
+    pub clock_drift_margin: Duration,
 }
 
 impl Default for ShareSettings {
     fn default() -> Self {
         Self {
-            loan: Duration::from_secs(30),
-            grant: Duration::from_secs(12),
-            renewal: Duration::from_secs(8),
-            repeat: Duration::from_secs(2),
-            urgent: Duration::from_secs(1),
-            margin: Duration::from_millis(500),
+            loan_ttl: Duration::from_secs(30),
+            grant_ttl: Duration::from_secs(12),
+            renewal_interval: Duration::from_secs(8),
+            retry_interval: Duration::from_secs(2),
+            urgent_interval: Duration::from_secs(1),
+            clock_drift_margin: Duration::from_millis(500),
         }
     }
 }
--- a/crates/shares/tests/safety.rs
+++ b/crates/shares/tests/safety.rs
@@ -1,5 +1,6 @@
-//! The usable shares of a limit never add up to more than the limit, under loss, delay,
-//! duplication, reordering, restarts, pauses, and views that disagree on who owns what.
+//! Checks that the usable shares of a limit never add up to more than the limit, despite message
+//! loss, delay, duplication and reordering, restarts and pauses of nodes, and nodes that disagree on
+//! which node owns a group.
 
 mod support;
 
@@ -24,10 +25,10 @@
     Deliver(Index),
     Duplicate(Index),
     Lose(Index),
-    View(usize, Vec<usize>),
+    SetView(usize, Vec<usize>),
     Restart(usize),
     SetRunning(usize, bool),
-    Second(Vec<u64>),
+    RunSecond(Vec<u64>),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -42,10 +43,10 @@
         8 => any::<Index>().prop_map(Step::Deliver),
         2 => any::<Index>().prop_map(Step::Duplicate),
         1 => any::<Index>().prop_map(Step::Lose),
-        1 => (node.clone(), live).prop_map(|(node, live)| Step::View(node, live)),
+        1 => (node.clone(), live).prop_map(|(node, live)| Step::SetView(node, live)),
         1 => node.clone().prop_map(Step::Restart),
         1 => (node, any::<bool>()).prop_map(|(node, running)| Step::SetRunning(node, running)),
-        6 => prop::collection::vec(0..2 * LIMIT, NODES).prop_map(Step::Second),
+        6 => prop::collection::vec(0..2 * LIMIT, NODES).prop_map(Step::RunSecond),
     ]
 }
 
@@ -73,13 +74,13 @@
                 .swap_remove(index.index(fleet.in_flight.len()));
         }
         Step::Deliver(_) | Step::Duplicate(_) | Step::Lose(_) => {}
-        Step::View(node, live) => fleet.view(node, &live),
+        Step::SetView(node, live) => fleet.set_view(node, &live),
         Step::Restart(node) => fleet.restart(node),
         Step::SetRunning(node, running) => fleet.set_running(node, running),
-        Step::Second(wants) => {
+        Step::RunSecond(wants) => {
             let wants = wants.into_iter().enumerate();
             let wants: Vec<_> = wants.map(|(node, want)| (node, KEYS[0], want)).collect();
-            fleet.second(&wants);
+            fleet.run_second(&wants);
         }
     }
 }
@@ -88,19 +89,19 @@
     #![proptest_config(fixed_number_of_cases(20, 512))]
 
     #[test]
-    fn usable_shares_never_pass_the_limit(
+    fn usable_shares_never_exceed_the_limit(
         settled in any::<bool>(),
         steps in prop::collection::vec(step(), 0..300),
     ) {
         let limits: BTreeMap<_, _> = KEYS.iter().map(|key| (*key, LIMIT)).collect();
         let mut fleet = Fleet::new(NODES, limits);
         if settled {
-            fleet.seconds(40, &[(0, KEYS[0], LIMIT), (1, KEYS[1], LIMIT)]);
+            fleet.run_seconds(40, &[(0, KEYS[0], LIMIT), (1, KEYS[1], LIMIT)]);
         }
         for step in steps {
             apply(&mut fleet, step);
             for key in KEYS {
-                prop_assert!(fleet.usable_in_all(key) <= LIMIT);
+                prop_assert!(fleet.total_usable(key) <= LIMIT);
             }
         }
     }
--- a/crates/shares/tests/support/mod.rs
+++ b/crates/shares/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of share nodes in virtual time, with clocks of their own and a network that the test
-//! commands.
+//! A simulated fleet of share nodes in virtual time. Each node has its own clock, and the test controls
+//! the network.
 
 #![allow(dead_code)]
 
@@ -9,7 +9,7 @@
 use tansyhall_core::{NodeId, Timestamp};
 use tansyhall_shares::{Action, Amount, Event, LimitKey, Message, ShareNode, ShareSettings, View};
 
-/// A message under way.
+/// A message in transit.
 #[derive(Debug, Clone)]
 pub struct Envelope {
     pub from: usize,
@@ -17,7 +17,7 @@
     pub message: Message,
 }
 
-/// A message that was sent.
+/// Metadata of a message that was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct Sent {
     pub from: usize,
@@ -27,12 +27,12 @@
 struct Process {
     node: ShareNode,
     incarnation: u64,
-    /// The process's clock reads the fleet's time plus this.
-    clock_ahead: u64,
+    /// How far the process's clock is ahead of the fleet's time, in microseconds.
+    clock_offset_micros: u64,
     running: bool,
 }
 
-/// A fleet.
+/// A simulated fleet.
 pub struct Fleet {
     pub now: Timestamp,
     pub in_flight: Vec<Envelope>,
@@ -41,7 +41,7 @@
     processes: Vec<Process>,
 }
 
-pub fn name_of(index: usize) -> NodeId {
+pub fn node_name(index: usize) -> NodeId {
     NodeId::new(format!("node-{index}"))
 }
 
@@ -55,50 +55,54 @@
             processes: Vec::new(),
         };
         for index in 0..size {
-            let process = fleet.process(index, 1, size);
+            let process = fleet.new_process(index, 1, size);
             fleet.processes.push(process);
         }
         fleet
     }
 
-    fn process(&self, index: usize, incarnation: u64, size: usize) -> Process {
-        let clock_ahead = (index as u64 * 7 + incarnation * 13) * 1_000_000;
-        let now = Timestamp(self.now.0 + clock_ahead);
+    fn new_process(&self, index: usize, incarnation: u64, size: usize) -> Process {
+        let clock_offset_micros = (index as u64 * 7 + incarnation * 13) * 1_000_000;
+        let now = Timestamp(self.now.0 + clock_offset_micros);
         let settings = ShareSettings::default();
-        let mut node = ShareNode::new(settings, name_of(index), incarnation, size as u64, now);
+        let mut node = ShareNode::new(settings, node_name(index), incarnation, size as u64, now);
         node.step(now, Event::Limits(self.limits.clone()));
-        let live = (0..size).map(name_of).collect();
+        let live = (0..size).map(node_name).collect();
         let fleet_size = size as u64;
         node.step(now, Event::View(View { live, fleet_size }));
         Process {
             node,
             incarnation,
-            clock_ahead,
+            clock_offset_micros,
             running: true,
         }
     }
 
-    /// A new run of a node, which has forgotten everything.
+    /// Restarts a node. The new incarnation has none of the previous one's state.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.processes[index].incarnation + 1;
-        self.processes[index] = self.process(index, incarnation, self.processes.len());
+        self.processes[index] = self.new_process(index, incarnation, self.processes.len());
     }
 
-    /// A node that is paused or dead takes no step and uses nothing.
+    /// Sets whether a node is running. A node that is paused or has crashed processes no events and uses
+    /// no shares.
     pub fn set_running(&mut self, index: usize, running: bool) {
         self.processes[index].running = running;
     }
 
-    /// Gives a node an event, and puts what it sends under way.
+    /// Passes an event to a node and puts the messages that it sends in transit.
     pub fn step(&mut self, index: usize, event: Event) {
         let process = &mut self.processes[index];
         if !process.running {
             return;
         }
-        let now = Timestamp(self.now.0 + process.clock_ahead);
+        let now = Timestamp(self.now.0 + process.clock_offset_micros);
         for Action::Send { to, message } in process.node.step(now, event) {
-            let to = to.as_str().strip_prefix("node-").expect("a node's name");
-            let to = to.parse().expect("an index");
+            let to = to
+                .as_str()
+                .strip_prefix("node-")
+                .expect("node name without the prefix node-");
+            let to = to.parse().expect("node name without an index");
             let from = index;
             let bytes = message.encoded_bytes();
             self.sent.push(Sent { from, bytes });
@@ -106,14 +110,14 @@
         }
     }
 
-    pub fn view(&mut self, index: usize, live: &[usize]) {
-        let live = live.iter().copied().map(name_of).collect();
+    pub fn set_view(&mut self, index: usize, live: &[usize]) {
+        let live = live.iter().copied().map(node_name).collect();
         let fleet_size = self.processes.len() as u64;
         self.step(index, Event::View(View { live, fleet_size }));
     }
 
     pub fn deliver(&mut self, envelope: Envelope) {
-        let from = name_of(envelope.from);
+        let from = node_name(envelope.from);
         let message = envelope.message;
         self.step(envelope.to, Event::Received { from, message });
     }
@@ -126,14 +130,14 @@
         }
     }
 
-    pub fn advance(&mut self, time: Duration) {
-        self.now = self.now + time;
+    pub fn advance(&mut self, duration: Duration) {
+        self.now = self.now + duration;
     }
 
-    /// Lets a second pass with the same wants, on a network that loses nothing.
-    pub fn second(&mut self, wants: &[(usize, LimitKey, Amount)]) {
+    /// Simulates one second with the given demands, on a network that loses no messages.
+    pub fn run_second(&mut self, demands: &[(usize, LimitKey, Amount)]) {
         self.advance(Duration::from_secs(1));
-        for (index, key, amount) in wants.iter().copied() {
+        for (index, key, amount) in demands.iter().copied() {
             self.step(index, Event::Want { key, amount });
         }
         for index in 0..self.processes.len() {
@@ -142,9 +146,9 @@
         self.deliver_all();
     }
 
-    pub fn seconds(&mut self, seconds: usize, wants: &[(usize, LimitKey, Amount)]) {
+    pub fn run_seconds(&mut self, seconds: usize, demands: &[(usize, LimitKey, Amount)]) {
         for _ in 0..seconds {
-            self.second(wants);
+            self.run_second(demands);
         }
     }
 
@@ -153,11 +157,11 @@
         if !process.running {
             return 0;
         }
-        let now = Timestamp(self.now.0 + process.clock_ahead);
+        let now = Timestamp(self.now.0 + process.clock_offset_micros);
         process.node.usable(now, key)
     }
 
-    pub fn usable_in_all(&self, key: LimitKey) -> Amount {
+    pub fn total_usable(&self, key: LimitKey) -> Amount {
         let nodes = 0..self.processes.len();
         nodes.map(|index| self.usable(index, key)).sum()
     }
