--- a/crates/forwarding/src/directory/admission.rs
+++ b/crates/forwarding/src/directory/admission.rs
@@ -8,17 +8,17 @@
 //!    its streams keep within the pauses that they may make.
 //! 4. One of a tenant that has taken more than its share of an overloaded service may wait for a part only of
 //!    that time (`tenant_shares`).
-//! 5. All others are refused at once, with the time to come back (`coming_back`).
+//! 5. All others are refused at once, with the time to come back (`retry_after`).
 
 use std::time::Duration;
 
 use tansyhall_core::{Role, ServiceName, Timestamp};
 
 use super::choice::{Demand, RouteKey};
-use super::coming_back::Refusal;
 use super::costs::{ContinuingWork, EngineWork, ReadingWork};
 use super::demand::AskedSeconds;
 use super::prediction::Comparison;
+use super::retry_after::Refusal;
 use super::tracked::Tracked;
 use super::{Directory, MAX_EXPECTED_SECONDS};
 use crate::selection::Need;
--- a/crates/forwarding/src/directory/mod.rs
+++ b/crates/forwarding/src/directory/mod.rs
@@ -32,21 +32,21 @@
 mod admission;
 mod availability;
 mod choice;
-mod coming_back;
 mod costs;
 mod demand;
 mod eligible;
+mod length_biased_mean;
 mod membership;
 mod notices;
 mod part_holders;
 mod prediction;
 mod rate_limits;
+mod retry_after;
 mod sampling;
 mod sharing;
 mod tenants;
 mod ticket;
 mod tracked;
-mod usual;
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -75,13 +75,13 @@
 use costs::EngineCosts;
 use demand::Demands;
 use eligible::EligibleWorkers;
+use length_biased_mean::UsualSeconds;
 use notices::Notices;
 use part_holders::PartHolders;
 use rate_limits::RateLimits;
 use sampling::Sampling;
 use sharing::report_prompt;
 use tracked::{smooth, Tracked};
-use usual::UsualSeconds;
 
 /// Tokens that a cache is taken to hold if the configuration does not say.
 const DEFAULT_CACHE_TOKENS: u64 = 200_000;
--- a/crates/forwarding/src/directory/prediction.rs
+++ b/crates/forwarding/src/directory/prediction.rs
@@ -6,8 +6,8 @@
 
 use super::choice::Demand;
 use super::costs::{ContinuingWork, EngineCosts, EngineWork, ReadingWork};
+use super::length_biased_mean::UsualSeconds;
 use super::tracked::Tracked;
-use super::usual::UsualSeconds;
 use super::Directory;
 use crate::selection::{prompt_tokens, Need};
 
