--- a/crates/authority/src/claim.rs
+++ b/crates/authority/src/claim.rs
@@ -73,7 +73,7 @@
     }
 
     /// Returns the epoch in which the node holds the pool, or `None` if it does not hold it.
-    pub fn held(&self) -> Option<Epoch> {
+    pub fn held_epoch(&self) -> Option<Epoch> {
         match self.state {
             State::Held(epoch) => Some(epoch),
             State::HeldByOther | State::FreeSince(_) => None,
@@ -117,7 +117,7 @@
     }
 
     fn set_not_held(&mut self, state: State) -> ClaimAction {
-        let was_held = self.held().is_some();
+        let was_held = self.held_epoch().is_some();
         self.state = state;
         if was_held {
             return ClaimAction::Lost;
--- a/crates/authority/src/lease.rs
+++ b/crates/authority/src/lease.rs
@@ -4,7 +4,7 @@
 //! node take over.
 //!
 //! Implements the lease of `Holder` in `spec/authority.pml`. The model's check `live[lease]` stands
-//! for [`LeaseClock::is_valid`], which is never true for longer than the store keeps the lease.
+//! for [`LeaseValidity::is_valid`], which is never true for longer than the store keeps the lease.
 
 use tansyhall_core::{Duration, Timestamp};
 
@@ -14,12 +14,12 @@
 
 /// The period for which the holder may rely on a lease, on the holder's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeaseClock {
+pub struct LeaseValidity {
     clock_drift_margin: Duration,
     valid_until: Option<Timestamp>,
 }
 
-impl LeaseClock {
+impl LeaseValidity {
     /// Creates the state of a lease that has not been granted yet.
     pub fn new(clock_drift_margin: Duration) -> Self {
         Self {
@@ -52,13 +52,13 @@
     /// Time to live to request from the store.
     pub time_to_live: Duration,
     /// Time between sending one renewal request and sending the next.
-    pub renewal: Duration,
+    pub renewal_interval: Duration,
     /// Subtracted from the end of the lease, because the clocks of the node and the store may run at
     /// different rates.
-    pub margin: Duration,
+    pub clock_drift_margin: Duration,
 }
 
-/// Input to [`LeaseKeeper::step`].
+/// Input to [`LeaseHolder::step`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseEvent {
     /// Time has passed.
@@ -84,7 +84,7 @@
     Stop,
 }
 
-/// What the caller of [`LeaseKeeper::step`] must do.
+/// What the caller of [`LeaseHolder::step`] must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Do nothing until the next tick.
@@ -100,21 +100,21 @@
 /// Obtains a lease and keeps it renewed. At most one grant or renewal request is in progress at a
 /// time, and none is started after a planned shutdown.
 #[derive(Debug, Clone)]
-pub struct LeaseKeeper {
+pub struct LeaseHolder {
     timing: LeaseTiming,
-    clock: LeaseClock,
+    validity: LeaseValidity,
     lease: Option<Lease>,
     request_sent_at: Option<Timestamp>,
     next_request_at: Timestamp,
     stopped: bool,
 }
 
-impl LeaseKeeper {
+impl LeaseHolder {
     /// Creates a state machine that holds no lease.
     pub fn new(timing: LeaseTiming) -> Self {
         Self {
             timing,
-            clock: LeaseClock::new(timing.margin),
+            validity: LeaseValidity::new(timing.clock_drift_margin),
             lease: None,
             request_sent_at: None,
             next_request_at: Timestamp::default(),
@@ -122,22 +122,22 @@
         }
     }
 
-    /// Returns the lease, if one is held. Use [`LeaseKeeper::is_valid`] to check whether it is still
+    /// Returns the lease, if one is held. Use [`LeaseHolder::is_valid`] to check whether it is still
     /// valid.
     pub fn lease(&self) -> Option<Lease> {
         self.lease
     }
 
     /// Returns the validity of the lease, by value.
-    pub fn clock(&self) -> LeaseClock {
-        self.clock
+    pub fn validity(&self) -> LeaseValidity {
+        self.validity
     }
 
     /// Returns whether `lease` is the lease that is held and is valid at `now`, so that rights attached
-    /// to it may be used. Checking [`LeaseKeeper::clock`] alone is not enough: it may describe a later
+    /// to it may be used. Checking [`LeaseHolder::validity`] alone is not enough: it may describe a later
     /// lease, granted after `lease` had lapsed.
     pub fn is_valid(&self, lease: Lease, now: Timestamp) -> bool {
-        self.lease == Some(lease) && self.clock.is_valid(now)
+        self.lease == Some(lease) && self.validity.is_valid(now)
     }
 
     /// Processes an event and returns the next action.
@@ -162,7 +162,7 @@
             return LeaseAction::Wait;
         }
         self.request_sent_at = Some(now);
-        self.next_request_at = now + self.timing.renewal;
+        self.next_request_at = now + self.timing.renewal_interval;
         match self.lease {
             Some(lease) => LeaseAction::Renew(lease),
             None => LeaseAction::Grant(self.timing.time_to_live),
@@ -179,13 +179,13 @@
 
     fn apply_renewal(&mut self, time_to_live: Duration) {
         if let (Some(sent_at), false) = (self.request_sent_at, self.stopped) {
-            self.clock.record_renewal(sent_at, time_to_live);
+            self.validity.record_renewal(sent_at, time_to_live);
         }
     }
 
     fn apply_lapse(&mut self) {
         self.lease = None;
-        self.clock.record_end();
+        self.validity.record_end();
         self.next_request_at = Timestamp::default();
     }
 
@@ -193,7 +193,7 @@
     /// the lease is released.
     fn stop(&mut self) -> LeaseAction {
         self.stopped = true;
-        self.clock.record_end();
+        self.validity.record_end();
         self.lease
             .take()
             .map_or(LeaseAction::Wait, LeaseAction::Revoke)
--- a/crates/authority/src/lib.rs
+++ b/crates/authority/src/lib.rs
@@ -14,5 +14,5 @@
 
 pub use claim::{ClaimAction, ClaimEvent, ClaimRecord, PoolClaim};
 pub use fence::Epoch;
-pub use lease::{Lease, LeaseAction, LeaseClock, LeaseEvent, LeaseKeeper, LeaseTiming};
+pub use lease::{Lease, LeaseAction, LeaseEvent, LeaseHolder, LeaseTiming, LeaseValidity};
 pub use orders::{EngineOrders, Goal, OrderEvent, OrderStep, Outcome};
--- a/crates/authority/src/orders.rs
+++ b/crates/authority/src/orders.rs
@@ -13,7 +13,7 @@
 use tansyhall_engine::protocol::{EngineState, FenceToken, Order, OrderAction, OrderReply};
 
 use crate::fence::{Epoch, MAX_SEQUENCE};
-use crate::lease::LeaseClock;
+use crate::lease::LeaseValidity;
 
 /// The state that an engine is to be brought into.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -148,7 +148,7 @@
     }
 
     /// Sets the goal for the engine.
-    pub fn pursue(&mut self, goal: Goal) {
+    pub fn set_goal(&mut self, goal: Goal) {
         self.goal = goal;
         self.given_up = false;
         self.draining_since = None;
@@ -156,7 +156,7 @@
 
     /// Processes an event and returns the next step. `lease` is checked last, immediately before an
     /// order is returned.
-    pub fn step(&mut self, now: Timestamp, lease: &LeaseClock, event: OrderEvent) -> OrderStep {
+    pub fn step(&mut self, now: Timestamp, lease: &LeaseValidity, event: OrderEvent) -> OrderStep {
         match event {
             OrderEvent::State(state) => self.after_state(now, lease, &state),
             OrderEvent::Sealed(state) => {
@@ -179,7 +179,7 @@
     fn after_state(
         &mut self,
         now: Timestamp,
-        lease: &LeaseClock,
+        lease: &LeaseValidity,
         state: &EngineState,
     ) -> OrderStep {
         if self.is_superseded(state.fence_token) {
@@ -220,7 +220,7 @@
         NextAction::Order(OrderAction::Resume)
     }
 
-    fn seal(&self, now: Timestamp, lease: &LeaseClock) -> OrderStep {
+    fn seal(&self, now: Timestamp, lease: &LeaseValidity) -> OrderStep {
         if !lease.is_valid(now) {
             return OrderStep::LeaseInvalid;
         }
@@ -230,7 +230,7 @@
     fn send(
         &mut self,
         now: Timestamp,
-        lease: &LeaseClock,
+        lease: &LeaseValidity,
         incarnation: Incarnation,
         action: OrderAction,
     ) -> OrderStep {
--- a/crates/authority/tests/counterexamples.rs
+++ b/crates/authority/tests/counterexamples.rs
@@ -4,8 +4,8 @@
 
 use tansyhall_authority::{ClaimAction, ClaimEvent, ClaimRecord, PoolClaim};
 use tansyhall_authority::{
-    EngineOrders, Epoch, Goal, Lease, LeaseAction, LeaseClock, LeaseEvent, LeaseKeeper,
-    LeaseTiming, OrderEvent, OrderStep, Outcome,
+    EngineOrders, Epoch, Goal, Lease, LeaseAction, LeaseEvent, LeaseHolder, LeaseTiming,
+    LeaseValidity, OrderEvent, OrderStep, Outcome,
 };
 use tansyhall_core::{Duration, Incarnation, Role, Timestamp};
 use tansyhall_engine::protocol::{Order, OrderAction, OrderReply};
@@ -31,15 +31,15 @@
     )
 }
 
-fn valid_lease() -> LeaseClock {
-    let mut lease = LeaseClock::new(Duration::ZERO);
+fn valid_lease() -> LeaseValidity {
+    let mut lease = LeaseValidity::new(Duration::ZERO);
     lease.record_renewal(at(0), Duration::from_secs(3_600));
     lease
 }
 
 fn holder(epoch: Epoch, role: Role) -> EngineOrders {
     let mut orders = EngineOrders::new(epoch, DRAIN_TIMEOUT);
-    orders.pursue(Goal::Role(role));
+    orders.set_goal(Goal::Role(role));
     orders
 }
 
@@ -181,7 +181,7 @@
 /// Mutant `NO_SELF_FENCE` of `spec/authority.pml`.
 #[test]
 fn a_holder_with_a_lapsed_lease_sends_nothing_to_a_restarted_engine() {
-    let mut lease = LeaseClock::new(Duration::from_secs(1));
+    let mut lease = LeaseValidity::new(Duration::from_secs(1));
     lease.record_renewal(at(0), Duration::from_secs(6));
     let mut orders = holder(OLD_EPOCH, Role::Prefill);
     let mut restarted = engine(2);
@@ -274,13 +274,13 @@
 fn models_are_loaded_while_drained_and_adapters_while_serving_requests() {
     let mut engine = engine(1);
     let mut orders = EngineOrders::new(OLD_EPOCH, DRAIN_TIMEOUT);
-    orders.pursue(Goal::Model {
+    orders.set_goal(Goal::Model {
         model: "base".into(),
         version: "2".into(),
     });
     assert_eq!(carry_out(&mut orders, &mut engine).len(), 3);
     assert_eq!(engine.state(0).version, "2");
-    orders.pursue(Goal::Adapter("slips".into()));
+    orders.set_goal(Goal::Adapter("slips".into()));
     let load = order(read_state(&mut orders, &engine, 5));
     assert_eq!(engine.order(at(0), load, 5), OrderReply::Accepted);
     engine.advance(at(60_000));
@@ -290,11 +290,11 @@
 
 const TIMING: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(6),
-    renewal: Duration::from_secs(2),
-    margin: Duration::from_secs(1),
+    renewal_interval: Duration::from_secs(2),
+    clock_drift_margin: Duration::from_secs(1),
 };
 
-fn grant_lease(keeper: &mut LeaseKeeper, sent: Timestamp, lease: Lease) {
+fn grant_lease(keeper: &mut LeaseHolder, sent: Timestamp, lease: Lease) {
     assert!(matches!(
         keeper.step(sent, LeaseEvent::Tick),
         LeaseAction::Grant(_)
@@ -311,17 +311,17 @@
 
 #[test]
 fn a_lease_is_valid_for_its_ttl_minus_the_margin_after_the_request_was_sent() {
-    let mut keeper = LeaseKeeper::new(TIMING);
+    let mut keeper = LeaseHolder::new(TIMING);
     grant_lease(&mut keeper, at(0), Lease(7));
-    assert!(keeper.clock().is_valid(at(4_999)));
-    assert!(!keeper.clock().is_valid(at(5_000)));
+    assert!(keeper.validity().is_valid(at(4_999)));
+    assert!(!keeper.validity().is_valid(at(5_000)));
 }
 
 /// Mutant `NO_LEASE_OF_CLAIM` of `spec/duties.pml`: rights attached to a lapsed lease do not become
 /// valid again when the next lease is granted.
 #[test]
 fn the_next_lease_does_not_make_a_lapsed_one_valid() {
-    let mut keeper = LeaseKeeper::new(TIMING);
+    let mut keeper = LeaseHolder::new(TIMING);
     grant_lease(&mut keeper, at(0), Lease(7));
     assert!(keeper.is_valid(Lease(7), at(4_999)));
     assert!(!keeper.is_valid(Lease(7), at(5_000)));
@@ -337,7 +337,7 @@
 
 #[test]
 fn a_lost_grant_is_requested_again_and_a_lost_renewal_keeps_the_lease() {
-    let mut keeper = LeaseKeeper::new(TIMING);
+    let mut keeper = LeaseHolder::new(TIMING);
     assert!(matches!(
         keeper.step(at(0), LeaseEvent::Tick),
         LeaseAction::Grant(_)
@@ -351,18 +351,18 @@
     );
     keeper.step(at(5_000), LeaseEvent::NoAnswer);
     assert_eq!(keeper.lease(), Some(Lease(8)));
-    assert!(!keeper.clock().is_valid(at(7_000)));
+    assert!(!keeper.validity().is_valid(at(7_000)));
 }
 
 #[test]
 fn a_planned_stop_invalidates_the_lease_before_revoking_it() {
-    let mut keeper = LeaseKeeper::new(TIMING);
+    let mut keeper = LeaseHolder::new(TIMING);
     grant_lease(&mut keeper, at(0), Lease(9));
     assert_eq!(
         keeper.step(at(1_500), LeaseEvent::Stop),
         LeaseAction::Revoke(Lease(9))
     );
-    assert!(!keeper.clock().is_valid(at(1_500)));
+    assert!(!keeper.validity().is_valid(at(1_500)));
     assert_eq!(keeper.step(at(9_000), LeaseEvent::Tick), LeaseAction::Wait);
 }
 
@@ -397,7 +397,7 @@
         epoch: OLD_EPOCH,
     };
     claim.step(at(0), observed(Some(record), Lease(2)));
-    assert_eq!(claim.held(), None);
+    assert_eq!(claim.held_epoch(), None);
 }
 
 #[test]
@@ -410,6 +410,6 @@
         let mut claim = PoolClaim::new(Duration::ZERO);
         claim.step(at(0), observed(Some(record), Lease(1)));
         assert_eq!(claim.step(at(1), end), ClaimAction::Lost);
-        assert_eq!(claim.held(), None);
+        assert_eq!(claim.held_epoch(), None);
     }
 }
--- a/crates/authority/tests/order_machine.rs
+++ b/crates/authority/tests/order_machine.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
-use tansyhall_authority::{EngineOrders, Epoch, Goal, LeaseClock, OrderEvent, OrderStep};
+use tansyhall_authority::{EngineOrders, Epoch, Goal, LeaseValidity, OrderEvent, OrderStep};
 use tansyhall_core::{Duration, Incarnation, Role, Timestamp};
 use tansyhall_engine::protocol::{EngineState, Order, OrderAction};
 use tansyhall_engine_model::{Control, ControlTiming};
@@ -74,7 +74,7 @@
 
 struct Holder {
     orders: EngineOrders,
-    lease: LeaseClock,
+    lease: LeaseValidity,
     last_read: Option<EngineState>,
 }
 
@@ -109,8 +109,8 @@
         self.last_claimed_epoch += 1;
         let mut orders = EngineOrders::new(Epoch(self.last_claimed_epoch), Duration::from_secs(30));
         let role = [Role::Prefill, Role::Decode][index];
-        orders.pursue(Goal::Role(role));
-        let mut lease = LeaseClock::new(Duration::ZERO);
+        orders.set_goal(Goal::Role(role));
+        let mut lease = LeaseValidity::new(Duration::ZERO);
         lease.record_renewal(self.now, LEASE_TTL);
         self.holders[index] = Some(Holder {
             orders,
--- a/crates/forwarding/src/tenant_shares.rs
+++ b/crates/forwarding/src/tenant_shares.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use tansyhall_core::{TenantName, Timestamp};
-use tansyhall_shares::fair_part;
+use tansyhall_shares::max_min_fair_share;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::rate::Rate;
@@ -169,7 +169,7 @@
         let taken: u64 = each(|work| work.taken).sum();
         self.weighed = match taken < contending.iter().sum() {
             true => Weighed {
-                fair_part: fair_part(taken, &contending) as f64,
+                fair_part: max_min_fair_share(taken, &contending) as f64,
                 taken_part: taken as f64 / asked as f64,
             },
             false => Weighed::default(),
--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -98,7 +98,7 @@
     async fn look(&mut self) {
         let now = self.shared.now();
         let lease = &self.authority.lease;
-        if self.claim.held().is_none() && !self.shared.hears_reports() {
+        if self.claim.held_epoch().is_none() && !self.shared.hears_reports() {
             lease.set_wanted(false);
             return;
         }
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use tansyhall_authority::{Lease, LeaseAction, LeaseEvent, LeaseKeeper, LeaseTiming};
+use tansyhall_authority::{Lease, LeaseAction, LeaseEvent, LeaseHolder, LeaseTiming};
 use tansyhall_core::Timestamp;
 use tansyhall_store::{KeyValueStore, LeaseId, StoreEpoch, StoreError};
 use tokio::time::sleep;
@@ -23,14 +23,14 @@
 /// a large part of all calls to the store; that a gateway is gone is noticed sooner by whoever asks it.
 pub const PRESENCE: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(12),
-    renewal: Duration::from_secs(4),
-    margin: Duration::from_millis(500),
+    renewal_interval: Duration::from_secs(4),
+    clock_drift_margin: Duration::from_millis(500),
 };
 /// Times of the lease that the authority over roles hangs on.
 pub const AUTHORITY: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(3),
-    renewal: Duration::from_secs(1),
-    margin: Duration::from_millis(500),
+    renewal_interval: Duration::from_secs(1),
+    clock_drift_margin: Duration::from_millis(500),
 };
 /// Pause between two looks at the clock.
 const PACE: Duration = Duration::from_millis(200);
@@ -40,7 +40,7 @@
 pub struct NodeLease {
     /// The key that hangs on the lease.
     key: Arc<str>,
-    keeper: Arc<Mutex<LeaseKeeper>>,
+    keeper: Arc<Mutex<LeaseHolder>>,
     /// The latest epoch of the store in which the lease is known to stand.
     stands_in: Arc<Mutex<StoreEpoch>>,
     wanted: Arc<AtomicBool>,
@@ -51,7 +51,7 @@
     pub fn new(key: &str, timing: LeaseTiming, wanted: bool) -> Self {
         Self {
             key: key.into(),
-            keeper: Arc::new(Mutex::new(LeaseKeeper::new(timing))),
+            keeper: Arc::new(Mutex::new(LeaseHolder::new(timing))),
             stands_in: Arc::default(),
             wanted: Arc::new(AtomicBool::new(wanted)),
         }
--- a/crates/node/src/authority/pool.rs
+++ b/crates/node/src/authority/pool.rs
@@ -118,13 +118,13 @@
         self.node.metrics.changes_given_up.inc();
         self.plan_after = self.node.clock.now() + GIVEN_UP_PAUSE;
         for orders in self.orders.values_mut() {
-            orders.pursue(Goal::InService);
+            orders.set_goal(Goal::InService);
         }
     }
 
     fn pursue(&mut self, engine: &EngineName, goal: Goal) -> bool {
         let orders = self.orders.get_mut(engine);
-        orders.map(|orders| orders.pursue(goal)).is_some()
+        orders.map(|orders| orders.set_goal(goal)).is_some()
     }
 
     /// Begins the next change that the pool calls for, if any: loads first, then roles.
--- a/crates/node/src/authority/shared.rs
+++ b/crates/node/src/authority/shared.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use tansyhall_authority::{
-    ClaimEvent, Epoch, Lease, LeaseAction, LeaseClock, LeaseEvent, LeaseKeeper, LeaseTiming,
+    ClaimEvent, Epoch, Lease, LeaseAction, LeaseEvent, LeaseHolder, LeaseTiming, LeaseValidity,
     PoolClaim,
 };
 use tansyhall_core::PoolName;
@@ -14,7 +14,7 @@
 use crate::state::Node;
 
 struct State {
-    keeper: LeaseKeeper,
+    keeper: LeaseHolder,
     claims: HashMap<PoolName, PoolClaim>,
 }
 
@@ -28,7 +28,7 @@
 impl SharedAuthority {
     /// No lease and no claim.
     pub fn new(node: Arc<Node>) -> Self {
-        let keeper = LeaseKeeper::new(lease_timing(&node));
+        let keeper = LeaseHolder::new(lease_timing(&node));
         let claims = HashMap::new();
         let state = Rc::new(RefCell::new(State { keeper, claims }));
         Self { node, state }
@@ -54,9 +54,9 @@
         self.state.borrow().keeper.lease()
     }
 
-    /// The lease's clock.
-    pub fn clock(&self) -> LeaseClock {
-        self.state.borrow().keeper.clock()
+    /// The validity of the lease.
+    pub fn clock(&self) -> LeaseValidity {
+        self.state.borrow().keeper.validity()
     }
 
     /// Whether the node believes in its lease at this moment.
@@ -66,7 +66,7 @@
 
     /// The epoch under which a pool is held.
     pub fn held(&self, pool: &PoolName) -> Option<Epoch> {
-        self.state.borrow().claims.get(pool)?.held()
+        self.state.borrow().claims.get(pool)?.held_epoch()
     }
 
     /// Reads or changes the claims.
@@ -78,10 +78,13 @@
 
     fn report(&self) {
         let state = self.state.borrow();
-        let held = state.claims.values().filter(|claim| claim.held().is_some());
+        let held = state
+            .claims
+            .values()
+            .filter(|claim| claim.held_epoch().is_some());
         let held = i64::try_from(held.count()).unwrap_or(i64::MAX);
         self.node.metrics.pools_held.set(held);
-        let valid = state.keeper.clock().is_valid(self.node.clock.now());
+        let valid = state.keeper.validity().is_valid(self.node.clock.now());
         self.node.metrics.lease_valid.set(i64::from(valid));
     }
 }
@@ -90,7 +93,7 @@
     let settings = &node.settings.authority;
     LeaseTiming {
         time_to_live: settings.lease,
-        renewal: settings.renewal,
-        margin: settings.margin,
+        renewal_interval: settings.renewal,
+        clock_drift_margin: settings.margin,
     }
 }
--- a/crates/node/src/limits/keeper.rs
+++ b/crates/node/src/limits/keeper.rs
@@ -9,7 +9,9 @@
 use tansyhall_config::settings::Limits;
 use tansyhall_core::{NodeId, Sharded, TenantName, Timestamp};
 use tansyhall_shares::key::UNIT;
-use tansyhall_shares::{Action, Amount, Event, LimitKey, Message, ShareNode, ShareSettings, View};
+use tansyhall_shares::{
+    Action, Amount, Event, FleetView, LimitKey, Message, ShareNode, ShareSettings,
+};
 
 use super::keys::limits_in_force;
 use super::transport::ShareTransport;
@@ -78,7 +80,7 @@
     }
 
     /// Takes a view of the fleet.
-    pub fn set_view(&self, now: Timestamp, view: View) {
+    pub fn set_view(&self, now: Timestamp, view: FleetView) {
         self.shares.lock().node.step(now, Event::View(view));
     }
 
@@ -106,7 +108,7 @@
         let actions = {
             let node = &mut self.shares.lock().node;
             for (key, amount) in wants {
-                node.step(now, Event::Want { key, amount });
+                node.step(now, Event::Demand { key, amount });
             }
             node.step(now, Event::Tick)
         };
--- a/crates/node/src/limits/ticker.rs
+++ b/crates/node/src/limits/ticker.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tansyhall_shares::View;
+use tansyhall_shares::FleetView;
 
 use super::transport::ShareTransport;
 use crate::state::Node;
@@ -32,7 +32,7 @@
 /// Shares do not travel between nodes yet, so a node owns its own shares and lends to nobody: its
 /// part of each limit is the limit over the size of the fleet. Every node that is known counts for
 /// that size, the dead included, so that it is not too small while one of them may still run.
-fn view(node: &Node) -> View {
+fn view(node: &Node) -> FleetView {
     let peers = node.peers.snapshot();
     let elsewhere: u64 = peers
         .zones
@@ -40,7 +40,7 @@
         .map(|zone| u64::from(zone.live_members))
         .sum();
     let here = peers.members.len().max(1) as u64;
-    View {
+    FleetView {
         live: vec![node.settings.name.clone()],
         fleet_size: here + elsewhere,
     }
--- a/crates/node/tests/limits_two_keepers.rs
+++ b/crates/node/tests/limits_two_keepers.rs
@@ -11,7 +11,7 @@
 use tansyhall_node::configuration::InForce;
 use tansyhall_node::limits::keys::limits_in_force;
 use tansyhall_node::limits::{LimitKeeper, ShareTransport};
-use tansyhall_shares::{Amount, LimitKey, Message, View};
+use tansyhall_shares::{Amount, FleetView, LimitKey, Message};
 
 const RESOURCES: &str = "[[tenant]]\nname = 'cooperative'\nowner = 'depot'\n\
                          limits = { requests_per_second = 100 }\n";
@@ -65,7 +65,7 @@
                 .map(|index| self.names[*index].clone())
                 .collect();
             let fleet_size = alive.len() as u64;
-            self.keepers[index].set_view(self.now, View { live, fleet_size });
+            self.keepers[index].set_view(self.now, FleetView { live, fleet_size });
             self.keepers[index].tick(self.now, &self.outboxes[index]);
         }
         while alive.iter().any(|index| self.deliver_from(*index)) {}
--- a/crates/shares/src/lib.rs
+++ b/crates/shares/src/lib.rs
@@ -23,6 +23,6 @@
 pub use division::Division;
 pub use key::{Amount, GroupId, LimitKey, LimitKind};
 pub use message::{Grant, KeyAmount, Message, ShareRequest};
-pub use node::{Action, Event, ShareNode, View};
-pub use owner::fair_part;
+pub use node::{Action, Event, FleetView, ShareNode};
+pub use owner::max_min_fair_share;
 pub use settings::ShareSettings;
--- a/crates/shares/src/node.rs
+++ b/crates/shares/src/node.rs
@@ -17,7 +17,7 @@
 
 /// A node's knowledge of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct View {
+pub struct FleetView {
     /// Nodes considered alive, including this one. An incorrect list costs messages, but never safety.
     pub live: Vec<NodeId>,
     /// Number of nodes in the fleet, alive or not. Safety depends on this: it must never be less than
@@ -29,11 +29,11 @@
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The node's knowledge of the fleet.
-    View(View),
+    View(FleetView),
     /// All limits in force.
     Limits(BTreeMap<LimitKey, Amount>),
     /// The node could use this amount of a limit.
-    Want {
+    Demand {
         /// The limit.
         key: LimitKey,
         /// The amount.
@@ -68,7 +68,7 @@
     settings: ShareSettings,
     name: NodeId,
     incarnation: u64,
-    view: View,
+    view: FleetView,
     /// A smaller fleet size and the time from which it applies: by then the loans and grants of the
     /// nodes that left have ended.
     pending_shrink: Option<(u64, Timestamp)>,
@@ -99,7 +99,7 @@
         Self {
             settings,
             incarnation,
-            view: View {
+            view: FleetView {
                 live: vec![name.clone()],
                 fleet_size,
             },
@@ -125,7 +125,7 @@
                 self.limits = limits;
                 self.divide_limits();
             }
-            Event::Want { key, amount } => {
+            Event::Demand { key, amount } => {
                 self.held[group_index(key.group())].record_demand(now, key, amount)
             }
             Event::Received { from, message } => return self.receive(now, &from, &message),
@@ -134,7 +134,7 @@
         Vec::new()
     }
 
-    fn set_view(&mut self, now: Timestamp, view: View) {
+    fn set_view(&mut self, now: Timestamp, view: FleetView) {
         let has_grown = view.fleet_size > self.view.fleet_size;
         let wait = self.settings.loan_ttl + self.settings.clock_drift_margin;
         self.pending_shrink = match self.pending_shrink {
--- a/crates/shares/src/owner.rs
+++ b/crates/shares/src/owner.rs
@@ -153,7 +153,7 @@
         let held_by_others: Amount = others.map(|(_, borrower)| borrower.max_usable()).sum();
         let free = backing.saturating_sub(held_by_others);
         let demands: Vec<Amount> = borrowers.values().map(|borrower| borrower.demand).collect();
-        let amount = demand.min(free).min(fair_part(backing, &demands));
+        let amount = demand.min(free).min(max_min_fair_share(backing, &demands));
         if let Some(borrower) = borrowers.get_mut(to) {
             borrower.record(OutstandingGrant { amount, ends_at });
         }
@@ -181,7 +181,7 @@
 /// Returns the maximum amount for any one node when `total` is divided by max-min fairness: every node
 /// gets either its full demand or as much as any other node. Returns [`Amount::MAX`] if `total` covers
 /// all demands.
-pub fn fair_part(total: Amount, demands: &[Amount]) -> Amount {
+pub fn max_min_fair_share(total: Amount, demands: &[Amount]) -> Amount {
     let mut demands = demands.to_vec();
     demands.sort_unstable();
     let mut left = total;
--- a/crates/shares/tests/safety.rs
+++ b/crates/shares/tests/safety.rs
@@ -55,7 +55,7 @@
         Step::Advance(millis) => fleet.advance(Duration::from_millis(millis)),
         Step::Want(node, key, amount) => {
             let key = KEYS[key];
-            fleet.step(node, Event::Want { key, amount });
+            fleet.step(node, Event::Demand { key, amount });
         }
         Step::Tick(node) => fleet.step(node, Event::Tick),
         Step::Deliver(index) if !fleet.in_flight.is_empty() => {
--- a/crates/shares/tests/support/mod.rs
+++ b/crates/shares/tests/support/mod.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use tansyhall_core::{NodeId, Timestamp};
-use tansyhall_shares::{Action, Amount, Event, LimitKey, Message, ShareNode, ShareSettings, View};
+use tansyhall_shares::{
+    Action, Amount, Event, FleetView, LimitKey, Message, ShareNode, ShareSettings,
+};
 
 /// A message in transit.
 #[derive(Debug, Clone)]
@@ -69,7 +71,7 @@
         node.step(now, Event::Limits(self.limits.clone()));
         let live = (0..size).map(node_name).collect();
         let fleet_size = size as u64;
-        node.step(now, Event::View(View { live, fleet_size }));
+        node.step(now, Event::View(FleetView { live, fleet_size }));
         Process {
             node,
             incarnation,
@@ -113,7 +115,7 @@
     pub fn set_view(&mut self, index: usize, live: &[usize]) {
         let live = live.iter().copied().map(node_name).collect();
         let fleet_size = self.processes.len() as u64;
-        self.step(index, Event::View(View { live, fleet_size }));
+        self.step(index, Event::View(FleetView { live, fleet_size }));
     }
 
     pub fn deliver(&mut self, envelope: Envelope) {
@@ -138,7 +140,7 @@
     pub fn run_second(&mut self, demands: &[(usize, LimitKey, Amount)]) {
         self.advance(Duration::from_secs(1));
         for (index, key, amount) in demands.iter().copied() {
-            self.step(index, Event::Want { key, amount });
+            self.step(index, Event::Demand { key, amount });
         }
         for index in 0..self.processes.len() {
             self.step(index, Event::Tick);
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -1,7 +1,7 @@
 //! A node: the real lease keeper, claim and orders, with calls that time out.
 
 use tansyhall_authority::{
-    ClaimAction, ClaimEvent, EngineOrders, Goal, LeaseAction, LeaseEvent, LeaseKeeper, LeaseTiming,
+    ClaimAction, ClaimEvent, EngineOrders, Goal, LeaseAction, LeaseEvent, LeaseHolder, LeaseTiming,
     OrderEvent, OrderStep, PoolClaim,
 };
 use tansyhall_core::{Duration, Role, Timestamp};
@@ -15,8 +15,8 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 const TIMING: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(6),
-    renewal: Duration::from_secs(2),
-    margin: Duration::from_secs(1),
+    renewal_interval: Duration::from_secs(2),
+    clock_drift_margin: Duration::from_secs(1),
 };
 
 /// Whom a call is for, and what for; one call of each kind is under way at a time.
@@ -58,7 +58,7 @@
     pub paused_until: Timestamp,
     /// Until when it is cut off.
     pub cut_until: Timestamp,
-    keeper: LeaseKeeper,
+    keeper: LeaseHolder,
     claim: PoolClaim,
     claim_number: u64,
     orders: Vec<Option<EngineOrders>>,
@@ -74,7 +74,7 @@
             run,
             paused_until: Timestamp::default(),
             cut_until: Timestamp::default(),
-            keeper: LeaseKeeper::new(TIMING),
+            keeper: LeaseHolder::new(TIMING),
             claim: PoolClaim::new(claim_delay),
             claim_number: 0,
             orders: vec![None; ENGINES],
@@ -97,7 +97,7 @@
         if self.keeper.lease().is_some() && self.is_free(Slot::Key) {
             calls.push(self.call(now, Slot::Key, Request::Store(StoreRequest::Read)));
         }
-        if self.claim.held().is_some() && self.keeper.clock().is_valid(now) {
+        if self.claim.held_epoch().is_some() && self.keeper.validity().is_valid(now) {
             for (engine, role) in wanted.iter().enumerate() {
                 calls.extend(self.look_at(now, engine, *role));
             }
@@ -111,7 +111,7 @@
         }
         let orders = self.orders[engine].as_mut()?;
         if self.pursued[engine] != Some(role) {
-            orders.pursue(Goal::Role(role));
+            orders.set_goal(Goal::Role(role));
             self.pursued[engine] = Some(role);
         }
         let request = Request::Engine(EngineRequest::State, self.claim_number);
@@ -194,7 +194,7 @@
             EngineReply::Sealed(state) => OrderEvent::Sealed(state),
             EngineReply::Order(reply) => OrderEvent::Reply(reply),
         };
-        let lease = self.keeper.clock();
+        let lease = self.keeper.validity();
         let request = match self.orders[engine].as_mut()?.step(now, &lease, event) {
             OrderStep::Seal(token) => EngineRequest::Seal(token),
             OrderStep::Send(order) => EngineRequest::Order(order),
