--- a/crates/authority/src/orders.rs
+++ b/crates/authority/src/orders.rs
@@ -18,8 +18,8 @@
 /// The state that an engine is to be brought into.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Goal {
-    /// The engine accepts work, with whatever role, model and adapters it has. If an earlier holder
-    /// left the engine draining, it is ordered to resume.
+    /// The engine accepts work, with whatever role, model and adapters it has. A change that an earlier
+    /// holder started and did not finish is undone by ordering the engine to resume.
     InService,
     /// The engine has this role.
     Role(Role),
--- a/crates/authority/tests/order_machine.rs
+++ b/crates/authority/tests/order_machine.rs
@@ -1,6 +1,6 @@
 //! Checks the safety rules of orders under random histories: two holders send orders to one engine
 //! over a link that delays, reorders, loses and duplicates them. The oracle records only the newest
-//! order that took effect at the engine and the newest epoch that the engine has learnt of.
+//! order that took effect at the engine and the newest epoch that has sealed it.
 
 use std::collections::VecDeque;
 
