--- a/crates/forwarding/src/directory/admission.rs
+++ b/crates/forwarding/src/directory/admission.rs
@@ -1,85 +1,91 @@
-//! Whether a prompt is taken, where it would be read, and when a refused caller should come back.
+//! Decides whether a prompt is admitted, where it would be read, and when a refused caller should
+//! retry.
 //!
-//! 1. The best engine that reads and decodes is weighed against the best that only reads and the
-//!    soonest place to go on: the plan.
-//! 2. A prompt is taken if its answer would begin in time, or if it would wait no longer than leaves
-//!    a usual prompt in time: the queue stays as short as the objective needs.
-//! 3. One that no reader has time for is taken if an engine that decodes can read it in time while
-//!    its streams keep within the pauses that they may make.
-//! 4. One of a tenant that has taken more than its share of an overloaded service may wait for a part only of
-//!    that time (`tenant_shares`).
-//! 5. All others are refused at once, with the time to come back (`retry_after`).
+//! 1. The best engine that reads and decodes the prompt itself is compared with the best prefill
+//!    engine plus the decode engine that could continue soonest. The better one is the plan.
+//! 2. A prompt is admitted if its answer would begin in time, or if it would wait no longer than a
+//!    typical prompt may wait to be in time: this keeps the queue as short as the objective
+//!    requires.
+//! 3. A prompt for which no prefill engine has time is admitted if a decode engine can read it in
+//!    time without making its streams pause for longer than they may.
+//! 4. A prompt of a tenant that has taken more than its share of an overloaded service may wait for
+//!    only a fraction of that time (`tenant_shares`).
+//! 5. All other prompts are refused at once, with the time after which to retry (`retry_after`).
 
 use std::time::Duration;
 
 use tansyhall_core::{Role, ServiceName, Timestamp};
 
 use super::choice::{Demand, RouteKey};
-use super::costs::{ContinuingWork, EngineWork, ReadingWork};
-use super::demand::AskedSeconds;
+use super::costs::{ContinuingWork, EngineWork, PrefillWork};
+use super::demand::RequiredSeconds;
 use super::prediction::Comparison;
-use super::retry_after::Refusal;
-use super::tracked::Tracked;
+use super::retry_after::RefusedCaller;
+use super::tracked::TrackedWorker;
 use super::{Directory, MAX_EXPECTED_SECONDS};
 use crate::selection::Need;
 
-/// How many times over going on elsewhere counts when it is weighed against reading a prompt where
-/// it runs: a move takes of the links and of two engines' time.
-const MOVE_WEIGHT: f64 = 2.0;
-/// The part of its latency objective within which a prompt's answer is to begin as far as gateways
-/// can tell; the rest is for the way to the caller and for what was not expected.
-const ON_TIME_PART: f64 = 0.8;
-/// Bits by which a random number is turned to draw once more: half of them, so that little is alike.
-const SECOND_DRAW_BITS: u32 = 32;
-/// The least part of its latency objective for which any prompt may wait.
-const PATIENT_PART: f64 = 0.25;
+/// Weight of the time to continue on another engine when it is compared with reading a prompt on
+/// the decode engine itself: a transfer also uses link bandwidth and time of two engines.
+const CONTINUATION_WEIGHT: f64 = 2.0;
+/// Fraction of the latency objective within which a prompt's answer must be expected to begin; the
+/// rest is reserved for the network to the caller and for the unexpected.
+const ON_TIME_FRACTION: f64 = 0.8;
+/// Rotation in bits that turns a request's random number into a second one: half of the bits, so
+/// that the two have little in common.
+const SECOND_DRAW_ROTATION: u32 = 32;
+/// The smallest fraction of its latency objective that any prompt may spend waiting.
+const MIN_WAIT_FRACTION: f64 = 0.25;
 
-/// The part of the pause that streams may make for which readings may hold them up at an engine that
-/// decodes.
-const PAUSE_PART: f64 = 0.25;
-/// The part of its places up to which such an engine takes prompts that no reader has time for.
-const SPARE_PLACES_PART: f64 = 0.8;
+/// Fraction of the longest allowed stream pause for which reading prompts may stall the streams of
+/// a decode engine.
+const STREAM_STALL_FRACTION: f64 = 0.25;
+/// Fraction of occupied slots up to which a decode engine takes prompts for which no prefill engine
+/// has time.
+const MAX_OCCUPIED_SLOT_FRACTION: f64 = 0.8;
 
-/// In what time an answer is worth its full credit, or anything.
+/// The times within which an answer meets its objective, or is of any use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Objectives {
-    /// Until it begins.
+    /// Time until the answer begins.
     pub latency: Duration,
-    /// The longest pause of its stream; none if it is no stream, or has no bound.
+    /// The longest allowed pause of a stream; `None` if the answer is no stream or its pauses are
+    /// not limited.
     pub pause: Option<Duration>,
-    /// Until the caller gives up.
+    /// Time until the caller gives up.
     pub time_left: Duration,
 }
 
-/// Whether a prompt is taken.
+/// Whether a prompt is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// It is.
+    /// It is admitted.
     Taken {
-        /// Whether it is better read apart than by the worker that decodes.
+        /// Whether it is better read by a prefill engine than by the engine that decodes it.
         read_apart: bool,
-        /// The random number of the demand with which it is in time: its worker is to be drawn by it.
+        /// The random number with which the demand meets its objective: its worker must be drawn
+        /// with it.
         draw: u64,
     },
     /// Its wait would be too long.
     Refused {
-        /// Why it may not wait so long.
+        /// The reason.
         cause: RefusalCause,
-        /// How long it would have waited.
+        /// The time that it would have waited.
         waiting: Duration,
-        /// When the queue is expected to be short enough.
+        /// Time until the queue is expected to be short enough.
         retry_after: Duration,
     },
 }
 
-/// Why a prompt is refused.
+/// Reason why a prompt is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// Its answer would be late, whoever asks for it.
+    /// Its answer would be late, whichever tenant asks for it.
     Overload,
     /// It would be in time, but its tenant has taken more than its share.
     TenantShare,
-    /// All workers that could run it are at the rate limits that they name.
+    /// All workers that could run it are at the rate limits that they state.
     RateLimit,
 }
 
@@ -89,71 +95,72 @@
     read_apart: bool,
     /// Seconds until the answer begins.
     seconds: f64,
-    /// Seconds of these that it would take if nothing else were under way.
-    own_seconds: f64,
-    /// What its reading asks of engines.
-    asked: AskedSeconds,
+    /// The part of `seconds` that the prompt would take if no other request were in progress.
+    idle_seconds: f64,
+    /// The engine time that reading it requires.
+    required: RequiredSeconds,
 }
 
 impl Plan {
-    /// Seconds that it waits for others.
+    /// Returns the seconds that the prompt waits for others.
     fn waiting_seconds(&self) -> f64 {
-        (self.seconds - self.own_seconds).max(0.0)
+        (self.seconds - self.idle_seconds).max(0.0)
     }
 }
 
-/// How long a prompt may take, and wait, in seconds.
+/// How long a prompt may take and wait, in seconds.
 #[derive(Debug, Clone, Copy)]
 struct WaitLimits {
-    in_time: f64,
-    patience: f64,
-    /// The part of both that holds for the tenant.
-    tenant_part: f64,
+    latency_seconds: f64,
+    wait_seconds: f64,
+    /// Fraction of both limits that applies to the tenant.
+    tenant_fraction: f64,
 }
 
 impl WaitLimits {
-    /// The limits for a route, if a prompt usually takes `usual` seconds by itself, and for a tenant that
-    /// may wait for so large a part of them.
-    fn new(objectives: Objectives, usual: f64, tenant_part: f64) -> Self {
+    /// Returns the limits for a route whose prompts typically take `typical_seconds` on idle
+    /// engines, and for a tenant to which `tenant_fraction` of the limits applies.
+    fn new(objectives: Objectives, typical_seconds: f64, tenant_fraction: f64) -> Self {
         let objective = objectives.latency.as_secs_f64();
-        let in_time = objective * ON_TIME_PART;
+        let in_time = objective * ON_TIME_FRACTION;
         Self {
-            in_time,
-            patience: (in_time - usual).max(objective * PATIENT_PART),
-            tenant_part,
+            latency_seconds: in_time,
+            wait_seconds: (in_time - typical_seconds).max(objective * MIN_WAIT_FRACTION),
+            tenant_fraction,
         }
     }
 
-    /// Whether a prompt with this plan is taken.
-    fn admit(&self, plan: &Plan) -> bool {
-        self.admit_in_part(plan, self.tenant_part)
+    /// Returns whether a prompt with this plan is admitted.
+    fn admits(&self, plan: &Plan) -> bool {
+        self.admits_fraction(plan, self.tenant_fraction)
     }
 
-    fn admit_in_part(&self, plan: &Plan, part: f64) -> bool {
-        plan.seconds <= self.in_time * part || plan.waiting_seconds() <= self.patience * part
+    fn admits_fraction(&self, plan: &Plan, fraction: f64) -> bool {
+        plan.seconds <= self.latency_seconds * fraction
+            || plan.waiting_seconds() <= self.wait_seconds * fraction
     }
 
-    /// Why a prompt that is taken with none of these plans is refused.
+    /// Returns why a prompt is refused that is admitted with none of these plans.
     fn cause(&self, plans: &[Plan]) -> RefusalCause {
-        let is_in_time = |plan| self.admit_in_part(plan, 1.0);
+        let is_in_time = |plan| self.admits_fraction(plan, 1.0);
         match plans.iter().any(is_in_time) {
             true => RefusalCause::TenantShare,
             false => RefusalCause::Overload,
         }
     }
 
-    /// Seconds until the queue is short enough for a prompt with this plan.
+    /// Returns the seconds until the queue is short enough for a prompt with this plan.
     fn queue_seconds(&self, plan: &Plan) -> f64 {
-        let patience = self.patience * self.tenant_part;
-        (plan.waiting_seconds() - patience).max(0.0)
+        let wait_seconds = self.wait_seconds * self.tenant_fraction;
+        (plan.waiting_seconds() - wait_seconds).max(0.0)
     }
 }
 
 impl Directory {
-    /// Whether a prompt is taken now, and whether it is read apart. It is not taken if it would wait
-    /// long enough to be late, and longer than a usual one may wait to be in time: what is refused
-    /// can come back when the queue is shorter, and what is taken is in time. Only the wait counts
-    /// against a prompt, not its own length, so that long ones are not starved.
+    /// Decides whether a prompt is admitted now, and whether it is read apart. It is refused if its
+    /// wait would make it late and is longer than a typical prompt may wait to be in time. A
+    /// refused request can retry when the queue is shorter, and an admitted one is in time. Only
+    /// the wait counts against a prompt, not its own length, so that long prompts are not starved.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -175,23 +182,26 @@
         let Some(plan) = self.plan(now, &comparison) else {
             return taken(false, demand.draw);
         };
-        let hold = self.route_holds.get(&RouteKey::of(demand.route));
-        let asked = AskedSeconds {
-            place: hold.copied().unwrap_or_default(),
-            ..plan.asked
+        let hold = self.route_hold_seconds.get(&RouteKey::of(demand.route));
+        let required = RequiredSeconds {
+            slot: hold.copied().unwrap_or_default(),
+            ..plan.required
         };
-        self.demands.record(now, demand.service, asked);
-        let usual = self.usual_own.entry(demand.service.clone()).or_default();
-        usual.record(plan.own_seconds);
-        let usual = usual.seconds();
-        let tenant_part = self.tenant_patience(now, demand);
-        let limits = WaitLimits::new(objectives, usual, tenant_part);
+        self.demands.record(now, demand.service, required);
+        let typical_seconds = self
+            .idle_prompt_seconds
+            .entry(demand.service.clone())
+            .or_default();
+        typical_seconds.record(plan.idle_seconds);
+        let typical_seconds = typical_seconds.seconds();
+        let tenant_fraction = self.tenant_wait_fraction(now, demand);
+        let limits = WaitLimits::new(objectives, typical_seconds, tenant_fraction);
         let admission = self.admit_plan(now, demand, objectives, plan, limits);
-        self.record_tenant_work(now, demand, asked, &admission);
+        self.record_tenant_work(now, demand, required, &admission);
         admission
     }
 
-    /// Whether a prompt that has a plan is taken within limits.
+    /// Decides whether a prompt with this plan is admitted within the limits.
     fn admit_plan(
         &self,
         now: Timestamp,
@@ -201,18 +211,19 @@
         limits: WaitLimits,
     ) -> Admission {
         let taken = |read_apart, draw| Admission::Taken { read_apart, draw };
-        if limits.admit(&first) || !self.decisions.refusal {
+        if limits.admits(&first) || !self.decisions.refusal {
             return taken(first.read_apart, demand.draw);
         }
-        // None of the compared workers has time for it: as many others are compared before it is refused.
-        // Not all, since others would find the same one with time left, and fill it together.
+        // None of the compared workers has time for it: an equal number of other workers is
+        // compared before it is refused. Not all workers are compared, since other gateways would
+        // find the same one with free time, and together they would overload it.
         let demand = Demand {
-            draw: demand.draw.rotate_left(SECOND_DRAW_BITS),
+            draw: demand.draw.rotate_left(SECOND_DRAW_ROTATION),
             ..demand
         };
         let comparison = self.comparison(now, demand);
         let plan = self.plan(now, &comparison).unwrap_or(first);
-        if limits.admit(&plan) {
+        if limits.admits(&plan) {
             return taken(plan.read_apart, demand.draw);
         }
         if self.decisions.beside_streams && self.fits_beside_streams(now, demand, objectives) {
@@ -221,13 +232,13 @@
         let queue_seconds = limits.queue_seconds(&plan);
         Admission::Refused {
             cause: limits.cause(&[first, plan]),
-            waiting: bounded(plan.waiting_seconds()),
-            retry_after: self.come_back_after(now, demand, objectives, queue_seconds),
+            waiting: bounded_duration(plan.waiting_seconds()),
+            retry_after: self.retry_after(now, demand, objectives, queue_seconds),
         }
     }
 
-    /// When a refused caller should come back, if the queue is short enough in `queue_seconds`.
-    fn come_back_after(
+    /// Returns when a refused caller should retry if the queue is short enough in `queue_seconds`.
+    fn retry_after(
         &self,
         now: Timestamp,
         demand: Demand<'_>,
@@ -238,24 +249,25 @@
             true => self.reader_utilization(now, demand.service),
             false => 0.0,
         };
-        let refusal = Refusal {
+        let refused = RefusedCaller {
             queue_seconds,
             utilization,
             seconds_left: objectives.time_left.as_secs_f64(),
             objective: objectives.latency.as_secs_f64(),
             draw: demand.draw,
         };
-        bounded(refusal.come_back_after())
+        bounded_duration(refused.retry_after_seconds())
     }
 
-    /// What is asked of the engines that only read over what they can do.
+    /// Returns the demand for prefill engines relative to their capacity.
     fn reader_utilization(&self, now: Timestamp, service: &ServiceName) -> f64 {
         let readers = self.usable_workers(now, service, &Need::ReadPrompt);
         self.engine_demand(now, service).readers / readers.max(1) as f64
     }
 
-    /// Whether an engine that decodes has time for a prompt that no reader has time for: it would be
-    /// in time there, and hold up the engine's streams for a part of the pause that they may make.
+    /// Returns whether a decode engine has time for a prompt for which no prefill engine has time:
+    /// it would be in time there, and would stall the engine's streams for only a fraction of the
+    /// pause that they may make.
     fn fits_beside_streams(
         &self,
         now: Timestamp,
@@ -266,116 +278,133 @@
             return false;
         };
         let comparison = self.comparison(now, demand);
-        let Some((_, worker)) = self.best(now, &comparison, &Need::Run) else {
+        let Some((_, worker)) = self.best_worker(now, &comparison, &Need::Run) else {
             return false;
         };
         let load = worker.load();
-        let missing = self.reading(worker, &comparison).missing_tokens;
+        let missing = self.prefill_estimate(worker, &comparison).missing_tokens;
         let tokens = load.reading_tokens + missing;
-        let held_up = comparison.costs.tokens_while_decoding(tokens) * worker.slowness;
-        let places = f64::from(worker.worker.slots) * SPARE_PLACES_PART;
-        let plan = self.plan_whole(worker, &comparison);
-        let in_time = objectives.latency.as_secs_f64() * ON_TIME_PART;
-        f64::from(load.sends) < places
-            && held_up <= pause.as_secs_f64() * PAUSE_PART
+        let stall_seconds = comparison.costs.colocated_prefill_seconds(tokens) * worker.slowness;
+        let max_sends = f64::from(worker.worker.slots) * MAX_OCCUPIED_SLOT_FRACTION;
+        let plan = self.plan_colocated(worker, &comparison);
+        let in_time = objectives.latency.as_secs_f64() * ON_TIME_FRACTION;
+        f64::from(load.sends) < max_sends
+            && stall_seconds <= pause.as_secs_f64() * STREAM_STALL_FRACTION
             && plan.seconds <= in_time
     }
 
-    /// Where a prompt would best be read, and whether apart.
+    /// Returns where a prompt is best read, and whether apart.
     fn plan(&self, now: Timestamp, comparison: &Comparison<'_>) -> Option<Plan> {
-        let (whole_cost, whole_worker) = self.best(now, comparison, &Need::Run)?;
-        let whole = self.plan_whole(whole_worker, comparison);
-        let apart = self.best(now, comparison, &Need::ReadPrompt);
-        let Some((apart_cost, reader)) = apart.filter(|_| self.decisions.reading_apart) else {
-            return Some(whole);
+        let (colocated_cost, colocated_worker) = self.best_worker(now, comparison, &Need::Run)?;
+        let colocated = self.plan_colocated(colocated_worker, comparison);
+        let separate = self.best_worker(now, comparison, &Need::ReadPrompt);
+        let Some((prefill_cost, reader)) = separate.filter(|_| self.decisions.reading_apart) else {
+            return Some(colocated);
         };
-        let going_on = self.least_going_on(now, comparison, reader);
-        match apart_cost + going_on * MOVE_WEIGHT < whole_cost {
-            true => Some(self.plan_apart(reader, going_on, comparison)),
-            false => Some(whole),
+        let continuation_seconds = self.min_continuation_seconds(now, comparison, reader);
+        match prefill_cost + continuation_seconds * CONTINUATION_WEIGHT < colocated_cost {
+            true => Some(self.plan_apart(reader, continuation_seconds, comparison)),
+            false => Some(colocated),
         }
     }
 
-    fn plan_whole(&self, worker: &Tracked, comparison: &Comparison<'_>) -> Plan {
-        let (seconds, own_seconds) = self.reading_seconds(worker, comparison);
+    fn plan_colocated(&self, worker: &TrackedWorker, comparison: &Comparison<'_>) -> Plan {
+        let (seconds, idle_seconds) = self.prefill_seconds(worker, comparison);
         Plan {
             read_apart: false,
-            seconds: seconds + worker.place_seconds(comparison.hold, comparison.yields),
-            own_seconds,
-            asked: self.asked_seconds(worker, comparison),
+            seconds: seconds + worker.slot_wait_seconds(comparison.hold_seconds, comparison.yields),
+            idle_seconds,
+            required: self.required_seconds(worker, comparison),
         }
     }
 
-    fn plan_apart(&self, reader: &Tracked, going_on: f64, comparison: &Comparison<'_>) -> Plan {
-        let (seconds, own_seconds) = self.reading_seconds(reader, comparison);
-        let work = self.moving(0, comparison);
+    fn plan_apart(
+        &self,
+        reader: &TrackedWorker,
+        continuation_seconds: f64,
+        comparison: &Comparison<'_>,
+    ) -> Plan {
+        let (seconds, idle_seconds) = self.prefill_seconds(reader, comparison);
+        let work = self.continuing_work(0, comparison);
         Plan {
             read_apart: true,
-            seconds: seconds + going_on,
-            own_seconds: own_seconds + comparison.costs.seconds(&work),
-            asked: self.asked_seconds(reader, comparison),
+            seconds: seconds + continuation_seconds,
+            idle_seconds: idle_seconds + comparison.costs.seconds(&work),
+            required: self.required_seconds(reader, comparison),
         }
     }
 
-    /// What reading the prompt asks of engines that cache the same as this one. A short one counts at
-    /// decoders if that is where it is best read; all others count at engines that only read.
-    fn asked_seconds(&self, worker: &Tracked, comparison: &Comparison<'_>) -> AskedSeconds {
+    /// Returns the engine time that reading the prompt requires on engines that have the same parts
+    /// cached as this one. A short prompt counts for decode engines if it is best read there; all
+    /// others count for prefill engines.
+    fn required_seconds(
+        &self,
+        worker: &TrackedWorker,
+        comparison: &Comparison<'_>,
+    ) -> RequiredSeconds {
         let costs = &comparison.costs;
-        let reading = self.reading(worker, comparison);
-        let is_read_there = worker.worker.role != Some(Role::Prefill);
-        if is_read_there && costs.is_short(comparison.prompt_tokens) {
-            return AskedSeconds {
-                reading_short: costs.busy_seconds_while_decoding(reading.missing_tokens),
-                ..AskedSeconds::default()
+        let estimate = self.prefill_estimate(worker, comparison);
+        let is_colocated = worker.worker.role != Some(Role::Prefill);
+        if is_colocated && costs.is_short(comparison.prompt_tokens) {
+            return RequiredSeconds {
+                short_prefill: costs.decode_engine_seconds(estimate.missing_tokens),
+                ..RequiredSeconds::default()
             };
         }
-        let work = self.reading_work(worker, &reading, comparison);
-        AskedSeconds {
-            reading: costs.busy_seconds(&work),
-            ..AskedSeconds::default()
+        let work = self.prefill_work(worker, &estimate, comparison);
+        RequiredSeconds {
+            prefill: costs.prefill_engine_seconds(&work),
+            ..RequiredSeconds::default()
         }
     }
 
-    /// Seconds until an engine has read the prompt, and how many it would take if idle.
-    fn reading_seconds(&self, worker: &Tracked, comparison: &Comparison<'_>) -> (f64, f64) {
-        let reading = self.reading(worker, comparison);
-        let work = self.reading_work(worker, &reading, comparison);
-        let idle = ReadingWork {
+    /// Returns the seconds until an engine has read the prompt, and the seconds that it would take
+    /// if idle.
+    fn prefill_seconds(&self, worker: &TrackedWorker, comparison: &Comparison<'_>) -> (f64, f64) {
+        let estimate = self.prefill_estimate(worker, comparison);
+        let work = self.prefill_work(worker, &estimate, comparison);
+        let idle = PrefillWork {
             requests: 0,
             waiting_tokens: 0,
             ..work
         };
-        let seconds = |work: ReadingWork| {
-            let work = EngineWork::reading(worker.worker.role, work);
-            comparison.costs.seconds(&work) * worker.slowness + reading.transfer_seconds
+        let seconds = |work: PrefillWork| {
+            let work = EngineWork::prefill(worker.worker.role, work);
+            comparison.costs.seconds(&work) * worker.slowness + estimate.transfer_seconds
         };
         (seconds(work), seconds(idle))
     }
 
-    /// Seconds that a stream takes to go on where that is soonest: the wait for a place and the move.
-    fn least_going_on(&self, now: Timestamp, comparison: &Comparison<'_>, reader: &Tracked) -> f64 {
+    /// Returns the least number of seconds for a stream to continue on a decode engine: the wait
+    /// for a slot and the transfer of the KV cache.
+    fn min_continuation_seconds(
+        &self,
+        now: Timestamp,
+        comparison: &Comparison<'_>,
+        reader: &TrackedWorker,
+    ) -> f64 {
         let need = Need::Continue {
             reader: reader.worker.id.clone(),
         };
-        let engines = self.compared(now, comparison.demand, &need);
+        let engines = self.compared_workers(now, comparison.demand, &need);
         let seconds = engines.into_iter().map(|engine| {
-            let work = self.moving(engine.load().sends, comparison);
+            let work = self.continuing_work(engine.load().sends, comparison);
             comparison.costs.seconds(&work)
-                + engine.place_seconds(comparison.hold, comparison.yields)
+                + engine.slot_wait_seconds(comparison.hold_seconds, comparison.yields)
         });
         seconds.reduce(f64::min).unwrap_or_default()
     }
 
-    fn moving(&self, requests: u32, comparison: &Comparison<'_>) -> EngineWork {
+    fn continuing_work(&self, requests: u32, comparison: &Comparison<'_>) -> EngineWork {
         let tokens = comparison.prompt_tokens;
         EngineWork::Continue(ContinuingWork {
             requests,
-            move_seconds: self.transfer_seconds(comparison.demand.service, tokens),
+            transfer_seconds: self.transfer_seconds(comparison.demand.service, tokens),
             other_zone: false,
         })
     }
 }
 
-fn bounded(seconds: f64) -> Duration {
+fn bounded_duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, MAX_EXPECTED_SECONDS))
 }
--- a/crates/forwarding/src/directory/availability.rs
+++ b/crates/forwarding/src/directory/availability.rs
@@ -1,4 +1,4 @@
-//! When workers take requests again that take none now for what they have said of themselves.
+//! When workers that are unavailable because of their own notices accept requests again.
 
 use std::time::Duration;
 
@@ -9,17 +9,18 @@
 use crate::load_exchange::WorkerKey;
 use crate::selection::Need;
 
-/// When the first worker takes a request, and what keeps it from that until then.
+/// When the first worker accepts a request, and what prevents it until then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FirstAvailable {
     /// Time until then.
     pub after: Duration,
-    /// What keeps it.
+    /// What prevents it.
     pub until_then: Unavailable,
 }
 
 impl Directory {
-    /// When the first of the workers that serve a need takes a request, if none does now for what it has said of itself.
+    /// Returns when the first of the workers that serve a need accepts a request, if all of them
+    /// are unavailable now because of their own notices.
     pub fn first_available(
         &self,
         now: Timestamp,
@@ -35,7 +36,8 @@
         waits?.into_iter().min_by_key(|wait| wait.after)
     }
 
-    /// Time until the first of the workers that serve a need takes a request, if all are at their rate limits.
+    /// Returns the time until the first of the workers that serve a need accepts a request, if it
+    /// is a rate limit that prevents it until then.
     pub fn rate_limited_for(
         &self,
         now: Timestamp,
@@ -46,16 +48,17 @@
         (first.until_then == Unavailable::RateLimited).then_some(first.after)
     }
 
-    /// How long a worker takes no request for what it has said of itself; none if it takes one now.
+    /// Returns how long a worker accepts no request because of its own notices; `None` if it
+    /// accepts one now.
     fn wait_for(&self, now: Timestamp, key: WorkerKey) -> Option<FirstAvailable> {
-        let rested = self.notices.rests_until(now, key);
-        let rest = rested.map_or(Duration::ZERO, |until| until.since(now));
-        let token = self.rate_limits.wait(now, key);
-        let until_then = match token > rest {
+        let backoff_end = self.notices.backoff_until(now, key);
+        let backoff = backoff_end.map_or(Duration::ZERO, |until| until.since(now));
+        let token_wait = self.rate_limits.wait(now, key);
+        let until_then = match token_wait > backoff {
             true => Unavailable::RateLimited,
             false => Unavailable::Resting,
         };
-        let after = rest.max(token);
+        let after = backoff.max(token_wait);
         (!after.is_zero()).then_some(FirstAvailable { after, until_then })
     }
 }
--- a/crates/forwarding/src/directory/choice.rs
+++ b/crates/forwarding/src/directory/choice.rs
@@ -1,4 +1,4 @@
-//! Choosing a worker. See the module doc of the directory for how workers are compared.
+//! Choosing a worker. See the module documentation of the directory for how workers are compared.
 
 use std::collections::BTreeMap;
 
@@ -9,20 +9,22 @@
 use super::eligible::Group;
 use super::prediction::Comparison;
 use super::sampling::drawn_positions;
-use super::tracked::Tracked;
+use super::tracked::TrackedWorker;
 use super::Directory;
 use crate::load_exchange::WorkerKey;
 use crate::selection::{affinity_part, Need, PromptPart};
 use crate::tenant_shares::TenantKey;
 use crate::worker::{Worker, WorkerId};
 
-/// Engines count as nearly equal if they differ by less than this many seconds,
+/// Engines count as nearly equal if they differ by less than this many seconds
+/// plus [`NEARLY_EQUAL_FRACTION`] of the best engine's time.
 const NEARLY_EQUAL_SECONDS: f64 = 0.004;
-/// or by this part of the time of the best.
-const NEARLY_EQUAL_PART: f64 = 0.1;
-/// Workers of a group that are looked at to count those that are usable: the part of so many that pauses is
-/// within 0.06 of that of all (two standard deviations of a share of a half).
-const COUNTED_WORKERS: usize = 256;
+/// See [`NEARLY_EQUAL_SECONDS`].
+const NEARLY_EQUAL_FRACTION: f64 = 0.1;
+/// Maximum number of workers of a group that are examined to estimate how many are usable. With a
+/// sample of this size the unusable fraction is within 0.06 of the true one (two standard
+/// deviations at a fraction of one half).
+const MAX_SAMPLED_WORKERS: usize = 256;
 
 /// What a worker is chosen for.
 #[derive(Debug, Clone, Copy)]
@@ -35,22 +37,23 @@
     pub route: &'a str,
     /// Whether the service has more urgent routes than this one.
     pub yields: bool,
-    /// The tenant whose request it is, if it is one's.
+    /// The tenant that sends the request, if there is one.
     pub tenant: Option<TenantKey>,
     /// The zone of the gateway.
     pub zone: &'a ZoneName,
-    /// Workers that are not to be chosen.
+    /// Workers that must not be chosen.
     pub avoid: &'a [WorkerId],
-    /// A random number, by which the compared workers, and one of nearly equal engines, are drawn.
+    /// A random number that determines which workers are compared, and which of several nearly
+    /// equal engines is chosen.
     pub draw: u64,
 }
 
-/// Names a route in tables.
+/// Key of a route in tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct RouteKey(u64);
 
 impl RouteKey {
-    /// The key of a route.
+    /// Returns the key of a route.
     pub(super) fn of(route: &str) -> Self {
         Self(xxh3_64(route.as_bytes()))
     }
@@ -61,12 +64,12 @@
     pub fn select(&self, now: Timestamp, demand: Demand<'_>, need: &Need) -> Option<&Worker> {
         let comparison = self.comparison(now, demand);
         let affinity = affinity_part(demand.prompt);
-        let rank = |tracked: &Tracked| {
+        let rank = |tracked: &TrackedWorker| {
             let key = affinity.map_or(&[][..], |part| part.id.as_bytes());
             rendezvous_weight(key, tracked.worker.id.as_str().as_bytes())
         };
-        let candidates: Vec<(f64, &Tracked)> = self
-            .compared(now, demand, need)
+        let candidates: Vec<(f64, &TrackedWorker)> = self
+            .compared_workers(now, demand, need)
             .into_iter()
             .map(|tracked| (self.expected_seconds(tracked, need, &comparison), tracked))
             .collect();
@@ -74,55 +77,57 @@
             let by_time = left.0.total_cmp(&right.0);
             by_time.then_with(|| rank(right.1).cmp(&rank(left.1)))
         });
-        let (least, best) = best.copied()?;
+        let (least_seconds, best) = best.copied()?;
         if demand.prompt.is_empty() || !comparison.costs.is_short(comparison.prompt_tokens) {
             return Some(&best.worker);
         }
-        draw_nearly_equal(&candidates, least, demand.draw).map(|tracked| &tracked.worker)
+        draw_nearly_equal(&candidates, least_seconds, demand.draw).map(|tracked| &tracked.worker)
     }
 
-    /// The worker that is best for a need, and what it counts for in seconds.
-    pub(super) fn best<'a>(
+    /// Returns the best worker for a need, and its cost in seconds.
+    pub(super) fn best_worker<'a>(
         &'a self,
         now: Timestamp,
         comparison: &Comparison<'_>,
         need: &Need,
-    ) -> Option<(f64, &'a Tracked)> {
-        let candidates = self.compared(now, comparison.demand, need);
+    ) -> Option<(f64, &'a TrackedWorker)> {
+        let candidates = self.compared_workers(now, comparison.demand, need);
         candidates
             .into_iter()
             .map(|worker| (self.expected_seconds(worker, need, comparison), worker))
             .min_by(|(left, _), (right, _)| left.total_cmp(right))
     }
 
-    /// The workers that are compared for a demand: all that may be chosen, or a part (see `sampling`).
-    pub(super) fn compared(
+    /// Returns the workers that are compared for a demand: all that may be chosen, or a sample of
+    /// them (see `sampling`).
+    pub(super) fn compared_workers(
         &self,
         now: Timestamp,
         demand: Demand<'_>,
         need: &Need,
-    ) -> Vec<&Tracked> {
+    ) -> Vec<&TrackedWorker> {
         let serving = self.eligible.serving(demand.service, need);
-        let count = self.sampling.count(now, serving.len());
+        let count = self.sampling.sample_size(now, serving.len());
         if count >= serving.len() {
             return self.candidates(now, demand, need);
         }
-        let keeps_some = |tracked: &&Tracked| tracked.cache.kept_tokens(demand.prompt) > 0;
+        let has_cached_start =
+            |tracked: &&TrackedWorker| tracked.cache.kept_tokens(demand.prompt) > 0;
         let holders = self.part_holders.of_prompt(demand.prompt, demand.draw);
         let holders = holders
             .iter()
             .filter_map(|key| self.workers.get(key))
             .filter(|tracked| self.is_eligible(tracked, demand.service, need))
-            .filter(keeps_some);
+            .filter(has_cached_start);
         let drawn = drawn_positions(demand.draw, count, serving.len());
         let drawn = drawn.filter_map(|position| self.workers.get(&serving[position]));
-        let is_free = |tracked: &&Tracked| {
-            self.is_free(now, tracked) && self.may_be_sent(now, tracked, demand.avoid)
+        let is_preferred = |tracked: &&TrackedWorker| {
+            self.is_preferred(now, tracked) && self.is_allowed(now, tracked, demand.avoid)
         };
-        let compared: BTreeMap<WorkerKey, &Tracked> = drawn
+        let compared: BTreeMap<WorkerKey, &TrackedWorker> = drawn
             .chain(holders)
-            .inspect(|_| self.look())
-            .filter(is_free)
+            .inspect(|_| self.count_examined())
+            .filter(is_preferred)
             .map(|tracked| (tracked.key, tracked))
             .collect();
         match compared.is_empty() {
@@ -131,25 +136,27 @@
         }
     }
 
-    /// Counts a worker that is looked at.
-    pub(super) fn look(&self) {
-        self.looks.set(self.looks.get() + 1);
+    /// Counts an examined worker.
+    pub(super) fn count_examined(&self) {
+        self.examined.set(self.examined.get() + 1);
     }
 
-    /// How many workers were looked at for decisions on requests so far: what these cost.
+    /// Returns the number of workers examined for decisions on requests so far, a measure of their
+    /// cost.
     pub fn workers_looked_at(&self) -> u64 {
-        self.looks.get()
+        self.examined.get()
     }
 
-    /// Whether a worker takes new requests for a need of a service.
-    fn is_eligible(&self, tracked: &Tracked, service: &ServiceName, need: &Need) -> bool {
+    /// Returns whether a worker accepts new requests for a need of a service.
+    fn is_eligible(&self, tracked: &TrackedWorker, service: &ServiceName, need: &Need) -> bool {
         let worker = &tracked.worker;
         tracked.takes_new_requests()
             && worker.service == *service
             && Group::of_role(worker.role) == Group::serving(need)
     }
 
-    /// How many workers of a service can take a request for a need now. Of many, a part is looked at.
+    /// Returns how many workers of a service can take a request for a need now. In large groups
+    /// this is estimated from a sample.
     pub(super) fn usable_workers(
         &self,
         now: Timestamp,
@@ -157,71 +164,75 @@
         need: &Need,
     ) -> usize {
         let serving = self.eligible.serving(service, need);
-        let looked_at = serving
+        let sampled = serving
             .iter()
-            .step_by(serving.len().div_ceil(COUNTED_WORKERS).max(1));
-        let tracked = looked_at.filter_map(|key| self.workers.get(key));
-        let (mut rested, mut all) = (0, 0);
+            .step_by(serving.len().div_ceil(MAX_SAMPLED_WORKERS).max(1));
+        let tracked = sampled.filter_map(|key| self.workers.get(key));
+        let (mut usable, mut all) = (0, 0);
         for tracked in tracked {
-            self.look();
+            self.count_examined();
             all += 1;
-            let is_usable = self.is_free(now, tracked) && self.may_be_sent(now, tracked, &[]);
-            rested += usize::from(is_usable);
+            let is_usable = self.is_preferred(now, tracked) && self.is_allowed(now, tracked, &[]);
+            usable += usize::from(is_usable);
         }
-        match rested {
+        match usable {
             0 => serving.len(),
-            _ => serving.len() * rested / all,
+            _ => serving.len() * usable / all,
         }
     }
 
-    /// Whether a worker is none of those to avoid, has not asked for rest and is below its rate limit.
-    fn may_be_sent(&self, now: Timestamp, tracked: &Tracked, avoid: &[WorkerId]) -> bool {
-        let rests = self.notices.rests_until(now, tracked.key).is_some();
+    /// Returns whether a worker is not to be avoided, is not backing off and is below its rate
+    /// limit.
+    fn is_allowed(&self, now: Timestamp, tracked: &TrackedWorker, avoid: &[WorkerId]) -> bool {
+        let is_backing_off = self.notices.backoff_until(now, tracked.key).is_some();
         let has_token = self.rate_limits.wait(now, tracked.key).is_zero();
-        !rests && has_token && !avoid.contains(&tracked.worker.id)
+        !is_backing_off && has_token && !avoid.contains(&tracked.worker.id)
     }
 
-    /// Whether nothing speaks against a request to a worker now.
-    fn is_free(&self, now: Timestamp, tracked: &Tracked) -> bool {
-        tracked.is_rested(now) && !self.notices.is_on_trial(tracked.key)
+    /// Returns whether a worker is neither paused nor absent nor at its maximum of trial requests.
+    fn is_preferred(&self, now: Timestamp, tracked: &TrackedWorker) -> bool {
+        tracked.is_available(now) && !self.notices.has_max_trials(tracked.key)
     }
 
-    /// All workers that may be chosen: those that pause, or are tried after a rest, only if no other is left, and none
-    /// that rests. A pause is this gateway's own caution; a rest is the worker's own notice.
+    /// Returns all workers that may be chosen. Workers that are paused, or on trial after a
+    /// back-off, are included only if there is no other; workers that are backing off never are. A
+    /// pause is this gateway's own precaution, a back-off the worker's explicit request.
     pub(super) fn candidates(
         &self,
         now: Timestamp,
         demand: Demand<'_>,
         need: &Need,
-    ) -> Vec<&Tracked> {
+    ) -> Vec<&TrackedWorker> {
         let serving = self.eligible.serving(demand.service, need).iter();
-        let fitting: Vec<&Tracked> = serving
-            .inspect(|_| self.look())
+        let allowed: Vec<&TrackedWorker> = serving
+            .inspect(|_| self.count_examined())
             .filter_map(|key| self.workers.get(key))
-            .filter(|tracked| self.may_be_sent(now, tracked, demand.avoid))
+            .filter(|tracked| self.is_allowed(now, tracked, demand.avoid))
             .collect();
-        let is_free = |tracked: &&Tracked| self.is_free(now, tracked);
-        let free: Vec<&Tracked> = fitting.iter().copied().filter(is_free).collect();
-        if !free.is_empty() {
-            return free;
+        let is_preferred = |tracked: &&TrackedWorker| self.is_preferred(now, tracked);
+        let preferred: Vec<&TrackedWorker> = allowed.iter().copied().filter(is_preferred).collect();
+        if !preferred.is_empty() {
+            return preferred;
         }
-        let is_there = |tracked: &&Tracked| !tracked.is_absent(now);
-        let there: Vec<&Tracked> = fitting.iter().copied().filter(is_there).collect();
-        match there.is_empty() {
-            true => fitting,
-            false => there,
+        let is_present = |tracked: &&TrackedWorker| !tracked.is_absent(now);
+        let present: Vec<&TrackedWorker> = allowed.iter().copied().filter(is_present).collect();
+        match present.is_empty() {
+            true => allowed,
+            false => present,
         }
     }
 }
 
-/// One of the workers that take hardly longer than `least` seconds.
+/// Draws one of the workers that take hardly longer than `least_seconds`.
 fn draw_nearly_equal<'a>(
-    candidates: &[(f64, &'a Tracked)],
-    least: f64,
+    candidates: &[(f64, &'a TrackedWorker)],
+    least_seconds: f64,
     draw: u64,
-) -> Option<&'a Tracked> {
-    let most = least * (1.0 + NEARLY_EQUAL_PART) + NEARLY_EQUAL_SECONDS;
-    let near = candidates.iter().filter(|(seconds, _)| *seconds <= most);
-    let drawn = near.max_by_key(|(_, tracked)| tracked.key.0 ^ draw);
+) -> Option<&'a TrackedWorker> {
+    let max_seconds = least_seconds * (1.0 + NEARLY_EQUAL_FRACTION) + NEARLY_EQUAL_SECONDS;
+    let nearly_equal = candidates
+        .iter()
+        .filter(|(seconds, _)| *seconds <= max_seconds);
+    let drawn = nearly_equal.max_by_key(|(_, tracked)| tracked.key.0 ^ draw);
     drawn.map(|(_, tracked)| *tracked)
 }
--- a/crates/forwarding/src/directory/costs.rs
+++ b/crates/forwarding/src/directory/costs.rs
@@ -1,58 +1,60 @@
-//! What the work of a service's engines costs in seconds, learnt from this gateway's own sends.
+//! The cost in seconds of the work of a service's engines, learned from this gateway's own sends.
 //!
-//! Three kinds of work have a model each, since an engine does them in different ways:
+//! There is one model for each of three kinds of work, since engines process them in different
+//! ways:
 //!
-//! - reading at an engine that only reads: prompts one after the other;
-//! - reading at an engine that decodes, between the tokens of its streams;
-//! - going on from a KV cache that is fetched from the reader.
+//! - reading a prompt on a prefill engine: prompts are processed one after the other;
+//! - reading a prompt on a decode engine, between the tokens of its streams;
+//! - continuing from a KV cache that is fetched from the engine that read the prompt.
 //!
-//! The features are what a gateway can know when it sends: requests that are there already, tokens
-//! that are to be read before the answer begins, pairs of tokens that attention looks at, seconds
-//! that a move takes over the link, and whether the worker is in another zone. An engine that is
-//! slower than others of its service has a factor of its own (see `tracked`).
+//! The features are what a gateway can know when it sends a request: the requests that are already
+//! in progress, the tokens that must be read before the answer begins, the pairs of tokens that
+//! attention compares, the seconds of the KV cache transfer over the link, and whether the worker
+//! is in another zone. An engine that is slower than others of its service has a separate factor
+//! (see `tracked`).
 
 use tansyhall_core::Role;
 
 use crate::cost_model::{CostModel, Prior};
 
-/// Tokens in a unit of the feature.
+/// Tokens per unit of the token feature.
 const TOKENS_UNIT: f64 = 1_000.0;
-/// Pairs of tokens in a unit of the feature.
+/// Pairs of tokens per unit of the pair feature.
 const PAIRS_UNIT: f64 = 1e6;
 
-/// Places of the features of a reading.
+/// Indices of the features of reading a prompt.
 const FIXED: usize = 0;
 const REQUESTS: usize = 1;
 const TOKENS: usize = 2;
 const PAIRS: usize = 3;
 const OTHER_ZONE: usize = 4;
 const FETCHES: usize = 5;
-/// How many they are.
-const READING_FEATURES: usize = 6;
+/// The number of these features.
+const PREFILL_FEATURES: usize = 6;
 
-/// Seconds that an answer takes beside all else, before anything was observed.
+/// Seconds of every answer, whatever else it needs, before anything was observed.
 const FIXED_PRIOR: Prior = prior(0.015);
-/// Seconds for each request that is there already, at an engine that only reads.
-const READING_REQUEST_PRIOR: Prior = prior(0.006);
-/// The same at an engine that decodes.
-const DECODING_REQUEST_PRIOR: Prior = prior(0.0004);
-/// Seconds for a unit of tokens at an engine that only reads.
-const READING_TOKENS_PRIOR: Prior = prior(0.025);
-/// The same at an engine that decodes.
-const DECODING_TOKENS_PRIOR: Prior = prior(0.050);
-/// Seconds for a unit of pairs.
+/// Seconds for each request already in progress on a prefill engine.
+const PREFILL_ENGINE_REQUEST_PRIOR: Prior = prior(0.006);
+/// Seconds for each request already in progress on a decode engine.
+const DECODE_ENGINE_REQUEST_PRIOR: Prior = prior(0.0004);
+/// Seconds for a unit of tokens on a prefill engine.
+const PREFILL_ENGINE_TOKENS_PRIOR: Prior = prior(0.025);
+/// Seconds for a unit of tokens on a decode engine.
+const DECODE_ENGINE_TOKENS_PRIOR: Prior = prior(0.050);
+/// Seconds for a unit of token pairs.
 const PAIRS_PRIOR: Prior = Prior {
     weight: 0.0,
     deviation: 0.0005,
 };
-/// Seconds of the way to another zone.
+/// Seconds of network latency to another zone.
 const OTHER_ZONE_PRIOR: Prior = prior(0.004);
-/// Seconds that a fetch from another engine takes beside its transfer.
+/// Seconds that a fetch from another engine takes in addition to its transfer.
 const FETCH_PRIOR: Prior = prior(0.004);
-/// Seconds for each second that a move takes over an idle link.
-const MOVE_PRIOR: Prior = prior(1.0);
+/// Seconds for each second that a transfer takes over an idle link.
+const TRANSFER_PRIOR: Prior = prior(1.0);
 
-/// A weight that is known to its order of magnitude.
+/// A weight of which only the order of magnitude is known.
 const fn prior(weight: f64) -> Prior {
     Prior {
         weight,
@@ -60,16 +62,16 @@
     }
 }
 
-/// A reading as far as a gateway knows it.
+/// The work of reading a prompt, as far as a gateway knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub(super) struct ReadingWork {
-    /// Requests under way at the engine.
+pub(super) struct PrefillWork {
+    /// Requests in progress at the engine.
     pub(super) requests: u32,
-    /// Tokens of other prompts that are to be read there.
+    /// Tokens of other prompts that are still to be read there.
     pub(super) waiting_tokens: u64,
-    /// Tokens of this prompt that are to be read.
+    /// Tokens of this prompt that must be read.
     pub(super) missing_tokens: u64,
-    /// Tokens of the whole prompt.
+    /// Tokens of the complete prompt.
     pub(super) prompt_tokens: u64,
     /// Whether parts of it are fetched from another engine.
     pub(super) fetches: bool,
@@ -77,11 +79,11 @@
     pub(super) other_zone: bool,
 }
 
-impl ReadingWork {
-    fn features(&self) -> [f64; READING_FEATURES] {
+impl PrefillWork {
+    fn features(&self) -> [f64; PREFILL_FEATURES] {
         let missing = self.missing_tokens as f64;
         let kept = self.prompt_tokens as f64 - missing;
-        let mut features = [0.0; READING_FEATURES];
+        let mut features = [0.0; PREFILL_FEATURES];
         features[FIXED] = 1.0;
         features[REQUESTS] = f64::from(self.requests);
         features[TOKENS] = (self.waiting_tokens as f64 + missing) / TOKENS_UNIT;
@@ -92,13 +94,13 @@
     }
 }
 
-/// Going on from a KV cache, as far as a gateway knows it.
+/// The work of continuing from a fetched KV cache, as far as a gateway knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(super) struct ContinuingWork {
-    /// Requests under way at the engine.
+    /// Requests in progress at the engine.
     pub(super) requests: u32,
-    /// Seconds that the move takes over an idle link.
-    pub(super) move_seconds: f64,
+    /// Seconds that the KV cache transfer takes over an idle link.
+    pub(super) transfer_seconds: f64,
     /// Whether the engine is in another zone.
     pub(super) other_zone: bool,
 }
@@ -106,42 +108,47 @@
 impl ContinuingWork {
     fn features(&self) -> [f64; 4] {
         let other_zone = f64::from(u8::from(self.other_zone));
-        [1.0, f64::from(self.requests), self.move_seconds, other_zone]
+        [
+            1.0,
+            f64::from(self.requests),
+            self.transfer_seconds,
+            other_zone,
+        ]
     }
 }
 
-/// What was sent, with all that its cost depends on.
+/// The work that was sent to an engine, with all that its cost depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum EngineWork {
-    /// An engine that only reads reads a prompt.
-    ReadApart(ReadingWork),
-    /// An engine that decodes reads a prompt and runs it.
-    ReadAndRun(ReadingWork),
-    /// An engine fetches the KV cache of a prompt and runs it.
+    /// A prefill engine reads a prompt.
+    SeparatePrefill(PrefillWork),
+    /// A decode engine reads a prompt and runs it.
+    ColocatedPrefill(PrefillWork),
+    /// A decode engine fetches the KV cache of a prompt and runs it.
     Continue(ContinuingWork),
 }
 
 impl EngineWork {
-    /// A reading at an engine of that role.
-    pub(super) fn reading(role: Option<Role>, work: ReadingWork) -> Self {
+    /// Returns the work of reading a prompt at an engine with this role.
+    pub(super) fn prefill(role: Option<Role>, work: PrefillWork) -> Self {
         match role {
-            Some(Role::Prefill) => EngineWork::ReadApart(work),
-            _ => EngineWork::ReadAndRun(work),
+            Some(Role::Prefill) => EngineWork::SeparatePrefill(work),
+            _ => EngineWork::ColocatedPrefill(work),
         }
     }
 }
 
-/// The models of a service.
+/// The cost models of a service.
 #[derive(Debug, Clone)]
 pub(super) struct EngineCosts {
-    read_apart: CostModel<READING_FEATURES>,
-    read_and_run: CostModel<READING_FEATURES>,
+    separate: CostModel<PREFILL_FEATURES>,
+    colocated: CostModel<PREFILL_FEATURES>,
     continuing: CostModel<4>,
 }
 
 impl Default for EngineCosts {
     fn default() -> Self {
-        let reading = |requests, tokens| {
+        let prefill = |requests, tokens| {
             let priors = [
                 FIXED_PRIOR,
                 requests,
@@ -154,34 +161,34 @@
         };
         let continuing = [
             FIXED_PRIOR,
-            DECODING_REQUEST_PRIOR,
-            MOVE_PRIOR,
+            DECODE_ENGINE_REQUEST_PRIOR,
+            TRANSFER_PRIOR,
             OTHER_ZONE_PRIOR,
         ];
         Self {
-            read_apart: reading(READING_REQUEST_PRIOR, READING_TOKENS_PRIOR),
-            read_and_run: reading(DECODING_REQUEST_PRIOR, DECODING_TOKENS_PRIOR),
+            separate: prefill(PREFILL_ENGINE_REQUEST_PRIOR, PREFILL_ENGINE_TOKENS_PRIOR),
+            colocated: prefill(DECODE_ENGINE_REQUEST_PRIOR, DECODE_ENGINE_TOKENS_PRIOR),
             continuing: CostModel::new(continuing),
         }
     }
 }
 
 impl EngineCosts {
-    /// Seconds until the answer begins.
+    /// Returns the expected seconds until the answer begins.
     pub(super) fn seconds(&self, work: &EngineWork) -> f64 {
         match work {
-            EngineWork::ReadApart(reading) => self.read_apart.seconds(&reading.features()),
-            EngineWork::ReadAndRun(reading) => self.read_and_run.seconds(&reading.features()),
+            EngineWork::SeparatePrefill(work) => self.separate.seconds(&work.features()),
+            EngineWork::ColocatedPrefill(work) => self.colocated.seconds(&work.features()),
             EngineWork::Continue(continuing) => self.continuing.seconds(&continuing.features()),
         }
     }
 
-    /// The answer began after so many seconds.
+    /// Learns that the answer began after this many seconds.
     pub(super) fn learn(&mut self, work: &EngineWork, seconds: f64) {
         match work {
-            EngineWork::ReadApart(reading) => self.read_apart.learn(&reading.features(), seconds),
-            EngineWork::ReadAndRun(reading) => {
-                self.read_and_run.learn(&reading.features(), seconds);
+            EngineWork::SeparatePrefill(work) => self.separate.learn(&work.features(), seconds),
+            EngineWork::ColocatedPrefill(work) => {
+                self.colocated.learn(&work.features(), seconds);
             }
             EngineWork::Continue(continuing) => {
                 self.continuing.learn(&continuing.features(), seconds);
@@ -189,42 +196,42 @@
         }
     }
 
-    /// Seconds to read tokens at an engine that only reads, beside all else.
-    pub(super) fn tokens_apart(&self, tokens: u64) -> f64 {
-        self.read_apart.weight(TOKENS) * tokens as f64 / TOKENS_UNIT
+    /// Returns the seconds to read tokens on a prefill engine, without any other cost.
+    pub(super) fn separate_prefill_seconds(&self, tokens: u64) -> f64 {
+        self.separate.weight(TOKENS) * tokens as f64 / TOKENS_UNIT
     }
 
-    /// Seconds to read tokens at an engine that decodes, beside all else.
-    pub(super) fn tokens_while_decoding(&self, tokens: u64) -> f64 {
-        self.read_and_run.weight(TOKENS) * tokens as f64 / TOKENS_UNIT
+    /// Returns the seconds to read tokens on a decode engine, without any other cost.
+    pub(super) fn colocated_prefill_seconds(&self, tokens: u64) -> f64 {
+        self.colocated.weight(TOKENS) * tokens as f64 / TOKENS_UNIT
     }
 
-    /// Seconds that a reading keeps an engine busy which only reads: what it takes alone, without
-    /// the part that every answer waits for.
-    pub(super) fn busy_seconds(&self, work: &ReadingWork) -> f64 {
-        let alone = ReadingWork {
+    /// Returns the seconds for which reading a prompt occupies a prefill engine: the time on an
+    /// idle engine without the fixed time of every answer.
+    pub(super) fn prefill_engine_seconds(&self, work: &PrefillWork) -> f64 {
+        let alone = PrefillWork {
             requests: 1,
             waiting_tokens: 0,
             other_zone: false,
             ..*work
         };
-        let seconds = self.read_apart.seconds(&alone.features());
-        seconds - self.read_apart.weight(FIXED)
+        let seconds = self.separate.seconds(&alone.features());
+        seconds - self.separate.weight(FIXED)
     }
 
-    /// Seconds that reading so many tokens keeps an engine busy which decodes.
-    pub(super) fn busy_seconds_while_decoding(&self, tokens: u64) -> f64 {
-        self.read_and_run.weight(REQUESTS) + self.tokens_while_decoding(tokens)
+    /// Returns the seconds for which reading this many tokens occupies a decode engine.
+    pub(super) fn decode_engine_seconds(&self, tokens: u64) -> f64 {
+        self.colocated.weight(REQUESTS) + self.colocated_prefill_seconds(tokens)
     }
 
-    /// Seconds that any fetch costs an engine which only reads, beside its transfer.
-    pub(super) fn any_fetch(&self) -> f64 {
-        self.read_apart.weight(FETCHES)
+    /// Returns the seconds that any fetch costs a prefill engine in addition to the transfer.
+    pub(super) fn fetch_overhead_seconds(&self) -> f64 {
+        self.separate.weight(FETCHES)
     }
 
-    /// Whether so few tokens cost less than what any prompt costs.
+    /// Returns whether reading this many tokens costs less than the fixed part of any prompt.
     pub(super) fn is_short(&self, tokens: u64) -> bool {
-        let any_prompt = self.read_apart.weight(FIXED) + self.read_apart.weight(REQUESTS);
-        self.tokens_apart(tokens) < any_prompt
+        let any_prompt = self.separate.weight(FIXED) + self.separate.weight(REQUESTS);
+        self.separate_prefill_seconds(tokens) < any_prompt
     }
 }
--- a/crates/forwarding/src/directory/demand.rs
+++ b/crates/forwarding/src/directory/demand.rs
@@ -1,10 +1,10 @@
-//! What is asked of each service's engines, what is refused included: by the callers of this gateway
-//! as rates that forget, by those of others as they report it.
+//! The demand for each service's engines, including refused requests: that of this gateway's
+//! callers as decaying rates, that of other gateways' callers as they report it.
 //!
-//! Reading is counted in seconds that an engine which only reads would be busy; that of short prompts, which
-//! are mostly read where they are decoded, in seconds of an engine that decodes. Streams are counted in
-//! seconds for which a stream of the same route usually holds its place: summed up over a second,
-//! that is the number of places which streams will hold once those that came lately have filled them.
+//! Reading prompts is counted in seconds of a busy prefill engine; short prompts, which are mostly
+//! read by the engine that decodes them, in seconds of a decode engine. Streams are counted in
+//! seconds for which a stream of the same route usually holds its slot: summed up over a second,
+//! that is the number of slots that streams will hold once the most recent streams occupy theirs.
 
 use std::collections::HashMap;
 
@@ -13,103 +13,114 @@
 use crate::load_exchange::{EngineDemand, GatewayKey, ServiceKey, STALE_AFTER};
 use crate::rate::Rate;
 
-/// Less is not reported, in engines and in places.
-const MIN_REPORTED: f64 = 0.001;
+/// Lower demand is not reported, in engines and in slots.
+const MIN_REPORTED_DEMAND: f64 = 0.001;
 
-/// What one prompt asks of engines, in seconds.
+/// Engine time that one prompt requires, in seconds.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct AskedSeconds {
-    /// Of an engine that only reads, for a long prompt.
-    pub(super) reading: f64,
-    /// Of an engine that decodes, for reading a short one.
-    pub(super) reading_short: f64,
-    /// Of a place for its stream.
-    pub(super) place: f64,
+pub(super) struct RequiredSeconds {
+    /// Of a prefill engine, for a long prompt.
+    pub(super) prefill: f64,
+    /// Of a decode engine, for reading a short prompt.
+    pub(super) short_prefill: f64,
+    /// Of a slot, for the prompt's stream.
+    pub(super) slot: f64,
 }
 
-impl AskedSeconds {
-    /// The same in seconds of whole engines that hold so many streams.
-    pub(super) fn of_engines(&self, slots: u32) -> f64 {
-        self.reading + self.reading_short + self.place / f64::from(slots.max(1))
+impl RequiredSeconds {
+    /// Returns the total in seconds of complete engines with this many slots.
+    pub(super) fn whole_engine_seconds(&self, slots: u32) -> f64 {
+        self.prefill + self.short_prefill + self.slot / f64::from(slots.max(1))
     }
 }
 
-/// What is asked of one service.
+/// The demand for one service.
 #[derive(Debug, Clone, Copy, Default)]
-struct Asked {
-    reading: Rate,
-    reading_short: Rate,
-    places: Rate,
+struct DemandRates {
+    prefill: Rate,
+    short_prefill: Rate,
+    slots: Rate,
 }
 
-impl Asked {
+impl DemandRates {
     fn demand(&self, now: Timestamp, service: ServiceKey) -> EngineDemand {
         EngineDemand {
             service,
-            readers: self.reading.a_second(now),
-            decoders: self.reading_short.a_second(now),
-            places: self.places.a_second(now),
+            readers: self.prefill.a_second(now),
+            decoders: self.short_prefill.a_second(now),
+            places: self.slots.a_second(now),
         }
     }
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct ReportedDemand {
     demand: EngineDemand,
-    at: Timestamp,
+    received_at: Timestamp,
 }
 
-/// What is asked of all services.
+/// The demand for all services.
 #[derive(Debug, Default)]
 pub(super) struct Demands {
-    own: HashMap<ServiceName, Asked>,
-    others: HashMap<(GatewayKey, ServiceKey), Heard>,
+    own: HashMap<ServiceName, DemandRates>,
+    others: HashMap<(GatewayKey, ServiceKey), ReportedDemand>,
 }
 
 impl Demands {
-    /// A caller of this gateway asks for this.
-    pub(super) fn record(&mut self, now: Timestamp, service: &ServiceName, asked: AskedSeconds) {
+    /// Records the demand of one request of a caller of this gateway.
+    pub(super) fn record(
+        &mut self,
+        now: Timestamp,
+        service: &ServiceName,
+        required: RequiredSeconds,
+    ) {
         let rates = self.own.entry(service.clone()).or_default();
-        rates.reading.record(now, asked.reading);
-        rates.reading_short.record(now, asked.reading_short);
-        rates.places.record(now, asked.place);
+        rates.prefill.record(now, required.prefill);
+        rates.short_prefill.record(now, required.short_prefill);
+        rates.slots.record(now, required.slot);
     }
 
-    /// What the callers of this gateway ask for.
+    /// Returns the demand of this gateway's callers.
     pub(super) fn own(&self, now: Timestamp) -> Vec<EngineDemand> {
         let own = self
             .own
             .iter()
-            .map(|(service, asked)| asked.demand(now, ServiceKey::of(service)));
+            .map(|(service, rates)| rates.demand(now, ServiceKey::of(service)));
         let is_reported = |demand: &EngineDemand| {
             let most = demand.readers.max(demand.decoders).max(demand.places);
-            most >= MIN_REPORTED
+            most >= MIN_REPORTED_DEMAND
         };
         own.filter(is_reported).collect()
     }
 
-    /// Another gateway says what its callers ask for.
-    pub(super) fn hear(&mut self, now: Timestamp, sender: GatewayKey, demand: EngineDemand) {
-        let heard = Heard { demand, at: now };
-        self.others.insert((sender, demand.service), heard);
+    /// Records the demand that another gateway reports.
+    pub(super) fn receive(&mut self, now: Timestamp, sender: GatewayKey, demand: EngineDemand) {
+        let reported = ReportedDemand {
+            demand,
+            received_at: now,
+        };
+        self.others.insert((sender, demand.service), reported);
     }
 
-    /// Drops what was not repeated in time.
+    /// Drops reported demand that was not repeated in time.
     pub(super) fn drop_stale(&mut self, now: Timestamp) {
         self.others
-            .retain(|_, heard| now.since(heard.at) < STALE_AFTER);
+            .retain(|_, reported| now.since(reported.received_at) < STALE_AFTER);
     }
 
-    /// What all callers together ask of a service.
+    /// Returns the demand of all callers for a service.
     pub(super) fn all(&self, now: Timestamp, service: &ServiceName) -> EngineDemand {
         let key = ServiceKey::of(service);
         let own = self.own.get(service).copied().unwrap_or_default();
-        let of_service = self.others.iter().filter(|((_, heard), _)| *heard == key);
-        of_service.fold(own.demand(now, key), |sum, (_, heard)| EngineDemand {
+        let of_service = self
+            .others
+            .iter()
+            .filter(|((_, reported), _)| *reported == key);
+        of_service.fold(own.demand(now, key), |sum, (_, reported)| EngineDemand {
             service: key,
-            readers: sum.readers + heard.demand.readers,
-            decoders: sum.decoders + heard.demand.decoders,
-            places: sum.places + heard.demand.places,
+            readers: sum.readers + reported.demand.readers,
+            decoders: sum.decoders + reported.demand.decoders,
+            places: sum.places + reported.demand.places,
         })
     }
 }
--- a/crates/forwarding/src/directory/eligible.rs
+++ b/crates/forwarding/src/directory/eligible.rs
@@ -1,5 +1,5 @@
-//! The workers that take new requests, indexed by service and by what they can be asked for, so that the
-//! work for one request does not grow with the fleet.
+//! The workers that accept new requests, indexed by service and by what they can be asked for, so
+//! that the cost of a request does not grow with the fleet.
 
 use std::collections::HashMap;
 
@@ -11,90 +11,90 @@
 /// What the workers of a group can be asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Group {
-    /// To read prompts for others.
-    Readers,
+    /// To read prompts for other engines.
+    PrefillEngines,
     /// To run requests.
     Runners,
 }
 
 impl Group {
-    /// The group of a worker with this role.
+    /// Returns the group of a worker with this role.
     pub(super) fn of_role(role: Option<Role>) -> Self {
         match role {
-            Some(Role::Prefill) => Group::Readers,
+            Some(Role::Prefill) => Group::PrefillEngines,
             _ => Group::Runners,
         }
     }
 
-    /// The group that serves a need.
+    /// Returns the group that serves a need.
     pub(super) fn serving(need: &Need) -> Self {
         match need {
-            Need::ReadPrompt => Group::Readers,
+            Need::ReadPrompt => Group::PrefillEngines,
             Need::Run | Need::Continue { .. } => Group::Runners,
         }
     }
 }
 
-/// Where a worker stands in the index.
+/// The position of a worker in the index.
 #[derive(Debug)]
-struct Place {
+struct IndexEntry {
     service: ServiceName,
     group: Group,
     position: usize,
 }
 
-/// The index. Each change takes the same time, however many workers there are.
+/// The index. Each change takes constant time, however many workers there are.
 #[derive(Debug, Default)]
 pub(super) struct EligibleWorkers {
     groups: HashMap<ServiceName, HashMap<Group, Vec<WorkerKey>>>,
-    places: HashMap<WorkerKey, Place>,
+    entries: HashMap<WorkerKey, IndexEntry>,
 }
 
 impl EligibleWorkers {
-    /// How many workers take new requests.
+    /// Returns the number of workers that accept new requests.
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 
-    /// The workers of a service that serve a need, in no order.
+    /// Returns the workers of a service that serve a need, in no particular order.
     pub(super) fn serving(&self, service: &ServiceName, need: &Need) -> &[WorkerKey] {
         let groups = self.groups.get(service);
         let group = groups.and_then(|groups| groups.get(&Group::serving(need)));
         group.map_or(&[], Vec::as_slice)
     }
 
-    /// A worker takes new requests of its service and group.
+    /// Adds a worker that accepts new requests of its service and group.
     pub(super) fn insert(&mut self, key: WorkerKey, service: &ServiceName, group: Group) {
-        if let Some(place) = self.places.get(&key) {
-            if place.service == *service && place.group == group {
+        if let Some(entry) = self.entries.get(&key) {
+            if entry.service == *service && entry.group == group {
                 return;
             }
             self.remove(key);
         }
         let groups = self.groups.entry(service.clone()).or_default();
         let members = groups.entry(group).or_default();
-        let place = Place {
+        let entry = IndexEntry {
             service: service.clone(),
             group,
             position: members.len(),
         };
         members.push(key);
-        self.places.insert(key, place);
+        self.entries.insert(key, entry);
     }
 
-    /// A worker takes no new requests.
+    /// Removes a worker that accepts no new requests.
     pub(super) fn remove(&mut self, key: WorkerKey) {
-        let Some(place) = self.places.remove(&key) else {
+        let Some(entry) = self.entries.remove(&key) else {
             return;
         };
-        let groups = self.groups.get_mut(&place.service);
-        let Some(members) = groups.and_then(|groups| groups.get_mut(&place.group)) else {
+        let groups = self.groups.get_mut(&entry.service);
+        let Some(members) = groups.and_then(|groups| groups.get_mut(&entry.group)) else {
             return;
         };
-        members.swap_remove(place.position);
-        if let Some(moved) = members.get(place.position) {
-            if let Some(moved) = self.places.get_mut(moved) {
-                moved.position = place.position;
+        members.swap_remove(entry.position);
+        if let Some(moved) = members.get(entry.position) {
+            if let Some(moved) = self.entries.get_mut(moved) {
+                moved.position = entry.position;
             }
         }
     }
--- a/crates/forwarding/src/directory/length_biased_mean.rs
+++ b/crates/forwarding/src/directory/length_biased_mean.rs
@@ -1,25 +1,25 @@
-//! How long something usually takes: a prompt by itself, a stream in its place. The mean weighs each by
-//! its time: most of an engine's time goes to the long ones, and they are what one who comes finds
-//! there.
+//! A mean of durations, such as of prompts on idle engines or of streams in their slots. Each
+//! duration is weighted by itself (length-biased mean): engines spend most of their time on the
+//! long ones, so these are what a new request finds in progress.
 
-/// The part of what was recorded that one more leaves in force.
+/// Factor by which each new duration reduces the weight of the earlier ones.
 const FORGETTING: f64 = 0.99;
 
-/// A mean of seconds, weighed by the seconds.
+/// A mean of seconds, weighted by the seconds.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct UsualSeconds {
+pub(super) struct LengthBiasedMean {
     sum: f64,
     sum_of_squares: f64,
 }
 
-impl UsualSeconds {
-    /// One took so long.
+impl LengthBiasedMean {
+    /// Adds a duration.
     pub(super) fn record(&mut self, seconds: f64) {
         self.sum = self.sum * FORGETTING + seconds;
         self.sum_of_squares = self.sum_of_squares * FORGETTING + seconds * seconds;
     }
 
-    /// The mean; nothing before anything was recorded.
+    /// Returns the mean; zero before the first duration.
     pub(super) fn seconds(&self) -> f64 {
         match self.sum > 0.0 {
             true => self.sum_of_squares / self.sum,
--- a/crates/forwarding/src/directory/membership.rs
+++ b/crates/forwarding/src/directory/membership.rs
@@ -1,18 +1,19 @@
-//! Which workers there are, as the service discovery announces them one by one. Each change takes the time of
-//! one worker, not of the fleet.
+//! The set of workers, as service discovery announces them one by one. The cost of each change is
+//! that of one worker and does not grow with the fleet.
 
 use std::collections::{HashMap, HashSet};
 
 use tansyhall_core::Role;
 
 use super::eligible::Group;
-use super::tracked::Tracked;
+use super::tracked::TrackedWorker;
 use super::Directory;
 use crate::load_exchange::WorkerKey;
 use crate::worker::{Worker, WorkerId, WorkerState};
 
 impl Directory {
-    /// Takes in all workers that are announced now. What is under way at others stays counted until it ends.
+    /// Replaces the announced workers with this list. Sends in progress at other workers stay
+    /// counted until they end.
     pub fn announce(&mut self, workers: Vec<Worker>) {
         let listed: HashSet<WorkerKey> = workers
             .iter()
@@ -31,32 +32,34 @@
         }
     }
 
-    /// A worker is announced, or announced anew.
+    /// Adds an announced worker, or updates one.
     pub fn announce_one(&mut self, mut worker: Worker) {
         let key = WorkerKey::of(&worker.id);
-        if self.notices.leaves(key) {
+        if self.notices.is_leaving(key) {
             worker.state = WorkerState::Draining;
         }
-        self.notices.announced(key, true);
-        self.leave_address(key);
+        self.notices.set_announced(key, true);
+        self.remove_address(key);
         *self.announced_at.entry(worker.address).or_default() += 1;
         match self.workers.get_mut(&key) {
             Some(tracked) => tracked.announce(worker),
             None => {
-                let mut tracked = Tracked::new(worker);
+                let mut tracked = TrackedWorker::new(worker);
                 tracked.desired_role = self.desired_role(&tracked.worker.id);
                 self.workers.insert(key, tracked);
             }
         }
-        self.index(key);
+        self.update_index(key);
     }
 
-    /// A worker is not announced any more. What is under way there stays counted until it ends.
+    /// Records that a worker is no longer announced. Sends in progress there stay counted until
+    /// they end.
     pub fn withdraw(&mut self, id: &WorkerId) {
         self.withdraw_key(WorkerKey::of(id));
     }
 
-    /// Takes in the roles that engines should have, by their names: one that has another gets no new request.
+    /// Sets the roles that engines should have, by name. An engine with a different role gets no
+    /// new request.
     pub fn set_desired_roles(&mut self, roles: HashMap<String, Role>) {
         self.desired_roles = roles;
         let keys: Vec<WorkerKey> = self.workers.keys().copied().collect();
@@ -65,20 +68,21 @@
                 continue;
             };
             tracked.desired_role = self.desired_roles.get(tracked.worker.id.as_str()).copied();
-            self.index(key);
+            self.update_index(key);
         }
     }
 
-    /// What was announced last of a worker that is still known: it is announced, or has something under way.
+    /// Returns the last announced data of a worker that is still known because it is announced or
+    /// has sends in progress.
     pub fn last_announced(&self, id: &WorkerId) -> Option<&Worker> {
         self.tracked(id).map(|tracked| &tracked.worker)
     }
 
-    pub(super) fn tracked(&self, id: &WorkerId) -> Option<&Tracked> {
+    pub(super) fn tracked(&self, id: &WorkerId) -> Option<&TrackedWorker> {
         self.workers.get(&WorkerKey::of(id))
     }
 
-    /// Forgets a worker.
+    /// Removes all that is known about a worker.
     pub(super) fn forget(&mut self, key: WorkerKey) {
         let Some(tracked) = self.workers.remove(&key) else {
             return;
@@ -87,24 +91,24 @@
             self.part_holders.remove(key, part);
         }
         self.eligible.remove(key);
-        self.busy_for_others.remove(&key);
+        self.loaded_by_others.remove(&key);
     }
 
     fn withdraw_key(&mut self, key: WorkerKey) {
-        self.leave_address(key);
-        self.notices.announced(key, false);
+        self.remove_address(key);
+        self.notices.set_announced(key, false);
         let Some(tracked) = self.workers.get_mut(&key) else {
             return;
         };
         tracked.announced = false;
-        match tracked.own.sends {
+        match tracked.own_load.sends {
             0 => self.forget(key),
             _ => self.eligible.remove(key),
         }
     }
 
-    /// The worker does not stand at its address any more.
-    fn leave_address(&mut self, key: WorkerKey) {
+    /// Records that a worker is no longer at its address.
+    fn remove_address(&mut self, key: WorkerKey) {
         let Some(tracked) = self.workers.get(&key).filter(|tracked| tracked.announced) else {
             return;
         };
@@ -121,8 +125,8 @@
         self.desired_roles.get(id.as_str()).copied()
     }
 
-    /// Puts a worker into the index of those that take new requests, or takes it out.
-    pub(super) fn index(&mut self, key: WorkerKey) {
+    /// Adds a worker to the index of those that accept new requests, or removes it.
+    pub(super) fn update_index(&mut self, key: WorkerKey) {
         let Some(tracked) = self.workers.get(&key) else {
             return;
         };
--- a/crates/forwarding/src/directory/mod.rs
+++ b/crates/forwarding/src/directory/mod.rs
@@ -1,33 +1,40 @@
-//! The workers that a gateway knows, with what it has learnt about each from its own sends and
-//! from the reports of other gateways.
+//! The workers known to a gateway, with what it has learned about each from its own sends and from
+//! the reports of other gateways.
 //!
-//! Workers are compared by the time in which they are expected to answer.
+//! Workers are compared by the time within which they are expected to answer.
 //!
-//! - For requests without a prompt: the smoothed latency of a worker's answers, stretched by the
-//!   work under way there.
-//! - For prompts: the time to read what is waiting there and what of this prompt neither its cache
-//!   nor another worker's holds, to fetch what another holds, and for each request under way, by
-//!   models that are learnt for the service (`costs`), stretched by how much slower than others of
-//!   its service the worker has been.
+//! - For requests without a prompt: the smoothed latency of a worker's answers, scaled up by the
+//!   work in progress at the worker.
+//! - For prompts: the time to process the prompt tokens that are queued there and those of this
+//!   prompt that neither its cache nor another worker's cache holds, the time to fetch what another
+//!   cache holds, and the time for each request in progress. The times come from models that are
+//!   learned per service (`costs`), multiplied by the worker's slowness relative to the other
+//!   workers of its service.
 //!
-//! A request that finds every place of a decoding engine taken waits until one is free; how long a
-//! stream holds its place is learnt.
+//! Engines have one of two roles: prefill engines only read prompts (compute their KV cache),
+//! decode engines generate the tokens of streams and can read prompts as well. A prompt is "read
+//! apart" if a prefill engine reads it and hands the KV cache to a decode engine.
 //!
-//! A prompt that is read beside decoding streams slows them all, which counts as time too, and so
-//! does what a copy pushes out of a cache. All is divided by the cube of the share of sends that
-//! came back whole, and the way to another zone counts. Equal workers are told apart
-//! by rendezvous hashing of the prompt's largest shared part, so that gateways which know nothing
-//! yet agree. Short prompts gain nothing from a cache: they are drawn among nearly equal engines,
-//! so that many gateways, each with reports that are a little old, do not all choose the same.
+//! A request that finds every slot of a decode engine occupied waits until one is free; how long a
+//! stream holds its slot is learned.
 //!
-//! A worker that has said in an answer that it leaves, or wants rest, is not chosen, however well it compares
-//! (`notices`); one that names a rate limit is chosen no more often than this gateway's share of it allows (`rate_limits`).
+//! Reading a prompt next to decoding streams slows them all, which is added to the time, and so is
+//! the time to recompute what a copied KV cache evicts. The sum is divided by the cube of the
+//! fraction of sends that were answered completely, and workers in another zone get a penalty. Ties
+//! are broken by rendezvous hashing of the prompt's largest shared part, so that gateways that have
+//! no observations yet agree. Short prompts gain nothing from a cache: their engine is drawn at
+//! random among the nearly equal ones, so that many gateways with slightly outdated reports do not
+//! all choose the same engine.
 //!
-//! Where many gateways place requests at the same time, each request compares a part of the workers only
-//! (`sampling`).
+//! A worker that has stated in an answer that it is leaving, or that is backing off, is not
+//! chosen, however well it compares (`notices`). One that states a rate limit is chosen no more
+//! often than this gateway's share of the limit allows (`rate_limits`).
 //!
-//! Whether a prompt is read apart follows from the same times: the best reader, the move of the KV
-//! cache included, against the best worker that reads it while decoding.
+//! Where many gateways place requests at the same time, each request compares only some of the
+//! workers (`sampling`).
+//!
+//! The same times decide whether a prompt is read apart: the best prefill engine, including the
+//! transfer of the KV cache, is compared with the best decode engine that reads the prompt itself.
 
 mod admission;
 mod availability;
@@ -75,59 +82,60 @@
 use costs::EngineCosts;
 use demand::Demands;
 use eligible::EligibleWorkers;
-use length_biased_mean::UsualSeconds;
+use length_biased_mean::LengthBiasedMean;
 use notices::Notices;
 use part_holders::PartHolders;
 use rate_limits::RateLimits;
 use sampling::Sampling;
 use sharing::report_prompt;
-use tracked::{smooth, Tracked};
+use tracked::{smooth, TrackedWorker};
 
-/// Tokens that a cache is taken to hold if the configuration does not say.
+/// Cache size in tokens that is assumed if the configuration does not state one.
 const DEFAULT_CACHE_TOKENS: u64 = 200_000;
-/// Weight of the newest time for which a stream held its place in the mean of its route.
+/// Weight of the newest slot hold time in the mean of its route.
 const ROUTE_HOLD_WEIGHT: f64 = 0.05;
-/// The longest hold in seconds that is learnt from.
-const MAX_HOLD: f64 = 10.0;
-/// Seconds to the answer of a request without a prompt that are assumed before any worker of its service has answered.
-const FIRST_PLAIN_LATENCY: f64 = 0.030;
+/// Longer hold times are cut to this many seconds before they are learned from.
+const MAX_HOLD_SECONDS: f64 = 10.0;
+/// Latency in seconds of a request without a prompt that is assumed before any worker of the
+/// service has answered one.
+const DEFAULT_PROMPTLESS_LATENCY_SECONDS: f64 = 0.030;
 /// Weight of the newest answer of any worker in the smoothed latency of its service.
-const PLAIN_LATENCY_WEIGHT: f64 = 0.05;
-/// A bound on times that are expected.
+const PROMPTLESS_LATENCY_WEIGHT: f64 = 0.05;
+/// Upper bound on all expected times.
 const MAX_EXPECTED_SECONDS: f64 = 600.0;
 
-/// The workers.
+/// The workers known to a gateway, and all that its choices depend on.
 #[derive(Debug)]
 pub struct Directory {
-    workers: BTreeMap<WorkerKey, Tracked>,
+    workers: BTreeMap<WorkerKey, TrackedWorker>,
     eligible: EligibleWorkers,
     notices: Notices,
     rate_limits: RateLimits,
     part_holders: PartHolders,
-    /// Workers where others have work under way.
-    busy_for_others: BTreeSet<WorkerKey>,
-    /// How many workers are announced at each address.
+    /// Workers at which other gateways have reported load.
+    loaded_by_others: BTreeSet<WorkerKey>,
+    /// Number of workers that are announced at each address.
     announced_at: HashMap<SocketAddr, usize>,
     desired_roles: HashMap<String, Role>,
     engines: HashMap<ServiceName, EngineCapacity>,
     costs: HashMap<ServiceName, EngineCosts>,
-    hold_seconds: HashMap<ServiceName, UsualSeconds>,
-    route_holds: HashMap<RouteKey, f64>,
-    usual_own: HashMap<ServiceName, UsualSeconds>,
-    /// Smoothed seconds to answers of requests without a prompt.
-    plain_latencies: HashMap<ServiceName, f64>,
+    hold_seconds: HashMap<ServiceName, LengthBiasedMean>,
+    route_hold_seconds: HashMap<RouteKey, f64>,
+    idle_prompt_seconds: HashMap<ServiceName, LengthBiasedMean>,
+    /// Smoothed latency in seconds of requests without a prompt.
+    promptless_latencies: HashMap<ServiceName, f64>,
     demands: Demands,
     tenant_shares: HashMap<ServiceName, TenantShares>,
     sampling: Sampling,
     decisions: Decisions,
     reporter: LoadReporter,
-    heard: HashMap<GatewayKey, u64>,
-    stale_dropped: Timestamp,
-    /// Workers that were looked at for decisions so far.
-    looks: Cell<u64>,
+    last_sequences: HashMap<GatewayKey, u64>,
+    stale_dropped_at: Timestamp,
+    /// Number of workers examined for decisions so far.
+    examined: Cell<u64>,
 }
 
-/// An engine with what is under way there.
+/// An engine with the sends in progress there.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineLoad {
     /// The engine.
@@ -137,7 +145,7 @@
 }
 
 impl Directory {
-    /// No worker yet; `gateway` signs reports of load.
+    /// Creates a directory without workers; `gateway` is the sender of its load reports.
     pub fn new(gateway: GatewayKey) -> Self {
         Self {
             workers: BTreeMap::new(),
@@ -145,42 +153,42 @@
             notices: Notices::default(),
             rate_limits: RateLimits::default(),
             part_holders: PartHolders::default(),
-            busy_for_others: BTreeSet::new(),
+            loaded_by_others: BTreeSet::new(),
             announced_at: HashMap::new(),
             desired_roles: HashMap::new(),
             engines: HashMap::new(),
             costs: HashMap::new(),
             hold_seconds: HashMap::new(),
-            route_holds: HashMap::new(),
-            usual_own: HashMap::new(),
-            plain_latencies: HashMap::new(),
+            route_hold_seconds: HashMap::new(),
+            idle_prompt_seconds: HashMap::new(),
+            promptless_latencies: HashMap::new(),
             demands: Demands::default(),
             tenant_shares: HashMap::new(),
             sampling: Sampling::default(),
             decisions: Decisions::default(),
             reporter: LoadReporter::new(gateway),
-            heard: HashMap::new(),
-            stale_dropped: Timestamp::default(),
-            looks: Cell::new(0),
+            last_sequences: HashMap::new(),
+            stale_dropped_at: Timestamp::default(),
+            examined: Cell::new(0),
         }
     }
 
-    /// Sets which mechanisms decide from now on.
+    /// Sets which mechanisms take part in decisions from now on.
     pub fn set_decisions(&mut self, decisions: Decisions) {
         self.decisions = decisions;
     }
 
-    /// Takes in what the engines of each service can hold.
+    /// Sets the capacity of the engines of each service.
     pub fn set_engines(&mut self, engines: HashMap<ServiceName, EngineCapacity>) {
         self.engines = engines;
     }
 
-    /// Takes in how many other gateways place requests, and the pause between their reports.
-    pub fn set_exchange(&mut self, others: usize, report_pause: Duration) {
-        self.sampling.set_exchange(others, report_pause);
+    /// Sets how many other gateways place requests, and the interval of their reports.
+    pub fn set_exchange(&mut self, other_gateways: usize, report_interval: Duration) {
+        self.sampling.set_exchange(other_gateways, report_interval);
     }
 
-    /// The engines that have a role and are not leaving, with what is under way there.
+    /// Returns the engines that have a role and are not leaving, with the sends in progress there.
     pub fn engine_loads(&self) -> Vec<EngineLoad> {
         let engines = self.workers.values().filter(|tracked| {
             let ready = tracked.announced && tracked.worker.state == WorkerState::Ready;
@@ -193,41 +201,42 @@
         loads.collect()
     }
 
-    /// What all callers ask of a service's engines, what is refused included.
+    /// Returns the demand of all callers for a service's engines, including the requests that are
+    /// refused.
     pub fn engine_demand(&self, now: Timestamp, service: &ServiceName) -> EngineDemand {
         self.demands.all(now, service)
     }
 
-    /// Workers that take new requests.
+    /// Returns the number of workers that accept new requests.
     pub fn ready_workers(&self) -> usize {
         self.eligible.len()
     }
 
-    /// The workers that are announced.
+    /// Returns the announced workers.
     pub fn announced_workers(&self) -> impl Iterator<Item = &Worker> {
         let announced = self.workers.values().filter(|tracked| tracked.announced);
         announced.map(|tracked| &tracked.worker)
     }
 
-    /// The service and the state of each worker that is announced.
+    /// Returns the service and the state of each announced worker.
     pub fn worker_states(&self) -> impl Iterator<Item = (&ServiceName, WorkerState)> {
         let announced = self.workers.values().filter(|tracked| tracked.announced);
         announced.map(|tracked| (&tracked.worker.service, tracked.worker.state))
     }
 
-    /// The worker of that identity, if it is announced.
+    /// Returns the worker with this identity if it is announced.
     pub fn get(&self, id: &WorkerId) -> Option<&Worker> {
         self.tracked(id)
             .filter(|tracked| tracked.announced)
             .map(|tracked| &tracked.worker)
     }
 
-    /// Whether a worker is announced at this address.
+    /// Returns whether a worker is announced at this address.
     pub fn is_announced_at(&self, address: SocketAddr) -> bool {
         self.announced_at.contains_key(&address)
     }
 
-    /// A send to a worker begins, for what the demand needs of it.
+    /// Records that a send to a worker begins, and returns the ticket that follows it to its end.
     pub fn send_began(
         &mut self,
         now: Timestamp,
@@ -236,7 +245,7 @@
         need: &Need,
     ) -> SendTicket {
         self.sampling.record_send(now);
-        let mut ticket = self.ticket(now, id, demand, need);
+        let mut ticket = self.new_ticket(now, id, demand, need);
         let prompt = demand.prompt;
         let key = WorkerKey::of(id);
         let service = self.workers.get(&key);
@@ -244,10 +253,10 @@
         let Some(tracked) = self.workers.get_mut(&key) else {
             return ticket;
         };
-        ticket.counted = true;
-        ticket.is_trial = self.notices.send_began(key);
-        tracked.own.sends += 1;
-        tracked.own.reading_tokens += ticket.reading_tokens;
+        ticket.is_counted = true;
+        ticket.is_trial = self.notices.begin_send(key);
+        tracked.own_load.sends += 1;
+        tracked.own_load.reading_tokens += ticket.reading_tokens;
         if self.decisions.caches {
             for part in prompt {
                 let key = PartKey::of(part);
@@ -260,7 +269,8 @@
         ticket
     }
 
-    /// The worker has read the prompt of a send: its answer begins after `latency`.
+    /// Records that the worker has read the prompt of a send: its answer begins `latency` after the
+    /// send.
     pub fn prompt_was_read(
         &mut self,
         now: Timestamp,
@@ -271,7 +281,7 @@
         let key = WorkerKey::of(&ticket.worker);
         let service = self.workers.get(&key);
         let capacity = self.capacity_of(service.map(|tracked| &tracked.worker.service));
-        self.notices.took_up(now, key);
+        self.notices.record_accepted(now, key);
         let Some(tracked) = self.workers.get_mut(&key) else {
             return;
         };
@@ -282,12 +292,12 @@
                 costs.or_default().learn(work, seconds);
             }
             if self.decisions.slowness {
-                tracked.learn_slowness(ticket.usual_seconds, seconds);
+                tracked.learn_slowness(ticket.baseline_seconds, seconds);
             }
         }
         ticket.read_at = Some(now);
         let read = std::mem::take(&mut ticket.reading_tokens);
-        tracked.own.reading_tokens = tracked.own.reading_tokens.saturating_sub(read);
+        tracked.own_load.reading_tokens = tracked.own_load.reading_tokens.saturating_sub(read);
         if self.decisions.caches {
             for part in prompt {
                 let key = PartKey::of(part);
@@ -299,7 +309,7 @@
         report_load(&mut self.reporter, tracked);
     }
 
-    /// A send that began has ended.
+    /// Records the end of a send.
     pub fn send_ended(
         &mut self,
         now: Timestamp,
@@ -309,20 +319,20 @@
     ) {
         let key = WorkerKey::of(&ticket.worker);
         if ticket.is_trial {
-            self.notices.trial_ended(key);
+            self.notices.end_trial(key);
         }
         if result == SendResult::Failed {
-            self.notices.took_up(now, key);
+            self.notices.record_accepted(now, key);
         }
         let tracked = self.workers.get_mut(&key);
-        let Some(tracked) = tracked.filter(|_| ticket.counted) else {
+        let Some(tracked) = tracked.filter(|_| ticket.is_counted) else {
             return;
         };
         let change = tracked.cache.forget_unread(prompt);
         self.part_holders.apply(key, &change);
-        tracked.own.sends = tracked.own.sends.saturating_sub(1);
+        tracked.own_load.sends = tracked.own_load.sends.saturating_sub(1);
         let unread = ticket.reading_tokens;
-        tracked.own.reading_tokens = tracked.own.reading_tokens.saturating_sub(unread);
+        tracked.own_load.reading_tokens = tracked.own_load.reading_tokens.saturating_sub(unread);
         report_load(&mut self.reporter, tracked);
         if result == SendResult::Absent && !tracked.is_absent(now) {
             self.reporter.record_absence(tracked.key);
@@ -332,33 +342,38 @@
             (result, _) => result,
         };
         let service = tracked.worker.service.clone();
-        let known = self.plain_latencies.get(&service).copied();
-        let usual = known.unwrap_or(FIRST_PLAIN_LATENCY);
-        tracked.learn_result(now, result, usual);
+        let known = self.promptless_latencies.get(&service).copied();
+        let service_latency = known.unwrap_or(DEFAULT_PROMPTLESS_LATENCY_SECONDS);
+        tracked.learn_result(now, result, service_latency);
         if let (SendResult::Answered { latency }, true) = (result, prompt.is_empty()) {
-            let usual = smooth(usual, latency.as_secs_f64(), PLAIN_LATENCY_WEIGHT);
-            self.plain_latencies.insert(service, usual);
+            let service_latency = smooth(
+                service_latency,
+                latency.as_secs_f64(),
+                PROMPTLESS_LATENCY_WEIGHT,
+            );
+            self.promptless_latencies.insert(service, service_latency);
         }
         let answered = matches!(result, SendResult::Answered { .. });
         if let (true, Some(read_at), Some(Role::Decode)) =
             (answered, ticket.read_at, tracked.worker.role)
         {
             let service = tracked.worker.service.clone();
-            let held = now.since(read_at).as_secs_f64().min(MAX_HOLD);
+            let held = now.since(read_at).as_secs_f64().min(MAX_HOLD_SECONDS);
             self.hold_seconds.entry(service).or_default().record(held);
-            let hold = self.route_holds.entry(ticket.route).or_insert(held);
+            let hold = self.route_hold_seconds.entry(ticket.route).or_insert(held);
             *hold += (held - *hold) * ROUTE_HOLD_WEIGHT;
         }
-        if !tracked.announced && tracked.own.sends == 0 {
+        if !tracked.announced && tracked.own_load.sends == 0 {
             self.forget(key);
         }
     }
 
-    /// Seconds in which the workers of a service usually answer a request without a prompt. A worker that has not
-    /// answered yet is taken to be so fast, so that it is tried beside fast ones.
-    fn plain_latency(&self, service: &ServiceName) -> f64 {
-        let known = self.plain_latencies.get(service);
-        known.copied().unwrap_or(FIRST_PLAIN_LATENCY)
+    /// Returns the latency in seconds that is usual for requests without a prompt at a service. A
+    /// worker that has not answered yet is assumed to be this fast, so that it is tried alongside
+    /// fast ones.
+    fn promptless_latency(&self, service: &ServiceName) -> f64 {
+        let known = self.promptless_latencies.get(service);
+        known.copied().unwrap_or(DEFAULT_PROMPTLESS_LATENCY_SECONDS)
     }
 
     fn capacity_of(&self, service: Option<&ServiceName>) -> u64 {
@@ -368,9 +383,9 @@
     }
 }
 
-/// Tells other gateways of the load at a model engine.
-fn report_load(reporter: &mut LoadReporter, tracked: &Tracked) {
+/// Reports the load of a model engine to the other gateways.
+fn report_load(reporter: &mut LoadReporter, tracked: &TrackedWorker) {
     if tracked.worker.role.is_some() {
-        reporter.record_load(tracked.key, tracked.own);
+        reporter.record_load(tracked.key, tracked.own_load);
     }
 }
--- a/crates/forwarding/src/directory/notices.rs
+++ b/crates/forwarding/src/directory/notices.rs
@@ -1,13 +1,14 @@
-//! What workers have said of themselves ([`WorkerNotice`]), and what follows from it.
+//! What workers have stated about themselves ([`WorkerNotice`]), and the consequences.
 //!
-//! - A worker that leaves gets no new request for the rest of its life. An entry in the store that still says
-//!   `ready`, or says so again, does not take that back: the store may be away, or a copy of it behind. Another life
-//!   of the worker is not bound by it.
-//! - A worker that wants rest gets nothing from this gateway until the time is over. Then, if others can take them,
-//!   [`MOST_TRIALS`] requests at a time until one is answered: all that comes would otherwise go to the worker that
-//!   has nothing to do, and most of it be turned away once more.
+//! - A worker that is leaving gets no new request during the rest of this incarnation. A store
+//!   entry that still says `ready`, or says so again, does not revoke this: the store may be
+//!   unreachable, or a copy of it outdated. Another incarnation of the worker is not affected.
+//! - A worker that is backing off gets nothing from this gateway until its back-off ends. Then, if
+//!   other workers can take the requests, it gets at most [`MAX_TRIALS`] requests at a time until
+//!   it answers one: otherwise all new requests would go to the worker that has no load, and most
+//!   of them would be rejected again.
 //!
-//! Both are kept by the worker's life, also while the worker is not announced.
+//! Both are kept per incarnation of the worker, also while the worker is not announced.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -20,93 +21,97 @@
 use crate::worker::{WorkerId, WorkerState};
 use crate::worker_notice::WorkerNotice;
 
-/// Requests at a time at a worker whose rest is over, until one is answered. With one, a single request that takes
-/// long keeps the worker from its work.
-const MOST_TRIALS: u32 = 2;
-/// How long it is kept that a worker leaves which is not announced any more: its entry may come back with a store that
-/// was away.
-const LEAVING_MEMORY: Duration = Duration::from_secs(600);
-/// How long a rest that is over is kept while nothing is sent to its worker, so that the first who come try it.
-const REST_MEMORY: Duration = Duration::from_secs(30);
-/// Rests that end so close to each other are one: requests that were on their way together are turned away together,
-/// and gateways tell a scheduler of the same notice again and again.
-const SAME_REST: Duration = Duration::from_millis(250);
-/// Workers that a gateway names when it asks for another one: some 2 KB of a datagram, with names of 30 bytes.
-const MOST_NAMED: usize = 64;
-/// Notices that are looked at to find them, so that a question costs the same however many workers leave or rest.
-const MOST_LOOKED_AT: usize = 256;
-
-/// Why nothing may be sent to a worker.
+/// Maximum number of concurrent requests to a worker whose back-off has ended, until it answers
+/// one. With a limit of one, a single long request would keep the worker idle.
+const MAX_TRIALS: u32 = 2;
+/// How long the notice of a leaving worker is kept after the worker was last announced: its store
+/// entry may reappear when a store that was unreachable returns.
+const LEAVING_TTL: Duration = Duration::from_secs(600);
+/// How long a back-off that has ended is kept while nothing is sent to its worker, so that the
+/// first new requests count as trials.
+const BACKOFF_TTL: Duration = Duration::from_secs(30);
+/// A back-off that is extended by less than this is the same one: requests sent at the same time
+/// are rejected together, and gateways repeat the same notice to a scheduler.
+const MIN_BACKOFF_EXTENSION: Duration = Duration::from_millis(250);
+/// Workers that a gateway lists as unavailable when it asks for another one: about 2 KB of a
+/// datagram with names of 30 bytes.
+const MAX_NAMED_WORKERS: usize = 64;
+/// Back-offs that are examined to find these workers, so that the cost of a request does not grow
+/// with the number of workers that are leaving or backing off.
+const MAX_EXAMINED_BACKOFFS: usize = 256;
+
+/// Reason why nothing may be sent to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Unavailable {
-    /// It has said that it leaves.
-    #[error("it leaves")]
+    /// It has stated that it is leaving.
+    #[error("worker is leaving")]
     Leaving,
-    /// It wants rest.
-    #[error("it rests")]
+    /// It has asked to back off.
+    #[error("worker is backing off")]
     Resting,
-    /// This gateway has used its share of the worker's rate limit.
-    #[error("its rate limit is reached")]
+    /// This gateway has used up its share of the worker's rate limit.
+    #[error("rate limit of the worker is reached")]
     RateLimited,
 }
 
-/// What a notice changed.
+/// The changes made by a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct NoticeNews {
-    /// The worker leaves, which was not known.
+    /// Whether the worker is leaving and this was not known before.
     pub leaves: bool,
-    /// It rests for so long, from now on or for longer than was known.
+    /// The back-off, counted from now, if it is new or longer than the known one.
     pub rest: Option<Duration>,
-    /// It names this limit, another than was known.
+    /// The rate limit that the worker states, if it differs from the known one.
     pub rate_limit: Option<RateLimit>,
 }
 
-/// A rest that a worker has asked for.
+/// A back-off that a worker has asked for.
 #[derive(Debug, Clone, Copy)]
-struct Rest {
+struct Backoff {
     until: Timestamp,
-    /// Requests under way since its end.
+    /// Requests in progress that were sent since the back-off was recorded.
     trials: u32,
 }
 
-/// The notices of workers, by their lives.
+/// The notices of workers, by incarnation.
 #[derive(Debug, Default)]
 pub(super) struct Notices {
-    /// When each worker that leaves was last announced, or said so.
+    /// When each leaving worker was last announced, or said that it is leaving.
     leaving: HashMap<WorkerKey, Timestamp>,
-    /// Those of them that are announced.
+    /// The leaving workers that are announced.
     leaving_announced: BTreeSet<WorkerKey>,
-    rests: HashMap<WorkerKey, Rest>,
+    backoffs: HashMap<WorkerKey, Backoff>,
 }
 
 impl Notices {
-    pub(super) fn leaves(&self, key: WorkerKey) -> bool {
+    pub(super) fn is_leaving(&self, key: WorkerKey) -> bool {
         self.leaving.contains_key(&key)
     }
 
-    /// A worker is announced, or not any more.
-    pub(super) fn announced(&mut self, key: WorkerKey, is_announced: bool) {
-        match is_announced && self.leaves(key) {
+    /// Records whether a worker is announced.
+    pub(super) fn set_announced(&mut self, key: WorkerKey, is_announced: bool) {
+        match is_announced && self.is_leaving(key) {
             true => self.leaving_announced.insert(key),
             false => self.leaving_announced.remove(&key),
         };
     }
 
-    /// Whether a worker is being tried after its rest by as many requests as there may be.
-    pub(super) fn is_on_trial(&self, key: WorkerKey) -> bool {
-        let rest = self.rests.get(&key);
-        rest.is_some_and(|rest| rest.trials >= MOST_TRIALS)
+    /// Returns whether a worker already has the maximum number of trial requests after its
+    /// back-off.
+    pub(super) fn has_max_trials(&self, key: WorkerKey) -> bool {
+        let backoff = self.backoffs.get(&key);
+        backoff.is_some_and(|backoff| backoff.trials >= MAX_TRIALS)
     }
 
-    /// When the rest of a worker is over, if it rests.
-    pub(super) fn rests_until(&self, now: Timestamp, key: WorkerKey) -> Option<Timestamp> {
-        let until = self.rests.get(&key)?.until;
+    /// Returns the end of a worker's back-off if it is backing off.
+    pub(super) fn backoff_until(&self, now: Timestamp, key: WorkerKey) -> Option<Timestamp> {
+        let until = self.backoffs.get(&key)?.until;
         (until > now).then_some(until)
     }
 
-    fn note(&mut self, now: Timestamp, key: WorkerKey, notice: WorkerNotice) -> NoticeNews {
-        let is_longer = |rest: &Duration| self.lengthen_rest(key, now + *rest);
-        let rest = notice.rest.filter(is_longer);
+    fn record(&mut self, now: Timestamp, key: WorkerKey, notice: WorkerNotice) -> NoticeNews {
+        let is_extension = |backoff: &Duration| self.extend_backoff(key, now + *backoff);
+        let rest = notice.rest.filter(is_extension);
         let leaves = notice.leaves && self.leaving.insert(key, now).is_none();
         NoticeNews {
             leaves,
@@ -115,35 +120,36 @@
         }
     }
 
-    /// A worker rests until then at least; returns whether that is news. Answers on different connections pass each
-    /// other, so that a shorter rest may be the older notice.
-    fn lengthen_rest(&mut self, key: WorkerKey, until: Timestamp) -> bool {
-        let Some(rest) = self.rests.get_mut(&key) else {
-            self.rests.insert(key, Rest { until, trials: 0 });
+    /// Makes a back-off last until `until` at least; returns whether this is a new or a clearly
+    /// longer one. Answers on different connections may arrive out of order, so a shorter back-off
+    /// may be the older notice and is ignored.
+    fn extend_backoff(&mut self, key: WorkerKey, until: Timestamp) -> bool {
+        let Some(backoff) = self.backoffs.get_mut(&key) else {
+            self.backoffs.insert(key, Backoff { until, trials: 0 });
             return true;
         };
-        let longer = until.since(rest.until);
-        rest.until = rest.until.max(until);
-        longer >= SAME_REST
+        let extension = until.since(backoff.until);
+        backoff.until = backoff.until.max(until);
+        extension >= MIN_BACKOFF_EXTENSION
     }
 
-    /// A request goes to a worker; returns whether it is one of those that try it after its rest.
-    pub(super) fn send_began(&mut self, key: WorkerKey) -> bool {
-        let rest = self.rests.get_mut(&key);
-        rest.map(|rest| rest.trials += 1).is_some()
+    /// Records a send to a worker; returns whether it is a trial after a back-off.
+    pub(super) fn begin_send(&mut self, key: WorkerKey) -> bool {
+        let backoff = self.backoffs.get_mut(&key);
+        backoff.map(|backoff| backoff.trials += 1).is_some()
     }
 
-    /// A request that was counted so is over.
-    pub(super) fn trial_ended(&mut self, key: WorkerKey) {
-        if let Some(rest) = self.rests.get_mut(&key) {
-            rest.trials = rest.trials.saturating_sub(1);
+    /// Records that a trial request has ended.
+    pub(super) fn end_trial(&mut self, key: WorkerKey) {
+        if let Some(backoff) = self.backoffs.get_mut(&key) {
+            backoff.trials = backoff.trials.saturating_sub(1);
         }
     }
 
-    /// The worker has taken a request up: if its rest is over, it is done with it.
-    pub(super) fn took_up(&mut self, now: Timestamp, key: WorkerKey) {
-        if self.rests_until(now, key).is_none() {
-            self.rests.remove(&key);
+    /// Records that the worker has accepted a request: a back-off that has ended is forgotten.
+    pub(super) fn record_accepted(&mut self, now: Timestamp, key: WorkerKey) {
+        if self.backoff_until(now, key).is_none() {
+            self.backoffs.remove(&key);
         }
     }
 
@@ -153,15 +159,16 @@
             if announced.contains(key) {
                 *last = now;
             }
-            now.since(*last) < LEAVING_MEMORY
+            now.since(*last) < LEAVING_TTL
         });
-        let is_of_use = |rest: &Rest| now.since(rest.until) < REST_MEMORY;
-        self.rests.retain(|_, rest| is_of_use(rest));
+        let is_needed = |backoff: &Backoff| now.since(backoff.until) < BACKOFF_TTL;
+        self.backoffs.retain(|_, backoff| is_needed(backoff));
     }
 }
 
 impl Directory {
-    /// A worker has said something of itself, to this gateway or to one whose requests this one places.
+    /// Applies a notice that a worker gave to this gateway, or to a gateway whose requests this one
+    /// places.
     pub fn take_notice(
         &mut self,
         now: Timestamp,
@@ -172,37 +179,38 @@
             return NoticeNews::default();
         }
         let key = WorkerKey::of(id);
-        let mut news = self.notices.note(now, key, notice);
+        let mut changes = self.notices.record(now, key, notice);
         let limit = notice.rate_limit;
-        news.rate_limit = limit.filter(|limit| self.rate_limits.named(now, key, *limit));
-        if news.leaves {
+        changes.rate_limit = limit.filter(|limit| self.rate_limits.record_limit(now, key, *limit));
+        if changes.leaves {
             if let Some(tracked) = self.workers.get_mut(&key) {
                 tracked.worker.state = WorkerState::Draining;
-                self.notices.announced(key, tracked.announced);
+                self.notices.set_announced(key, tracked.announced);
             }
-            self.index(key);
+            self.update_index(key);
         }
-        news
+        changes
     }
 
-    /// What a worker has said of itself, as far as it holds now; its rate limit is told by
-    /// [`Self::stated_rate_limit`].
+    /// Returns the notice of a worker as far as it is in force now. Its rate limit is not included:
+    /// see [`Self::stated_rate_limit`].
     pub fn notice_of(&self, now: Timestamp, id: &WorkerId) -> WorkerNotice {
         let key = WorkerKey::of(id);
-        let until = self.notices.rests_until(now, key);
+        let until = self.notices.backoff_until(now, key);
         WorkerNotice {
-            leaves: self.notices.leaves(key),
+            leaves: self.notices.is_leaving(key),
             rest: until.map(|until| until.since(now)),
             rate_limit: None,
         }
     }
 
-    /// Whether a worker has said that it leaves.
+    /// Returns whether a worker has stated that it is leaving.
     pub fn has_said_that_it_leaves(&self, id: &WorkerId) -> bool {
-        self.notices.leaves(WorkerKey::of(id))
+        self.notices.is_leaving(WorkerKey::of(id))
     }
 
-    /// Why nothing may be sent to a worker; none if something may.
+    /// Returns the reason why nothing may be sent to a worker, if there is one. Rate limits are not
+    /// considered.
     pub fn unavailable(&self, now: Timestamp, id: &WorkerId) -> Option<Unavailable> {
         let notice = self.notice_of(now, id);
         match (notice.leaves, notice.rest) {
@@ -212,24 +220,25 @@
         }
     }
 
-    /// Workers to which nothing may be sent though the store may still announce them as ready, for a scheduler that
-    /// may not have heard it. If there are more than can be named, some of them.
+    /// Returns workers to which nothing may be sent although the store may still announce them as
+    /// ready, for a scheduler that may not know of their notices. At most `MAX_NAMED_WORKERS` are
+    /// returned.
     pub fn unavailable_workers(&self, now: Timestamp) -> Vec<WorkerId> {
         let leaving = self.notices.leaving_announced.iter();
-        let resting = self.notices.rests.iter().take(MOST_LOOKED_AT);
-        let resting = resting.filter(|(_, rest)| rest.until > now);
-        let keys = resting.map(|(key, _)| key).chain(leaving);
+        let backing_off = self.notices.backoffs.iter().take(MAX_EXAMINED_BACKOFFS);
+        let backing_off = backing_off.filter(|(_, backoff)| backoff.until > now);
+        let keys = backing_off.map(|(key, _)| key).chain(leaving);
         let known = keys.filter_map(|key| self.workers.get(key));
         let ids = known.map(|tracked| tracked.worker.id.clone());
-        ids.take(MOST_NAMED).collect()
+        ids.take(MAX_NAMED_WORKERS).collect()
     }
 
-    /// How many notices of workers are kept.
+    /// Returns the number of notices that are kept.
     pub fn kept_notices(&self) -> usize {
-        self.notices.leaving.len() + self.notices.rests.len() + self.kept_rate_limits()
+        self.notices.leaving.len() + self.notices.backoffs.len() + self.kept_rate_limits()
     }
 
-    /// Forgets notices that have lost their use.
+    /// Removes notices that are no longer needed.
     pub fn expire_notices(&mut self, now: Timestamp) {
         self.notices.expire(now);
         self.expire_rate_limits(now);
--- a/crates/forwarding/src/directory/part_holders.rs
+++ b/crates/forwarding/src/directory/part_holders.rs
@@ -1,5 +1,5 @@
-//! Which workers are believed to hold a part of a prompt, so that those that hold the start of one are found
-//! without a look at all caches.
+//! Which workers are assumed to have a part of a prompt in their caches. With this index, the
+//! workers that have the start of a prompt are found without examining all caches.
 
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Bound;
@@ -8,8 +8,9 @@
 use crate::load_exchange::WorkerKey;
 use crate::selection::PromptPart;
 
-/// The most holders of a prompt's parts that a request looks at. A part that thousands hold is not worth
-/// more looks: among as many drawn at random, one with time left is found about as well as among all.
+/// Maximum number of holders of a prompt's parts that a request examines. Examining more does not
+/// pay for a part that thousands hold: among this many random holders, one with free time is found
+/// about as well as among all.
 const MAX_HOLDERS: usize = 64;
 
 /// The index.
@@ -19,7 +20,7 @@
 }
 
 impl PartHolders {
-    /// Takes in what a worker's cache holds now, and does not hold any more.
+    /// Applies a change of what a worker's cache holds.
     pub(super) fn apply(&mut self, worker: WorkerKey, change: &CacheChange) {
         if let Some(part) = change.kept {
             self.by_part.entry(part).or_default().insert(worker);
@@ -29,7 +30,7 @@
         }
     }
 
-    /// A worker does not hold a part any more.
+    /// Records that a worker does not hold a part any more.
     pub(super) fn remove(&mut self, worker: WorkerKey, part: PartKey) {
         let Some(holders) = self.by_part.get_mut(&part) else {
             return;
@@ -40,8 +41,9 @@
         }
     }
 
-    /// Workers that hold parts of a prompt, [`MAX_HOLDERS`] at most: those with the later parts first, as they
-    /// hold most of it; of too many that hold the same part, those that follow a random number.
+    /// Returns workers that hold parts of a prompt, at most [`MAX_HOLDERS`]. Those that hold later
+    /// parts come first, as they hold most of the prompt; if too many hold the same part, a random
+    /// number determines which are returned.
     pub(super) fn of_prompt(&self, prompt: &[PromptPart], draw: u64) -> Vec<WorkerKey> {
         let mut found = BTreeSet::new();
         for part in prompt.iter().rev() {
--- a/crates/forwarding/src/directory/prediction.rs
+++ b/crates/forwarding/src/directory/prediction.rs
@@ -1,59 +1,60 @@
-//! The seconds that a demand is expected to take at a worker. See the module doc of the directory.
+//! The seconds that a demand is expected to take at a worker. See the module documentation of the
+//! directory.
 
 use std::net::SocketAddr;
 
 use tansyhall_core::{ServiceName, Timestamp};
 
 use super::choice::Demand;
-use super::costs::{ContinuingWork, EngineCosts, EngineWork, ReadingWork};
-use super::length_biased_mean::UsualSeconds;
-use super::tracked::Tracked;
+use super::costs::{ContinuingWork, EngineCosts, EngineWork, PrefillWork};
+use super::length_biased_mean::LengthBiasedMean;
+use super::tracked::TrackedWorker;
 use super::Directory;
 use crate::selection::{prompt_tokens, Need};
 
-/// A copy pushes as many tokens out of a full cache: the part of the time to read them again that
-/// this counts for.
-const DISPLACEMENT: f64 = 0.3;
-/// How many times longer a transfer between zones takes.
-const OTHER_ZONE_FETCH: f64 = 2.0;
-/// How many times over a transfer counts when it is weighed against reading: moves wait for each
-/// other, and what they take of a link others lack.
+/// Copying tokens into a full cache evicts as many: the fraction of the time to read those again
+/// that is added as a cost.
+const EVICTION_WEIGHT: f64 = 0.3;
+/// Factor by which a transfer between zones takes longer.
+const OTHER_ZONE_TRANSFER_FACTOR: f64 = 2.0;
+/// Weight of a transfer when it is compared with reading: transfers wait for each other, and the
+/// link bandwidth that they use is lacking elsewhere.
 const TRANSFER_WEIGHT: f64 = 2.0;
 
-/// A demand with what is the same for every worker that is compared for it.
+/// A demand with what is the same for all workers compared for it.
 pub(super) struct Comparison<'a> {
     pub(super) now: Timestamp,
     pub(super) demand: Demand<'a>,
     pub(super) costs: EngineCosts,
-    pub(super) hold: f64,
-    /// Seconds in which the workers of the service usually answer a request without a prompt.
-    pub(super) plain_latency: f64,
+    pub(super) hold_seconds: f64,
+    /// Latency in seconds that is usual for requests without a prompt at the service.
+    pub(super) promptless_latency: f64,
     pub(super) holders: Vec<Holder<'a>>,
     pub(super) prompt_tokens: u64,
-    /// Whether the demand leaves a few places to more urgent ones.
+    /// Whether the demand leaves a few slots to more urgent ones.
     pub(super) yields: bool,
 }
 
-/// A worker that holds the start of a prompt.
+/// A worker that has the start of a prompt in its cache.
 pub(super) struct Holder<'a> {
-    tracked: &'a Tracked,
+    tracked: &'a TrackedWorker,
     tokens: u64,
 }
 
-/// What reading a prompt at a worker takes.
-pub(super) struct Reading {
-    /// Tokens that neither the worker nor another holds.
+/// What it takes to read a prompt at a worker.
+pub(super) struct PrefillEstimate {
+    /// Tokens that must be read: they are neither in the worker's cache nor fetched from another.
     pub(super) missing_tokens: u64,
-    /// Seconds to fetch what another holds over an idle link.
+    /// Seconds to fetch cached tokens from another worker over an idle link.
     pub(super) transfer_seconds: f64,
-    /// Seconds that the fetch counts for, with what the copy displaces.
+    /// Cost of the fetch in seconds, including what the copy evicts.
     pub(super) fetch_seconds: f64,
-    /// The worker to fetch from.
+    /// Address of the worker to fetch from.
     pub(super) source: Option<SocketAddr>,
 }
 
 impl Directory {
-    /// What is the same for every worker that is compared for a demand.
+    /// Returns what is the same for all workers compared for a demand.
     pub(super) fn comparison<'a>(&'a self, now: Timestamp, demand: Demand<'a>) -> Comparison<'a> {
         let tokens = prompt_tokens(demand.prompt);
         let costs = self.costs.get(demand.service).cloned().unwrap_or_default();
@@ -65,11 +66,11 @@
             now,
             demand,
             costs,
-            hold: self
+            hold_seconds: self
                 .hold_seconds
                 .get(demand.service)
-                .map_or(0.0, UsualSeconds::seconds),
-            plain_latency: self.plain_latency(demand.service),
+                .map_or(0.0, LengthBiasedMean::seconds),
+            promptless_latency: self.promptless_latency(demand.service),
             holders,
             prompt_tokens: tokens,
             yields: demand.yields && self.decisions.yielded_places,
@@ -78,12 +79,12 @@
 
     fn holders<'a>(&'a self, demand: Demand<'a>) -> Vec<Holder<'a>> {
         let holders = self.part_holders.of_prompt(demand.prompt, demand.draw);
-        let members = holders
+        let announced = holders
             .into_iter()
-            .inspect(|_| self.look())
+            .inspect(|_| self.count_examined())
             .filter_map(|key| self.workers.get(&key))
             .filter(|tracked| tracked.announced && tracked.worker.service == *demand.service);
-        members
+        announced
             .map(|tracked| Holder {
                 tracked,
                 tokens: tracked.cache.ready_tokens(demand.prompt),
@@ -92,67 +93,68 @@
             .collect()
     }
 
-    /// Seconds until a worker is expected to answer, as they count for the demand's gateway.
+    /// Returns the seconds until a worker is expected to answer, with all penalties for the
+    /// demand's gateway.
     pub(super) fn expected_seconds(
         &self,
-        tracked: &Tracked,
+        tracked: &TrackedWorker,
         need: &Need,
         comparison: &Comparison<'_>,
     ) -> f64 {
         let demand = &comparison.demand;
         match need {
             Need::Run if demand.prompt.is_empty() => {
-                let usual = comparison.plain_latency;
-                let seconds = tracked.plain_seconds_from(demand.zone, usual);
-                tracked.weigh(comparison.now, seconds)
+                let service_latency = comparison.promptless_latency;
+                let seconds = tracked.promptless_seconds_from(demand.zone, service_latency);
+                tracked.penalize_failures(comparison.now, seconds)
             }
             Need::Run | Need::ReadPrompt => {
-                let reading = self.reading(tracked, comparison);
-                let work = self.reading_work(tracked, &reading, comparison);
-                let work = EngineWork::reading(tracked.worker.role, work);
+                let estimate = self.prefill_estimate(tracked, comparison);
+                let work = self.prefill_work(tracked, &estimate, comparison);
+                let work = EngineWork::prefill(tracked.worker.role, work);
                 let seconds = comparison.costs.seconds(&work) * tracked.slowness
-                    + self.harm_seconds(tracked, &reading, comparison)
-                    + tracked.place_seconds(comparison.hold, comparison.yields)
-                    + reading.fetch_seconds;
-                tracked.weigh(comparison.now, seconds)
+                    + self.stream_delay_seconds(tracked, &estimate, comparison)
+                    + tracked.slot_wait_seconds(comparison.hold_seconds, comparison.yields)
+                    + estimate.fetch_seconds;
+                tracked.penalize_failures(comparison.now, seconds)
             }
             Need::Continue { .. } => {
                 let copied = comparison.prompt_tokens - tracked.cache.kept_tokens(demand.prompt);
-                let displaced = self.displaced_seconds(copied, comparison);
+                let eviction_seconds = self.eviction_seconds(copied, comparison);
                 let work = self.engine_work(tracked, need, comparison);
                 let seconds = comparison.costs.seconds(&work) * tracked.slowness
-                    + tracked.place_seconds(comparison.hold, comparison.yields)
-                    + displaced;
-                tracked.weigh(comparison.now, seconds)
+                    + tracked.slot_wait_seconds(comparison.hold_seconds, comparison.yields)
+                    + eviction_seconds;
+                tracked.penalize_failures(comparison.now, seconds)
             }
         }
     }
 
-    /// Seconds that a reading costs the streams beside it.
-    fn harm_seconds(
+    /// Returns the seconds of delay that reading a prompt causes to the streams on the same engine.
+    fn stream_delay_seconds(
         &self,
-        tracked: &Tracked,
-        reading: &Reading,
+        tracked: &TrackedWorker,
+        estimate: &PrefillEstimate,
         comparison: &Comparison<'_>,
     ) -> f64 {
         match self.decisions.harm {
-            true => tracked.harm_seconds(reading.missing_tokens, &comparison.costs),
+            true => tracked.stream_delay_seconds(estimate.missing_tokens, &comparison.costs),
             false => 0.0,
         }
     }
 
-    /// Seconds that a copy of so many tokens counts for, as it pushes others out.
-    fn displaced_seconds(&self, tokens: u64, comparison: &Comparison<'_>) -> f64 {
+    /// Returns the cost in seconds of copying so many tokens into a cache, which evicts others.
+    fn eviction_seconds(&self, tokens: u64, comparison: &Comparison<'_>) -> f64 {
         match self.decisions.displacement {
-            true => comparison.costs.tokens_apart(tokens) * DISPLACEMENT,
+            true => comparison.costs.separate_prefill_seconds(tokens) * EVICTION_WEIGHT,
             false => 0.0,
         }
     }
 
-    /// What a demand asks of an engine.
+    /// Returns the work that a demand means for an engine.
     pub(super) fn engine_work(
         &self,
-        tracked: &Tracked,
+        tracked: &TrackedWorker,
         need: &Need,
         comparison: &Comparison<'_>,
     ) -> EngineWork {
@@ -162,40 +164,48 @@
             let reader = self.tracked(reader).map(|reader| &reader.worker.zone);
             let other_zone = reader.is_some_and(|zone| *zone != tracked.worker.zone);
             let copied = comparison.prompt_tokens - tracked.cache.kept_tokens(demand.prompt);
-            let way = if other_zone { OTHER_ZONE_FETCH } else { 1.0 };
+            let zone_factor = if other_zone {
+                OTHER_ZONE_TRANSFER_FACTOR
+            } else {
+                1.0
+            };
             return EngineWork::Continue(ContinuingWork {
                 requests: load.sends,
-                move_seconds: self.transfer_seconds(demand.service, copied) * way,
+                transfer_seconds: self.transfer_seconds(demand.service, copied) * zone_factor,
                 other_zone,
             });
         }
-        let reading = self.reading(tracked, comparison);
-        let work = self.reading_work(tracked, &reading, comparison);
-        EngineWork::reading(tracked.worker.role, work)
+        let estimate = self.prefill_estimate(tracked, comparison);
+        let work = self.prefill_work(tracked, &estimate, comparison);
+        EngineWork::prefill(tracked.worker.role, work)
     }
 
-    /// What reading the demand's prompt asks of an engine.
-    pub(super) fn reading_work(
+    /// Returns the work of reading the demand's prompt at an engine.
+    pub(super) fn prefill_work(
         &self,
-        tracked: &Tracked,
-        reading: &Reading,
+        tracked: &TrackedWorker,
+        estimate: &PrefillEstimate,
         comparison: &Comparison<'_>,
-    ) -> ReadingWork {
+    ) -> PrefillWork {
         let load = tracked.load();
-        ReadingWork {
+        PrefillWork {
             requests: load.sends,
             waiting_tokens: load.reading_tokens,
-            missing_tokens: reading.missing_tokens,
-            fetches: reading.source.is_some(),
+            missing_tokens: estimate.missing_tokens,
+            fetches: estimate.source.is_some(),
             prompt_tokens: comparison.prompt_tokens,
             other_zone: tracked.worker.zone != *comparison.demand.zone,
         }
     }
 
-    /// What reading the demand's prompt at a worker takes.
-    pub(super) fn reading(&self, tracked: &Tracked, comparison: &Comparison<'_>) -> Reading {
+    /// Returns what it takes to read the demand's prompt at a worker.
+    pub(super) fn prefill_estimate(
+        &self,
+        tracked: &TrackedWorker,
+        comparison: &Comparison<'_>,
+    ) -> PrefillEstimate {
         let kept = tracked.cache.kept_tokens(comparison.demand.prompt);
-        let lacking = comparison.prompt_tokens - kept;
+        let uncached = comparison.prompt_tokens - kept;
         let same_zone = |holder: &&Holder<'_>| holder.tracked.worker.zone == tracked.worker.zone;
         let source = comparison
             .holders
@@ -203,36 +213,36 @@
             .filter(|holder| holder.tracked.key != tracked.key)
             .filter(|holder| holder.tokens > kept)
             .max_by_key(|holder| (holder.tokens, same_zone(holder)));
-        let whole = Reading {
-            missing_tokens: lacking,
+        let without_fetch = PrefillEstimate {
+            missing_tokens: uncached,
             transfer_seconds: 0.0,
             fetch_seconds: 0.0,
             source: None,
         };
         let Some(holder) = source else {
-            return whole;
+            return without_fetch;
         };
         let fetched = holder.tokens - kept;
-        let way = match same_zone(&holder) {
+        let zone_factor = match same_zone(&holder) {
             true => 1.0,
-            false => OTHER_ZONE_FETCH,
+            false => OTHER_ZONE_TRANSFER_FACTOR,
         };
-        let transfer = self.transfer_seconds(comparison.demand.service, fetched) * way;
-        let read = comparison.costs.tokens_apart(fetched);
-        let displaced = self.displaced_seconds(fetched, comparison);
-        let fetch = transfer * TRANSFER_WEIGHT + displaced;
-        if read <= fetch + comparison.costs.any_fetch() {
-            return whole;
+        let transfer = self.transfer_seconds(comparison.demand.service, fetched) * zone_factor;
+        let prefill_seconds = comparison.costs.separate_prefill_seconds(fetched);
+        let eviction_seconds = self.eviction_seconds(fetched, comparison);
+        let fetch = transfer * TRANSFER_WEIGHT + eviction_seconds;
+        if prefill_seconds <= fetch + comparison.costs.fetch_overhead_seconds() {
+            return without_fetch;
         }
-        Reading {
-            missing_tokens: lacking - fetched,
+        PrefillEstimate {
+            missing_tokens: uncached - fetched,
             transfer_seconds: transfer,
             fetch_seconds: fetch,
             source: Some(holder.tracked.worker.address),
         }
     }
 
-    /// Seconds for tokens to move between two engines of a zone.
+    /// Returns the seconds to transfer tokens between two engines of a zone.
     pub(super) fn transfer_seconds(&self, service: &ServiceName, tokens: u64) -> f64 {
         self.engines.get(service).map_or(0.0, |engine| {
             tokens as f64 * engine.token_bytes / engine.link_bytes_per_second.max(1.0)
--- a/crates/forwarding/src/directory/rate_limits.rs
+++ b/crates/forwarding/src/directory/rate_limits.rs
@@ -1,12 +1,14 @@
-//! Rate limits that workers name ([`RateLimit`]), and this gateway's tokens for each.
+//! Rate limits that workers state ([`RateLimit`]), and this gateway's tokens for each.
 //!
-//! - A limit holds for as long as the worker names it. An answer without one ends it if its request was sent after the
-//!   worker was last known to name it: answers on different connections pass each other.
-//! - Of a limit, this gateway uses its share ([`LimitSharers`]), one token for each request that it sends or places. A
-//!   worker without a token is not chosen.
-//! - Gateways tell each other what workers have stated, and how long ago ([`StatedLimit`]): those that place requests
-//!   with their reports, others with their placements. One that has no share of a limit sends nothing there and would
-//!   never be told that it has ended. The newest statement counts.
+//! - A limit is in force for as long as the worker states it. An answer without one ends it if the
+//!   request was sent after the worker was last known to state it: answers on different connections
+//!   may arrive out of order.
+//! - This gateway uses its share of a limit ([`LimitSharers`]), one token for each request that it
+//!   sends or places. A worker for which it has no token is not chosen.
+//! - Gateways report to each other what workers have stated, and how long ago ([`StatedLimit`]):
+//!   those that place requests with their reports, the others with their placements. Otherwise a
+//!   gateway without a share of a limit, which sends nothing to that worker, would never learn that
+//!   the limit has ended. The newest statement wins.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -19,22 +21,24 @@
 use crate::rate_limit::{LimitSharers, RateLimit, StatedLimit};
 use crate::worker::WorkerId;
 
-/// How long it is kept what a worker stated of its limit: several repetitions by those that are told. The end of a limit
-/// is kept as long as any gateway may go by the limit.
-const MEMORY: Duration = Duration::from_secs(60);
-/// Pace at which statements are repeated, for gateways that missed one.
-const REPEAT_PACE: Duration = Duration::from_secs(5);
-/// Statements in one report: some 1.2 KB of a datagram.
+/// How long a worker's statement is kept: long enough for gateways that learn of it from others to
+/// receive several repetitions. The end of a limit is kept as long as any gateway may still apply
+/// the limit.
+const STATEMENT_TTL: Duration = Duration::from_secs(60);
+/// Interval at which statements are repeated, for gateways that missed one.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of statements in one report: about 1.2 KB of a datagram.
 const MAX_STATEMENTS: usize = 64;
-/// A limit that differs by less than this part of the one told last is not told again before it is repeated.
+/// A limit is not reported before the next repetition if it differs from the last reported one by
+/// at most one part in this many.
 const SAME_LIMIT_DIVISOR: u64 = 10;
 
-/// What became of asking for a token.
+/// The result of asking for a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RateToken {
-    /// The worker names no limit.
+    /// The worker states no limit.
     Unlimited,
-    /// A token of the worker's limit is taken.
+    /// A token of the worker's limit was taken.
     Taken,
     /// This gateway has none left.
     Missing,
@@ -42,21 +46,21 @@
 
 /// What is known of one worker's limit.
 #[derive(Debug)]
-struct Known {
-    /// The limit; none since it has ended.
+struct KnownLimit {
+    /// The limit; `None` once it has ended.
     limit: Option<RateLimit>,
     /// When the worker was last known to state this.
     stated_at: Timestamp,
-    /// Whether this gateway has it from an answer, not from another gateway's report.
+    /// Whether this gateway learned it from an answer, not from another gateway's report.
     is_first_hand: bool,
-    /// The limit that was told other gateways last.
-    told: Option<RateLimit>,
-    /// What this gateway may use of the limit.
+    /// The limit that was last reported to, or by, other gateways.
+    last_reported: Option<RateLimit>,
+    /// The part of the limit that this gateway may use.
     share: RateLimit,
     bucket: TokenBucket,
 }
 
-impl Known {
+impl KnownLimit {
     fn stated(&self, now: Timestamp) -> StatedLimit {
         StatedLimit {
             limit: self.limit,
@@ -64,7 +68,7 @@
         }
     }
 
-    /// Time until this gateway has a token; zero if it has one, or needs none.
+    /// Returns the time until this gateway has a token; zero if it has one or needs none.
     fn wait(&self, now: Timestamp) -> Duration {
         match self.limit {
             Some(_) => {
@@ -76,14 +80,14 @@
     }
 }
 
-/// The limits of all workers, by their lives.
+/// The limits of all workers, by incarnation.
 #[derive(Debug, Default)]
 pub(super) struct RateLimits {
     sharers: LimitSharers,
-    known: HashMap<WorkerKey, Known>,
-    /// Those that are to be told to other gateways.
-    untold: BTreeSet<WorkerKey>,
-    repeated: Timestamp,
+    known: HashMap<WorkerKey, KnownLimit>,
+    /// Workers whose limits are due to be reported to other gateways.
+    unreported: BTreeSet<WorkerKey>,
+    repeated_at: Timestamp,
 }
 
 impl RateLimits {
@@ -96,36 +100,43 @@
         }
     }
 
-    /// A worker names a limit in an answer; returns whether it is news.
-    pub(super) fn named(&mut self, now: Timestamp, key: WorkerKey, limit: RateLimit) -> bool {
+    /// Records a limit that a worker stated in an answer; returns whether it differs noticeably
+    /// from the last reported one.
+    pub(super) fn record_limit(
+        &mut self,
+        now: Timestamp,
+        key: WorkerKey,
+        limit: RateLimit,
+    ) -> bool {
         self.record(now, key, Some(limit), now);
         let Some(known) = self.known.get_mut(&key) else {
             return false;
         };
         known.is_first_hand = true;
-        let is_news = !is_alike(known.told, limit);
-        if is_news {
-            known.told = Some(limit);
-            self.untold.insert(key);
+        let is_new = !is_similar(known.last_reported, limit);
+        if is_new {
+            known.last_reported = Some(limit);
+            self.unreported.insert(key);
         }
-        is_news
+        is_new
     }
 
-    /// A worker named no limit in the answer to a request that was sent at `sent`; returns whether that ends one.
-    fn not_named(&mut self, now: Timestamp, key: WorkerKey, sent: Timestamp) -> bool {
-        let ends = |known: &&mut Known| known.limit.is_some() && sent > known.stated_at;
+    /// Records that a worker stated no limit in its answer to a request sent at `sent`; returns
+    /// whether this ends a limit.
+    fn record_no_limit(&mut self, now: Timestamp, key: WorkerKey, sent: Timestamp) -> bool {
+        let ends = |known: &&mut KnownLimit| known.limit.is_some() && sent > known.stated_at;
         let Some(known) = self.known.get_mut(&key).filter(ends) else {
             return false;
         };
         known.is_first_hand = true;
-        known.told = None;
+        known.last_reported = None;
         self.record(now, key, None, sent);
-        self.untold.insert(key);
+        self.unreported.insert(key);
         true
     }
 
-    /// Another gateway tells what a worker has stated.
-    pub(super) fn hear(&mut self, now: Timestamp, key: WorkerKey, stated: StatedLimit) {
+    /// Records another gateway's report of what a worker has stated.
+    pub(super) fn receive(&mut self, now: Timestamp, key: WorkerKey, stated: StatedLimit) {
         let stated_at = now - stated.age;
         let known = self.known.get(&key);
         if known.is_some_and(|known| stated_at <= known.stated_at) {
@@ -134,11 +145,11 @@
         self.record(now, key, stated.limit, stated_at);
         if let Some(known) = self.known.get_mut(&key) {
             known.is_first_hand = false;
-            known.told = stated.limit;
+            known.last_reported = stated.limit;
         }
     }
 
-    /// Keeps what a worker has stated; a limit after none begins without tokens.
+    /// Stores what a worker has stated. A limit that follows no limit starts without tokens.
     fn record(
         &mut self,
         now: Timestamp,
@@ -147,11 +158,11 @@
         stated_at: Timestamp,
     ) {
         let share = limit.map(|limit| self.sharers.share_of(limit, key));
-        let known = self.known.entry(key).or_insert_with(|| Known {
+        let known = self.known.entry(key).or_insert_with(|| KnownLimit {
             limit: None,
             stated_at,
             is_first_hand: false,
-            told: None,
+            last_reported: None,
             share: RateLimit::default(),
             bucket: TokenBucket::empty(now),
         });
@@ -172,13 +183,13 @@
         Some(known.stated(now))
     }
 
-    /// Time until this gateway may send to a worker, as far as its limit goes.
+    /// Returns the time until the worker's limit allows this gateway to send.
     pub(super) fn wait(&self, now: Timestamp, key: WorkerKey) -> Duration {
         let known = self.known.get(&key);
         known.map_or(Duration::ZERO, |known| known.wait(now))
     }
 
-    fn take(&mut self, now: Timestamp, key: WorkerKey) -> RateToken {
+    fn take_token(&mut self, now: Timestamp, key: WorkerKey) -> RateToken {
         let known = self.known.get_mut(&key);
         let Some(known) = known.filter(|known| known.limit.is_some()) else {
             return RateToken::Unlimited;
@@ -190,21 +201,26 @@
         }
     }
 
-    fn give_back(&mut self, now: Timestamp, key: WorkerKey) {
+    fn return_token(&mut self, now: Timestamp, key: WorkerKey) {
         if let Some(known) = self.known.get_mut(&key) {
             let rate = known.share.millirequests_per_second();
             known.bucket.step(now, rate, BucketEvent::GiveBack(1));
         }
     }
 
-    /// What other gateways are to be told now.
-    pub(super) fn due(&mut self, now: Timestamp) -> Vec<LimitStatement> {
-        if now.since(self.repeated) >= REPEAT_PACE {
-            self.repeated = now;
-            let own = self.known.iter().filter(|(_, known)| known.is_first_hand);
-            self.untold.extend(own.map(|(key, _)| *key));
+    /// Takes the statements that are due to be reported to other gateways.
+    pub(super) fn take_due(&mut self, now: Timestamp) -> Vec<LimitStatement> {
+        if now.since(self.repeated_at) >= REPEAT_INTERVAL {
+            self.repeated_at = now;
+            let first_hand = self.known.iter().filter(|(_, known)| known.is_first_hand);
+            self.unreported.extend(first_hand.map(|(key, _)| *key));
         }
-        let due: Vec<WorkerKey> = self.untold.iter().take(MAX_STATEMENTS).copied().collect();
+        let due: Vec<WorkerKey> = self
+            .unreported
+            .iter()
+            .take(MAX_STATEMENTS)
+            .copied()
+            .collect();
         let statements = due.iter().filter_map(|key| {
             let known = self.known.get(key)?;
             Some(LimitStatement {
@@ -214,14 +230,14 @@
         });
         let statements = statements.collect();
         for key in due {
-            self.untold.remove(&key);
+            self.unreported.remove(&key);
         }
         statements
     }
 
     fn expire(&mut self, now: Timestamp) {
         self.known
-            .retain(|_, known| now.since(known.stated_at) < MEMORY);
+            .retain(|_, known| now.since(known.stated_at) < STATEMENT_TTL);
     }
 
     fn len(&self) -> usize {
@@ -229,61 +245,63 @@
     }
 }
 
-/// Whether a limit hardly differs from the one that was told.
-fn is_alike(told: Option<RateLimit>, limit: RateLimit) -> bool {
-    told.is_some_and(|told| {
-        let (told, limit) = (
-            told.millirequests_per_second(),
+/// Returns whether a limit hardly differs from the last reported one.
+fn is_similar(reported: Option<RateLimit>, limit: RateLimit) -> bool {
+    reported.is_some_and(|reported| {
+        let (reported, limit) = (
+            reported.millirequests_per_second(),
             limit.millirequests_per_second(),
         );
-        told.abs_diff(limit) <= told / SAME_LIMIT_DIVISOR
+        reported.abs_diff(limit) <= reported / SAME_LIMIT_DIVISOR
     })
 }
 
 impl Directory {
-    /// Takes in the gateways among which limits are divided.
+    /// Sets the gateways among which limits are divided.
     pub fn set_limit_sharers(&mut self, sharers: LimitSharers) {
         self.rate_limits.set_sharers(sharers);
     }
 
-    /// A worker named no limit in its answer to a request that was sent at `sent`; returns whether that ends one.
+    /// Records that a worker stated no limit in its answer to a request sent at `sent`; returns
+    /// whether this ends a limit.
     pub fn rate_limit_not_named(&mut self, now: Timestamp, id: &WorkerId, sent: Timestamp) -> bool {
-        self.rate_limits.not_named(now, WorkerKey::of(id), sent)
+        self.rate_limits
+            .record_no_limit(now, WorkerKey::of(id), sent)
     }
 
-    /// Another gateway tells what a worker has stated of its limit.
+    /// Records another gateway's report of what a worker has stated about its limit.
     pub fn hear_rate_limit(&mut self, now: Timestamp, id: &WorkerId, stated: StatedLimit) {
         if self.decisions.worker_notices {
-            self.rate_limits.hear(now, WorkerKey::of(id), stated);
+            self.rate_limits.receive(now, WorkerKey::of(id), stated);
         }
     }
 
-    /// What a worker has stated of its limit, if that is known.
+    /// Returns what a worker has stated about its limit, if that is known.
     pub fn stated_rate_limit(&self, now: Timestamp, id: &WorkerId) -> Option<StatedLimit> {
         self.rate_limits.stated(now, WorkerKey::of(id))
     }
 
-    /// The limit that a worker names.
+    /// Returns the limit that a worker states.
     pub fn rate_limit_of(&self, id: &WorkerId) -> Option<RateLimit> {
         self.rate_limits.limit(WorkerKey::of(id))
     }
 
-    /// Asks for a token for one request to a worker.
+    /// Takes a token for one request to a worker, if there is one.
     pub fn take_rate_token(&mut self, now: Timestamp, id: &WorkerId) -> RateToken {
-        self.rate_limits.take(now, WorkerKey::of(id))
+        self.rate_limits.take_token(now, WorkerKey::of(id))
     }
 
-    /// A token was taken for a request that was not sent.
+    /// Returns a token that was taken for a request that was not sent.
     pub fn give_back_rate_token(&mut self, now: Timestamp, id: &WorkerId) {
-        self.rate_limits.give_back(now, WorkerKey::of(id));
+        self.rate_limits.return_token(now, WorkerKey::of(id));
     }
 
-    /// How many limits of workers are kept, those that have just ended included.
+    /// Returns the number of worker limits that are kept, including recently ended ones.
     pub fn kept_rate_limits(&self) -> usize {
         self.rate_limits.len()
     }
 
-    /// Forgets limits that nobody was told of for long.
+    /// Removes statements that have not been repeated within [`STATEMENT_TTL`].
     pub(super) fn expire_rate_limits(&mut self, now: Timestamp) {
         self.rate_limits.expire(now);
     }
--- a/crates/forwarding/src/directory/sampling.rs
+++ b/crates/forwarding/src/directory/sampling.rs
@@ -1,10 +1,11 @@
-//! Which workers are compared for a request, where many gateways place requests at the same time.
+//! Which workers are compared for a request where many gateways place requests at the same time.
 //!
-//! What others place is known with their next report. If each compared all workers, all would find the same
-//! one the best until then, and send what they have to it. So each request compares a random part of the
-//! workers, beside those that hold a part of its prompt: as many that between two reports the requests of
-//! all others look at one worker about once. The best of a few drawn at random is
-//! nearly as good as the best of all.
+//! A gateway learns what others have placed only with their next report. If each gateway compared
+//! all workers, all would find the same worker the best until then and send their requests to it.
+//! Therefore each request compares a random sample of the workers, plus those that have a part of
+//! its prompt cached. The sample is chosen so large that the requests of all other gateways examine
+//! one worker about once between two reports. The best of a few workers drawn at random is nearly
+//! as good as the best of all.
 
 use std::time::Duration;
 
@@ -12,60 +13,62 @@
 
 use crate::rate::Rate;
 
-/// How often other gateways' requests look at one worker between two of their reports. With two and more,
-/// `placements.rs` finds engines loaded more unevenly.
-const LOOKS_BETWEEN_REPORTS: f64 = 1.0;
-/// The least number of workers that are compared. The best of four is much better than one at random, and
+/// How often the requests of other gateways examine one worker between two of their reports. With a
+/// value of two or more, the test `placements.rs` finds engines loaded more unevenly.
+const EXAMINATIONS_PER_REPORT_INTERVAL: f64 = 1.0;
+/// Minimum number of workers to compare. The best of four is much better than a random one, and
 /// more add little (the power of several choices).
-const LEAST_COMPARED: f64 = 4.0;
-/// The most workers that are compared, however few requests come: the best of so many drawn at random is among
-/// the best hundredth of all with a chance of 92%, and a request costs the same before 10,000 engines as before 300.
-const MOST_COMPARED: usize = 256;
-/// Odd, with ones and zeros in no pattern: spreads keys by multiplication (Fibonacci hashing).
-const SPREAD: u64 = 0x9E37_79B9_7F4A_7C15;
+const MIN_COMPARED: f64 = 4.0;
+/// Maximum number of workers to compare, however few requests arrive: the best of so many random
+/// ones is among the best hundredth of all with a probability of 92%, and a request costs the same
+/// with 10,000 engines as with 300.
+const MAX_COMPARED: usize = 256;
+/// An odd number without a bit pattern: multiplying by it spreads keys (Fibonacci hashing).
+const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// How many workers a request compares.
+/// Determines how many workers a request compares.
 #[derive(Debug, Default)]
 pub(super) struct Sampling {
     own_sends: Rate,
-    others: usize,
-    report_pause: Duration,
+    other_gateways: usize,
+    report_interval: Duration,
 }
 
 impl Sampling {
-    /// So many other gateways place requests, and report them at such a pause.
-    pub(super) fn set_exchange(&mut self, others: usize, report_pause: Duration) {
-        self.others = others;
-        self.report_pause = report_pause;
+    /// Sets the number of other gateways that place requests, and the interval of their reports.
+    pub(super) fn set_exchange(&mut self, other_gateways: usize, report_interval: Duration) {
+        self.other_gateways = other_gateways;
+        self.report_interval = report_interval;
     }
 
-    /// This gateway has placed a request.
+    /// Records that this gateway has placed a request.
     pub(super) fn record_send(&mut self, now: Timestamp) {
         self.own_sends.record(now, 1.0);
     }
 
-    /// How many of `candidates` workers a request compares, those that hold a part of its prompt aside. Other
-    /// gateways are taken to place as much as this one.
-    pub(super) fn count(&self, now: Timestamp, candidates: usize) -> usize {
-        let others_sends = self.own_sends.a_second(now) * self.others as f64;
-        let unreported = others_sends * self.report_pause.as_secs_f64();
-        let count = match unreported > LOOKS_BETWEEN_REPORTS {
-            true => candidates as f64 * LOOKS_BETWEEN_REPORTS / unreported,
+    /// Returns how many of `candidates` workers a request compares, not counting those that have a
+    /// part of its prompt cached. Other gateways are assumed to place as many requests as this one.
+    pub(super) fn sample_size(&self, now: Timestamp, candidates: usize) -> usize {
+        let other_sends = self.own_sends.a_second(now) * self.other_gateways as f64;
+        let unreported = other_sends * self.report_interval.as_secs_f64();
+        let count = match unreported > EXAMINATIONS_PER_REPORT_INTERVAL {
+            true => candidates as f64 * EXAMINATIONS_PER_REPORT_INTERVAL / unreported,
             false => candidates as f64,
         };
-        (count.max(LEAST_COMPARED).ceil() as usize).min(MOST_COMPARED)
+        (count.max(MIN_COMPARED).ceil() as usize).min(MAX_COMPARED)
     }
 }
 
-/// Positions among `candidates` that are drawn by a request's random number: `count`, some of them twice.
+/// Returns `count` positions below `candidates`, drawn with a request's random number; some may be
+/// equal.
 pub(super) fn drawn_positions(
     draw: u64,
     count: usize,
     candidates: usize,
 ) -> impl Iterator<Item = usize> {
     (0..count as u64).map(move |number| {
-        let mixed = (draw ^ number.wrapping_mul(SPREAD)).wrapping_mul(SPREAD);
-        let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(SPREAD);
+        let mixed = (draw ^ number.wrapping_mul(HASH_MULTIPLIER)).wrapping_mul(HASH_MULTIPLIER);
+        let mixed = (mixed ^ (mixed >> 32)).wrapping_mul(HASH_MULTIPLIER);
         ((u128::from(mixed) * candidates as u128) >> u64::BITS) as usize
     })
 }
--- a/crates/forwarding/src/directory/sharing.rs
+++ b/crates/forwarding/src/directory/sharing.rs
@@ -1,4 +1,4 @@
-//! What the directory tells other gateways and learns from them.
+//! What the directory reports to other gateways and learns from their reports.
 
 use std::time::Duration;
 
@@ -11,69 +11,70 @@
 use crate::selection::{prompt_tokens, PromptPart};
 use crate::worker::WorkerId;
 
-/// Other gateways are told of the parts of prompts that are at least this long.
+/// Minimum length of the prompts whose parts are reported to other gateways.
 const REPORTED_PROMPT_TOKENS: u64 = 1_000;
-/// Pace at which loads that were not repeated are looked for.
-const STALE_PACE: Duration = Duration::from_millis(200);
+/// Interval at which loads that were not repeated are looked for.
+const STALE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Directory {
-    /// The report of this gateway's load that is due, if any.
+    /// Returns the report of this gateway's load that is due, if there is one.
     pub fn report_due(&mut self, now: Timestamp) -> Option<LoadReport> {
-        if now.since(self.stale_dropped) >= STALE_PACE {
-            self.stale_dropped = now;
+        if now.since(self.stale_dropped_at) >= STALE_CHECK_INTERVAL {
+            self.stale_dropped_at = now;
             self.drop_stale_loads(now);
             self.demands.drop_stale(now);
         }
         let demands = &self.demands;
-        let rate_limits = self.rate_limits.due(now);
+        let rate_limits = self.rate_limits.take_due(now);
         self.reporter.flush(now, rate_limits, || demands.own(now))
     }
 
-    /// Takes in another gateway's report.
+    /// Applies another gateway's report.
     pub fn hear(&mut self, now: Timestamp, report: &LoadReport) {
-        let last = self.heard.entry(report.sender).or_default();
+        let last = self.last_sequences.entry(report.sender).or_default();
         if report.sequence <= *last {
             return;
         }
         *last = report.sequence;
         let Decisions {
             reported_load,
-            absence: absences_count,
+            absence: uses_absences,
             worker_notices,
             ..
         } = self.decisions;
         for entry in report.loads.iter().filter(|_| reported_load) {
             if let Some(tracked) = self.workers.get_mut(&entry.worker) {
-                tracked.hear(now, report.sender, entry.load);
-                self.busy_for_others.insert(entry.worker);
+                tracked.receive_load(now, report.sender, entry.load);
+                self.loaded_by_others.insert(entry.worker);
             }
         }
         self.learn_parts(now, &report.parts);
         for demand in &report.demands {
-            self.demands.hear(now, report.sender, *demand);
+            self.demands.receive(now, report.sender, *demand);
         }
         for statement in report.rate_limits.iter().filter(|_| worker_notices) {
             let LimitStatement { worker, stated } = *statement;
-            self.rate_limits.hear(now, worker, stated);
+            self.rate_limits.receive(now, worker, stated);
         }
-        for absence in report.absences.iter().filter(|_| absences_count) {
+        for absence in report.absences.iter().filter(|_| uses_absences) {
             if let Some(tracked) = self.workers.get_mut(&absence.worker) {
-                tracked.found_absent(now);
+                tracked.mark_absent(now);
             }
         }
     }
 
-    /// Drops loads that others have not repeated. Only workers where they had something under way are looked at.
+    /// Drops loads that other gateways have not repeated. Only workers with reported load are
+    /// examined.
     fn drop_stale_loads(&mut self, now: Timestamp) {
         let workers = &mut self.workers;
-        self.busy_for_others.retain(|key| {
+        self.loaded_by_others.retain(|key| {
             workers
                 .get_mut(key)
                 .is_some_and(|tracked| tracked.drop_stale(now))
         });
     }
 
-    /// The parts of prompts that are believed to lie in caches.
+    /// Returns the prompt parts that caches are assumed to hold and that can be fetched.
     pub fn known_parts(&self) -> Vec<PartRead> {
         let parts = self.workers.values().flat_map(|tracked| {
             let ready = tracked.cache.ready_parts();
@@ -87,10 +88,10 @@
         parts.collect()
     }
 
-    /// Takes in what another gateway believes of caches.
+    /// Applies what another gateway assumes about caches.
     pub fn learn_parts(&mut self, now: Timestamp, parts: &[PartRead]) {
-        let caches_count = self.decisions.caches;
-        for read in parts.iter().filter(|_| caches_count) {
+        let uses_caches = self.decisions.caches;
+        for read in parts.iter().filter(|_| uses_caches) {
             let capacity = self.capacity_by_key(read.worker);
             let Some(tracked) = self.workers.get_mut(&read.worker) else {
                 continue;
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Takes in what an engine says that its cache holds, and tells the other gateways.
+    /// Applies an engine's own list of what its cache holds, and reports it to the other gateways.
     pub fn list_parts(&mut self, now: Timestamp, id: &WorkerId, parts: &[PromptPart]) {
         let key = WorkerKey::of(id);
         if !self.workers.contains_key(&key) {
@@ -129,7 +130,7 @@
     }
 }
 
-/// Tells other gateways that a worker reads, or has read, a prompt.
+/// Reports to other gateways that a worker is reading, or has read, a prompt.
 pub(super) fn report_prompt(
     reporter: &mut LoadReporter,
     worker: WorkerKey,
--- a/crates/forwarding/src/directory/tenants.rs
+++ b/crates/forwarding/src/directory/tenants.rs
@@ -1,49 +1,50 @@
-//! How long requests of each tenant may wait, given what the tenant has taken of a service.
+//! How long requests of each tenant may wait, depending on what the tenant has taken of a service.
 
 use tansyhall_core::{ServiceName, Timestamp};
 
 use super::admission::{Admission, RefusalCause};
 use super::choice::Demand;
-use super::demand::AskedSeconds;
+use super::demand::RequiredSeconds;
 use super::Directory;
 use crate::tenant_shares::{TenantKey, TenantShares, WorkOutcome};
 
 impl Directory {
-    /// The part of the usual wait for which a request may wait.
-    pub(super) fn tenant_patience(&mut self, now: Timestamp, demand: Demand<'_>) -> f64 {
+    /// Returns the fraction of the usual wait for which a request may wait.
+    pub(super) fn tenant_wait_fraction(&mut self, now: Timestamp, demand: Demand<'_>) -> f64 {
         let shares = self.shares_of(demand);
         shares.map_or(1.0, |(shares, tenant)| shares.patience_part(now, tenant))
     }
 
-    /// Counts what a request asked for, and what became of it.
+    /// Records the engine time that a request required, and whether it was admitted.
     pub(super) fn record_tenant_work(
         &mut self,
         now: Timestamp,
         demand: Demand<'_>,
-        asked: AskedSeconds,
+        required: RequiredSeconds,
         admission: &Admission,
     ) {
-        let seconds = self.engine_seconds(demand.service, asked);
+        let seconds = self.engine_seconds(demand.service, required);
         if let Some((shares, tenant)) = self.shares_of(demand) {
-            shares.record(now, tenant, seconds, outcome(admission));
+            shares.record(now, tenant, seconds, work_outcome(admission));
         }
     }
 
-    /// The shares of the demand's service; none if the demand is no tenant's, or shares don't count.
+    /// Returns the shares of the demand's service; `None` if the demand belongs to no tenant or
+    /// shares are switched off.
     fn shares_of(&mut self, demand: Demand<'_>) -> Option<(&mut TenantShares, TenantKey)> {
         let tenant = demand.tenant.filter(|_| self.decisions.tenant_shares)?;
         let shares = self.tenant_shares.entry(demand.service.clone());
         Some((shares.or_default(), tenant))
     }
 
-    /// What is asked of a service in seconds of whole engines.
-    fn engine_seconds(&self, service: &ServiceName, asked: AskedSeconds) -> f64 {
+    /// Converts required engine time into seconds of complete engines.
+    fn engine_seconds(&self, service: &ServiceName, required: RequiredSeconds) -> f64 {
         let slots = self.engines.get(service).map_or(1, |engine| engine.slots);
-        asked.of_engines(slots)
+        required.whole_engine_seconds(slots)
     }
 }
 
-fn outcome(admission: &Admission) -> WorkOutcome {
+fn work_outcome(admission: &Admission) -> WorkOutcome {
     match admission {
         Admission::Taken { .. } => WorkOutcome::Taken,
         Admission::Refused { cause, .. } => match cause {
--- a/crates/forwarding/tests/directory.rs
+++ b/crates/forwarding/tests/directory.rs
@@ -1,4 +1,5 @@
-//! Which worker is chosen: by what is under way, what caches hold, and how workers answered.
+//! Tests which worker is chosen, given the requests in progress, the contents of caches, and how
+//! workers have answered.
 
 mod sample;
 
@@ -51,12 +52,12 @@
     vec![part(shared, tokens), part("own", 2_000)]
 }
 
-struct Asker {
+struct Caller {
     service: ServiceName,
     zone: ZoneName,
 }
 
-impl Asker {
+impl Caller {
     fn new() -> Self {
         Self {
             service: ServiceName::new("s"),
@@ -83,10 +84,10 @@
     }
 }
 
-/// Whether a prompt is read apart.
+/// Returns whether a prompt is read apart.
 fn reads_apart(directory: &mut Directory, prompt: &[PromptPart]) -> bool {
-    let asker = Asker::new();
-    let admission = directory.admit(NOW, asker.demand(prompt), OBJECTIVES);
+    let caller = Caller::new();
+    let admission = directory.admit(NOW, caller.demand(prompt), OBJECTIVES);
     matches!(
         admission,
         Admission::Taken {
@@ -96,15 +97,20 @@
     )
 }
 
-/// A send to a worker begins.
-fn begin(directory: &mut Directory, id: &str, prompt: &[PromptPart], need: &Need) -> SendTicket {
-    let demand = Asker::new();
+/// Begins a send to a worker.
+fn begin_send(
+    directory: &mut Directory,
+    id: &str,
+    prompt: &[PromptPart],
+    need: &Need,
+) -> SendTicket {
+    let demand = Caller::new();
     directory.send_began(NOW, &WorkerId::from(id), demand.demand(prompt), need)
 }
 
-/// Has a worker read a prompt from its begin to its end.
-fn read(directory: &mut Directory, id: &str, prompt: &[PromptPart]) {
-    let mut ticket = begin(directory, id, prompt, &Need::ReadPrompt);
+/// Lets a worker read a prompt from beginning to end.
+fn read_prompt(directory: &mut Directory, id: &str, prompt: &[PromptPart]) {
+    let mut ticket = begin_send(directory, id, prompt, &Need::ReadPrompt);
     let latency = Duration::from_millis(100);
     directory.prompt_was_read(NOW, &mut ticket, prompt, latency);
     directory.send_ended(NOW, &ticket, prompt, SendResult::Answered { latency });
@@ -112,59 +118,59 @@
 
 #[test]
 fn only_workers_that_take_requests_of_the_service_are_chosen() {
-    let asker = Asker::new();
+    let caller = Caller::new();
     let mut leaving = worker("a", "z", None);
     leaving.state = WorkerState::Draining;
-    let mut foreign = worker("b", "z", None);
-    foreign.service = ServiceName::new("t");
-    let directory = directory(vec![leaving, foreign, worker("c", "far", None)]);
-    assert_eq!(asker.choose(&directory, &[], &Need::Run), Some("c".into()));
+    let mut other_service = worker("b", "z", None);
+    other_service.service = ServiceName::new("t");
+    let directory = directory(vec![leaving, other_service, worker("c", "far", None)]);
+    assert_eq!(caller.choose(&directory, &[], &Need::Run), Some("c".into()));
     let demand = Demand {
         avoid: &[WorkerId::from("c")],
-        ..asker.demand(&[])
+        ..caller.demand(&[])
     };
     let none = directory.select(NOW, demand, &Need::Run);
     assert!(none.is_none());
 }
 
 #[test]
-fn equal_workers_of_the_own_zone_come_first_until_they_fail() {
-    let asker = Asker::new();
+fn workers_in_the_zone_of_the_gateway_are_preferred_until_they_fail() {
+    let caller = Caller::new();
     let mut directory = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
     assert_eq!(
-        asker.choose(&directory, &[], &Need::Run),
+        caller.choose(&directory, &[], &Need::Run),
         Some("near".into())
     );
     for _ in 0..6 {
-        let ticket = begin(&mut directory, "near", &[], &Need::Run);
+        let ticket = begin_send(&mut directory, "near", &[], &Need::Run);
         directory.send_ended(NOW, &ticket, &[], SendResult::Failed);
     }
     assert_eq!(
-        asker.choose(&directory, &[], &Need::Run),
+        caller.choose(&directory, &[], &Need::Run),
         Some("far".into())
     );
 }
 
 #[test]
-fn a_worker_that_refuses_rests_unless_there_is_no_other() {
-    let asker = Asker::new();
+fn a_worker_that_refuses_is_paused_unless_there_is_no_other() {
+    let caller = Caller::new();
     let mut directory = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
-    let ticket = begin(&mut directory, "near", &[], &Need::Run);
+    let ticket = begin_send(&mut directory, "near", &[], &Need::Run);
     directory.send_ended(NOW, &ticket, &[], SendResult::Refused);
     assert_eq!(
-        asker.choose(&directory, &[], &Need::Run),
+        caller.choose(&directory, &[], &Need::Run),
         Some("far".into())
     );
     directory.announce(vec![worker("near", "z", None)]);
     assert_eq!(
-        asker.choose(&directory, &[], &Need::Run),
+        caller.choose(&directory, &[], &Need::Run),
         Some("near".into())
     );
 }
 
 #[test]
-fn a_long_prompt_is_read_apart_and_a_cached_one_is_not() {
-    let asker = Asker::new();
+fn a_long_prompt_is_read_by_a_prefill_engine_and_a_cached_one_is_not() {
+    let caller = Caller::new();
     let mut directory = directory(vec![
         worker("reader", "z", Some(Role::Prefill)),
         worker("decoder", "z", Some(Role::Decode)),
@@ -172,46 +178,46 @@
     let long = prompt("doc", 15_000);
     assert!(reads_apart(&mut directory, &long));
     assert_eq!(
-        asker.choose(&directory, &long, &Need::ReadPrompt),
+        caller.choose(&directory, &long, &Need::ReadPrompt),
         Some("reader".into())
     );
     assert_eq!(
-        asker.choose(&directory, &long, &Need::Run),
+        caller.choose(&directory, &long, &Need::Run),
         Some("decoder".into())
     );
-    read(&mut directory, "decoder", &long);
+    read_prompt(&mut directory, "decoder", &long);
     assert!(!reads_apart(&mut directory, &long));
 }
 
 #[test]
-fn the_reader_that_holds_a_part_reads_the_next_prompt_with_it() {
-    let asker = Asker::new();
+fn the_prefill_engine_that_caches_a_part_reads_the_next_prompt_with_it() {
+    let caller = Caller::new();
     let readers = ["a", "b", "c", "d"].map(|id| worker(id, "z", Some(Role::Prefill)));
     let mut directory = directory(readers.to_vec());
     let long = prompt("doc", 15_000);
     for holder in ["a", "b", "c", "d"] {
         let mut directory = Directory::new(GatewayKey(1));
         directory.announce(readers.to_vec());
-        read(&mut directory, holder, &long);
-        let chosen = asker.choose(&directory, &long, &Need::ReadPrompt);
+        read_prompt(&mut directory, holder, &long);
+        let chosen = caller.choose(&directory, &long, &Need::ReadPrompt);
         assert_eq!(chosen.as_deref(), Some(holder));
     }
-    // A holder that is busy is fetched from.
-    read(&mut directory, "a", &long);
+    // The part is fetched from a holder that is busy.
+    read_prompt(&mut directory, "a", &long);
     let busy = prompt("other", 60_000);
-    begin(&mut directory, "a", &busy, &Need::ReadPrompt);
-    let chosen = asker
+    begin_send(&mut directory, "a", &busy, &Need::ReadPrompt);
+    let chosen = caller
         .choose(&directory, &long, &Need::ReadPrompt)
         .expect("a reader");
     assert_ne!(chosen, "a");
-    let ticket = begin(&mut directory, &chosen, &long, &Need::ReadPrompt);
+    let ticket = begin_send(&mut directory, &chosen, &long, &Need::ReadPrompt);
     assert!(ticket.fetch_from().is_some());
     assert!(ticket.reading_tokens() < 15_000);
 }
 
 #[test]
-fn what_other_gateways_have_under_way_counts_until_it_is_stale() {
-    let asker = Asker::new();
+fn load_reported_by_other_gateways_counts_until_it_is_stale() {
+    let caller = Caller::new();
     let mut directory = directory(vec![
         worker("a", "z", Some(Role::Prefill)),
         worker("b", "y", Some(Role::Prefill)),
@@ -234,60 +240,60 @@
     };
     directory.hear(NOW, &report(2, 40_000));
     assert_eq!(
-        asker.choose(&directory, &long, &Need::ReadPrompt),
+        caller.choose(&directory, &long, &Need::ReadPrompt),
         Some("b".into())
     );
-    // An older report changes nothing.
+    // An older report has no effect.
     directory.hear(NOW, &report(1, 0));
     assert_eq!(
-        asker.choose(&directory, &long, &Need::ReadPrompt),
+        caller.choose(&directory, &long, &Need::ReadPrompt),
         Some("b".into())
     );
     directory.report_due(NOW + Duration::from_secs(2));
     assert_eq!(
-        asker.choose(&directory, &long, &Need::ReadPrompt),
+        caller.choose(&directory, &long, &Need::ReadPrompt),
         Some("a".into())
     );
 }
 
 #[test]
 fn a_prompt_that_would_wait_too_long_is_refused_but_not_for_its_own_length() {
-    let asker = Asker::new();
+    let caller = Caller::new();
     let mut directory = directory(vec![
         worker("reader", "z", Some(Role::Prefill)),
         worker("decoder", "z", Some(Role::Decode)),
     ]);
     let huge = prompt("huge", 90_000);
-    let taken = directory.admit(NOW, asker.demand(&huge), OBJECTIVES);
+    let taken = directory.admit(NOW, caller.demand(&huge), OBJECTIVES);
     assert!(matches!(taken, Admission::Taken { .. }));
-    begin(&mut directory, "reader", &huge, &Need::ReadPrompt);
-    begin(
+    begin_send(&mut directory, "reader", &huge, &Need::ReadPrompt);
+    begin_send(
         &mut directory,
         "decoder",
         &prompt("second", 90_000),
         &Need::Run,
     );
     let next = prompt("doc", 15_000);
-    let refused = directory.admit(NOW, asker.demand(&next), OBJECTIVES);
+    let refused = directory.admit(NOW, caller.demand(&next), OBJECTIVES);
     assert!(matches!(refused, Admission::Refused { retry_after, .. } if !retry_after.is_zero()));
-    let without_prompt = directory.admit(NOW, asker.demand(&[]), OBJECTIVES);
+    let without_prompt = directory.admit(NOW, caller.demand(&[]), OBJECTIVES);
     assert!(matches!(without_prompt, Admission::Taken { .. }));
 }
 
-/// Found on the airport: prompts were refused while engines that decode had most of their places free.
+/// Guards against refusing prompts while decode engines have most of their slots free.
 #[test]
-fn a_prompt_that_no_reader_has_time_for_is_read_beside_streams_that_can_bear_it() {
-    let asker = Asker::new();
+fn a_prompt_no_prefill_engine_has_time_for_is_read_by_a_decode_engine_within_its_pause_limit() {
+    let caller = Caller::new();
     let mut directory = directory(vec![
         worker("reader", "z", Some(Role::Prefill)),
         worker("decoder", "z", Some(Role::Decode)),
     ]);
     let busy = prompt("busy", 4_000);
-    begin(&mut directory, "reader", &busy, &Need::ReadPrompt);
+    begin_send(&mut directory, "reader", &busy, &Need::ReadPrompt);
     for _ in 0..6 {
-        begin(&mut directory, "decoder", &[], &Need::Run);
+        begin_send(&mut directory, "decoder", &[], &Need::Run);
     }
-    let hasty = Objectives {
+    let strict = Objectives {
         latency: Duration::from_millis(200),
         ..OBJECTIVES
     };
@@ -295,7 +301,7 @@
         id: "short".into(),
         tokens: 700,
     }];
-    let taken = directory.admit(NOW, asker.demand(&part), hasty);
+    let taken = directory.admit(NOW, caller.demand(&part), strict);
     assert!(matches!(
         taken,
         Admission::Taken {
@@ -305,57 +311,60 @@
     ));
     let streams_without_bound = Objectives {
         pause: None,
-        ..hasty
+        ..strict
     };
-    let refused = directory.admit(NOW, asker.demand(&part), streams_without_bound);
+    let refused = directory.admit(NOW, caller.demand(&part), streams_without_bound);
     assert!(matches!(refused, Admission::Refused { .. }));
     let long = prompt("doc", 15_000);
-    let refused = directory.admit(NOW, asker.demand(&long), hasty);
+    let refused = directory.admit(NOW, caller.demand(&long), strict);
     assert!(matches!(refused, Admission::Refused { .. }));
 }
 
-/// Found on the airport: callers came back when told and were refused again.
+/// Guards against callers that retry at the time they were told and are refused again.
 #[test]
-fn the_more_is_asked_the_later_refused_callers_come_back() {
-    let asker = Asker::new();
+fn refused_callers_are_told_to_retry_later_as_demand_grows() {
+    let caller = Caller::new();
     let mut directory = directory(vec![
         worker("reader", "z", Some(Role::Prefill)),
         worker("decoder", "z", Some(Role::Decode)),
     ]);
     let huge = prompt("huge", 30_000);
-    begin(&mut directory, "reader", &huge, &Need::ReadPrompt);
-    begin(&mut directory, "decoder", &huge, &Need::Run);
+    begin_send(&mut directory, "reader", &huge, &Need::ReadPrompt);
+    begin_send(&mut directory, "decoder", &huge, &Need::Run);
     let next = prompt("doc", 15_000);
-    let mut told = Vec::new();
+    let mut retry_times = Vec::new();
     for number in 0..12 {
         let demand = Demand {
             draw: u64::MAX / 2,
-            ..asker.demand(&next)
+            ..caller.demand(&next)
         };
         let now = NOW + Duration::from_millis(10 * number);
         match directory.admit(now, demand, OBJECTIVES) {
-            Admission::Refused { retry_after, .. } => told.push(retry_after),
+            Admission::Refused { retry_after, .. } => retry_times.push(retry_after),
             Admission::Taken { .. } => panic!("the queue is too long"),
         }
     }
     let latest = OBJECTIVES.time_left - OBJECTIVES.latency;
-    assert!(told[0] < told[11], "{told:?}");
-    assert!(told.iter().all(|after| *after <= latest), "{told:?}");
+    assert!(retry_times[0] < retry_times[11], "{retry_times:?}");
+    assert!(
+        retry_times.iter().all(|after| *after <= latest),
+        "{retry_times:?}"
+    );
 }
 
 #[test]
 fn an_engine_whose_role_is_to_change_gets_no_new_work() {
-    let asker = Asker::new();
+    let caller = Caller::new();
     let engines = ["a", "b"].map(|id| worker(id, "z", Some(Role::Decode)));
     let mut directory = directory(engines.to_vec());
     directory.set_desired_roles(HashMap::from([("a".to_owned(), Role::Prefill)]));
-    assert_eq!(asker.choose(&directory, &[], &Need::Run), Some("b".into()));
+    assert_eq!(caller.choose(&directory, &[], &Need::Run), Some("b".into()));
     let mut changed = engines.to_vec();
     changed[0].role = Some(Role::Prefill);
     directory.announce(changed);
     let long = prompt("doc", 15_000);
     assert_eq!(
-        asker.choose(&directory, &long, &Need::ReadPrompt),
+        caller.choose(&directory, &long, &Need::ReadPrompt),
         Some("a".into())
     );
 }
@@ -383,13 +392,13 @@
 proptest! {
     #![proptest_config(fixed_cases(SEED))]
 
-    /// However sends begin and end and workers come and go, nothing stays counted once all sends
-    /// have ended.
+    /// Whatever the order in which sends begin and end and workers are announced and withdrawn, no
+    /// load remains once all sends have ended.
     #[test]
-    fn loads_return_to_nothing(steps in prop::collection::vec(step(), 0..80)) {
+    fn load_returns_to_zero_after_all_sends_end(steps in prop::collection::vec(step(), 0..80)) {
         let all: Vec<Worker> =
             (0..4).map(|n| worker(&format!("w{n}"), "z", Some(Role::Prefill))).collect();
-        let asker = Asker::new();
+        let caller = Caller::new();
         let mut directory = directory(all.clone());
         let mut open = Vec::new();
         for step in steps {
@@ -397,7 +406,7 @@
                 Step::Begin(number, tokens) => {
                     let prompt = prompt(&format!("p{tokens}"), tokens);
                     let id = WorkerId::from(format!("w{number}").as_str());
-                    let demand = asker.demand(&prompt);
+                    let demand = caller.demand(&prompt);
                     let ticket = directory.send_began(NOW, &id, demand, &Need::ReadPrompt);
                     open.push((ticket, prompt));
                 }
@@ -428,67 +437,67 @@
     }
 }
 
-/// The fault: engines crash and come back as others, and each gateway sent to the former ones until the
-/// store had forgotten them.
+/// Guards against sends to engines that have crashed and were replaced by new ones: each gateway
+/// sent to the former ones until the store had removed their entries.
 #[test]
-fn a_worker_found_absent_is_passed_over_by_all_until_it_is_announced_anew() {
-    let asker = Asker::new();
+fn a_worker_found_absent_is_passed_over_by_all_gateways_until_its_entry_changes() {
+    let caller = Caller::new();
     let mut finder = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
-    let mut told = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
-    let ticket = begin(&mut finder, "near", &[], &Need::Run);
+    let mut informed = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
+    let ticket = begin_send(&mut finder, "near", &[], &Need::Run);
     finder.send_ended(NOW, &ticket, &[], SendResult::Absent);
     let mut report = finder.report_due(NOW).expect("a report");
     report.sender = GatewayKey(2);
-    told.hear(NOW, &report);
-    for directory in [&mut finder, &mut told] {
-        let chosen = asker.choose(directory, &[], &Need::Run);
+    informed.hear(NOW, &report);
+    for directory in [&mut finder, &mut informed] {
+        let chosen = caller.choose(directory, &[], &Need::Run);
         assert_eq!(chosen, Some("far".into()));
         let mut changed = worker("near", "z", None);
         changed.slots += 1;
         directory.announce(vec![changed, worker("far", "y", None)]);
-        let chosen = asker.choose(directory, &[], &Need::Run);
+        let chosen = caller.choose(directory, &[], &Need::Run);
         assert_eq!(chosen, Some("near".into()));
     }
 }
 
 #[test]
 fn a_worker_that_is_absent_is_still_tried_if_there_is_no_other() {
-    let asker = Asker::new();
+    let caller = Caller::new();
     let mut directory = directory(vec![worker("only", "z", None)]);
-    let ticket = begin(&mut directory, "only", &[], &Need::Run);
+    let ticket = begin_send(&mut directory, "only", &[], &Need::Run);
     directory.send_ended(NOW, &ticket, &[], SendResult::Absent);
-    let chosen = asker.choose(&directory, &[], &Need::Run);
+    let chosen = caller.choose(&directory, &[], &Need::Run);
     assert_eq!(chosen, Some("only".into()));
 }
 
-/// A decoding engine whose places are all taken is worse than one with a free place.
+/// A decode engine whose slots are all occupied is worse than one with a free slot.
 #[test]
-fn a_full_engine_is_waited_for() {
-    let asker = Asker::new();
+fn a_full_engine_is_passed_over_for_one_with_a_free_slot() {
+    let caller = Caller::new();
     let role = Some(Role::Decode);
     let mut directory = directory(vec![worker("near", "z", role), worker("far", "y", role)]);
     let prompt = prompt("shared", 100);
-    let mut ticket = begin(&mut directory, "near", &prompt, &Need::Run);
+    let mut ticket = begin_send(&mut directory, "near", &prompt, &Need::Run);
     directory.prompt_was_read(NOW, &mut ticket, &prompt, Duration::from_millis(50));
     let later = NOW + Duration::from_millis(800);
     let latency = Duration::from_millis(50);
     directory.send_ended(later, &ticket, &prompt, SendResult::Answered { latency });
     let reader = WorkerId::from("p");
     let need = Need::Continue { reader };
-    let before = asker.choose(&directory, &prompt, &need);
+    let before = caller.choose(&directory, &prompt, &need);
     assert_eq!(before, Some("near".into()));
     for _ in 0..8 {
-        begin(&mut directory, "near", &[], &Need::Run);
+        begin_send(&mut directory, "near", &[], &Need::Run);
     }
-    let after = asker.choose(&directory, &prompt, &need);
+    let after = caller.choose(&directory, &prompt, &need);
     assert_eq!(after, Some("far".into()));
 }
 
-/// Found on the airport: streams of a lower rank held all places, and prompts of the first rank were
-/// refused.
+/// Guards against refusing prompts of the most urgent rank because streams of a lower rank hold all
+/// slots.
 #[test]
-fn the_last_places_are_left_to_more_urgent_requests() {
-    let asker = Asker::new();
+fn the_last_slots_are_left_to_more_urgent_requests() {
+    let caller = Caller::new();
     let mut engine = worker("only", "z", Some(Role::Decode));
     engine.slots = 20;
     let mut directory = directory(vec![engine]);
@@ -496,15 +505,15 @@
         id: "short".into(),
         tokens: 100,
     }];
-    let mut ticket = begin(&mut directory, "only", &part, &Need::Run);
+    let mut ticket = begin_send(&mut directory, "only", &part, &Need::Run);
     let latency = Duration::from_millis(50);
     directory.prompt_was_read(NOW, &mut ticket, &part, latency);
     let later = NOW + Duration::from_secs(9);
     directory.send_ended(later, &ticket, &part, SendResult::Answered { latency });
     for _ in 0..19 {
-        begin(&mut directory, "only", &[], &Need::Run);
+        begin_send(&mut directory, "only", &[], &Need::Run);
     }
-    let urgent = asker.demand(&part);
+    let urgent = caller.demand(&part);
     let yielding = Demand {
         yields: true,
         ..urgent
@@ -515,18 +524,18 @@
     assert!(matches!(refused, Admission::Refused { .. }));
 }
 
-/// Found by reading: a worker that had failed for some seconds was never chosen again, as only its
-/// own successes raised its share of them.
+/// Guards against never choosing a worker again after it failed for some seconds: only its own
+/// successes raised its success rate.
 #[test]
 fn a_worker_that_failed_is_used_again_after_some_minutes() {
-    let asker = Asker::new();
+    let caller = Caller::new();
     let mut directory = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
     for _ in 0..40 {
-        let ticket = begin(&mut directory, "near", &[], &Need::Run);
+        let ticket = begin_send(&mut directory, "near", &[], &Need::Run);
         directory.send_ended(NOW, &ticket, &[], SendResult::Failed);
     }
     let choose = |at: Timestamp| {
-        let chosen = directory.select(at, asker.demand(&[]), &Need::Run);
+        let chosen = directory.select(at, caller.demand(&[]), &Need::Run);
         chosen.map(|worker| worker.id.to_string())
     };
     assert_eq!(choose(NOW), Some("far".into()));
@@ -535,19 +544,20 @@
 
 #[test]
 fn a_worker_that_refuses_again_and_again_is_passed_over_for_longer() {
-    let asker = Asker::new();
+    let caller = Caller::new();
     let mut directory = directory(vec![worker("a", "z", None), worker("b", "far", None)]);
     let chosen_at = |directory: &Directory, now: Timestamp| {
-        let worker = directory.select(now, asker.demand(&[]), &Need::Run);
+        let worker = directory.select(now, caller.demand(&[]), &Need::Run);
         worker.map(|worker| worker.id.to_string())
     };
     let refuse = |directory: &mut Directory, now: Timestamp| {
         let id = WorkerId::from("a");
-        let ticket = directory.send_began(now, &id, asker.demand(&[]), &Need::Run);
+        let ticket = directory.send_began(now, &id, caller.demand(&[]), &Need::Run);
         directory.send_ended(now, &ticket, &[], SendResult::Refused);
     };
     refuse(&mut directory, NOW);
-    // One that was on its way together with the first does not make the pause longer.
+    // A refusal of a request that was in progress together with the first does not lengthen the
+    // pause.
     refuse(&mut directory, NOW);
     let later = NOW + Duration::from_millis(120);
     assert_eq!(chosen_at(&directory, later), Some("a".into()));
@@ -558,34 +568,35 @@
     assert_eq!(chosen_at(&directory, long_after), Some("a".into()));
 }
 
-/// Six requests at once, each answered after `latency`; how many of them a worker gets.
-fn six_at_once(directory: &mut Directory, latency: Duration, counted: &str) -> usize {
-    let asker = Asker::new();
+/// Sends six requests at once, each answered after `latency`; returns how many of them a worker
+/// gets.
+fn send_six_at_once(directory: &mut Directory, latency: Duration, counted_worker: &str) -> usize {
+    let caller = Caller::new();
     let tickets = [(); 6].map(|()| {
-        let id = asker.choose(directory, &[], &Need::Run).expect("a worker");
-        begin(directory, &id, &[], &Need::Run)
+        let id = caller.choose(directory, &[], &Need::Run).expect("a worker");
+        begin_send(directory, &id, &[], &Need::Run)
     });
     for ticket in &tickets {
         let result = SendResult::Answered { latency };
         directory.send_ended(NOW, ticket, &[], result);
     }
-    let reached = tickets
+    let received = tickets
         .iter()
-        .filter(|ticket| ticket.worker().as_str() == counted);
-    reached.count()
+        .filter(|ticket| ticket.worker().as_str() == counted_worker);
+    received.count()
 }
 
 #[test]
-fn a_worker_that_has_just_come_is_used_beside_fast_ones() {
+fn a_new_worker_is_used_alongside_fast_ones() {
     for latency_ms in [2, 30, 300] {
         let latency = Duration::from_millis(latency_ms);
         let mut directory = directory(vec![worker("a", "z", None), worker("b", "z", None)]);
         for _ in 0..60 {
-            six_at_once(&mut directory, latency, "a");
+            send_six_at_once(&mut directory, latency, "a");
         }
         directory.announce_one(worker("c", "z", None));
-        let rounds = (0..60).map(|_| six_at_once(&mut directory, latency, "c"));
-        let reached: usize = rounds.sum();
-        assert!(reached >= 90, "{reached} of 360 at {latency_ms} ms");
+        let rounds = (0..60).map(|_| send_six_at_once(&mut directory, latency, "c"));
+        let received: usize = rounds.sum();
+        assert!(received >= 90, "{received} of 360 at {latency_ms} ms");
     }
 }
--- a/crates/forwarding/tests/directory_growth.rs
+++ b/crates/forwarding/tests/directory_growth.rs
@@ -1,4 +1,5 @@
-//! What decisions on requests and reports of load cost before many workers: they must not grow with the fleet.
+//! Tests what decisions on requests and load reports cost with many workers: the cost must not grow
+//! with the fleet.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,11 +11,11 @@
 };
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
-/// Other gateways that place requests, and the pause between their reports.
-const EXCHANGE: (usize, Duration) = (17, Duration::from_millis(40));
-/// A second of requests at one scheduler.
+/// Number of other gateways that place requests, and the interval of their reports.
+const OTHER_GATEWAYS: (usize, Duration) = (17, Duration::from_millis(40));
+/// One second of requests at one scheduler.
 const REQUESTS: u64 = 60;
-const PAUSE: Duration = Duration::from_millis(16);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(16);
 
 fn service() -> ServiceName {
     ServiceName::new("s")
@@ -47,7 +48,7 @@
         link_bytes_per_second: 200e9,
     };
     directory.set_engines(HashMap::from([(service(), capacity)]));
-    directory.set_exchange(EXCHANGE.0, EXCHANGE.1);
+    directory.set_exchange(OTHER_GATEWAYS.0, OTHER_GATEWAYS.1);
     directory
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// A question that begins with what nearly all others begin with, or a long prompt.
+/// Returns a short question that begins like nearly all others, or a long prompt.
 fn prompt(number: u64) -> Vec<PromptPart> {
     let own = format!("own-{number}");
     match number % 5 {
@@ -70,8 +71,9 @@
     }
 }
 
-/// Workers that one request looks at on the mean, in a second of requests that all begin to be answered at once.
-fn looks_a_request(engines: usize) -> u64 {
+/// Returns the mean number of workers that one request examines during a second of requests, all of
+/// which begin to be answered at once.
+fn examined_workers_per_request(engines: usize) -> u64 {
     let mut directory = directory(engines);
     let objectives = Objectives {
         latency: Duration::from_millis(600),
@@ -79,7 +81,7 @@
         time_left: Duration::from_secs(5),
     };
     for number in 0..REQUESTS {
-        let now = NOW + PAUSE * number as u32;
+        let now = NOW + REQUEST_INTERVAL * number as u32;
         let prompt = prompt(number);
         let zone = ZoneName::new("z-0");
         let demand = Demand {
@@ -110,9 +112,9 @@
 }
 
 #[test]
-fn a_request_costs_hardly_more_before_sixteen_times_as_many_workers() {
-    let few = looks_a_request(600);
-    let many = looks_a_request(9_600);
+fn a_request_examines_at_most_three_times_as_many_workers_in_a_sixteenfold_fleet() {
+    let few = examined_workers_per_request(600);
+    let many = examined_workers_per_request(9_600);
     assert!(
         many <= few * 3,
         "{few} workers are looked at of 600, {many} of 9,600"
@@ -120,7 +122,7 @@
 }
 
 #[test]
-fn workers_that_come_and_go_are_found_and_forgotten_one_by_one() {
+fn single_workers_can_be_announced_changed_and_withdrawn() {
     let mut directory = directory(20);
     assert_eq!(directory.ready_workers(), 20);
     let changed = Worker {
