--- a/crates/forwarding/tests/overload/mod.rs
+++ b/crates/forwarding/tests/overload/mod.rs
@@ -1,5 +1,6 @@
-//! An overloaded service in virtual time: tenants whose callers ask at random, engines that read one prompt
-//! after the other, and one gateway that admits.
+//! Simulation of an overloaded service in virtual time: tenants whose callers send requests at
+//! random times, engines that read one prompt after the other, and one gateway that admits
+//! requests.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -15,12 +16,12 @@
 const ENGINES: usize = 4;
 const SLOTS: u32 = 16;
 const PROMPT_TOKENS: u64 = 2_000;
-/// What an engine takes for one prompt.
-const READING_MICROS: u64 = 100_000;
-/// Prompts that the engines read in a second.
-pub const CAPACITY: f64 = ENGINES as f64 * 1e6 / READING_MICROS as f64;
-/// Time in which callers ask.
-const ASKING_MICROS: u64 = 60_000_000;
+/// Time that an engine takes to read one prompt.
+const PREFILL_MICROS: u64 = 100_000;
+/// Prompts per second that all engines together can read.
+pub const CAPACITY_PER_SECOND: f64 = ENGINES as f64 * 1e6 / PREFILL_MICROS as f64;
+/// Time during which callers send new requests.
+const SENDING_MICROS: u64 = 60_000_000;
 const OBJECTIVES: Objectives = Objectives {
     latency: Duration::from_millis(600),
     pause: Some(Duration::from_millis(150)),
@@ -28,44 +29,44 @@
 };
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// How one tenant asks.
+/// How one tenant sends requests.
 #[derive(Debug, Clone, Copy)]
-pub struct Asking {
-    /// First tries a second.
-    pub a_second: f64,
-    /// Further tries of a refused request.
-    pub repeats: u32,
-    /// The pause before each.
-    pub repeat_micros: u64,
+pub struct SendPattern {
+    /// First tries per second.
+    pub requests_per_second: f64,
+    /// Retries of a refused request.
+    pub retries: u32,
+    /// Delay before each retry.
+    pub retry_delay_micros: u64,
 }
 
-/// What came of a tenant's requests.
+/// What happened to a tenant's requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Outcome {
-    /// Requests, each with all its tries counted once.
-    pub asked: u32,
-    /// Those that were taken.
-    pub served: u32,
-    /// Those of them whose answers began in time.
+    /// Requests; all tries of a request count once.
+    pub requests: u32,
+    /// Admitted requests.
+    pub admitted: u32,
+    /// Admitted requests whose answers began in time.
     pub in_time: u32,
-    /// Tries that were refused for the tenant's share.
+    /// Tries that were refused because of the tenant's share.
     pub refused_for_share: u32,
 }
 
 impl Outcome {
-    /// The part of the requests that was served.
-    pub fn part(&self) -> f64 {
-        f64::from(self.served) / f64::from(self.asked.max(1))
+    /// Returns the fraction of the requests that were admitted.
+    pub fn served_fraction(&self) -> f64 {
+        f64::from(self.admitted) / f64::from(self.requests.max(1))
     }
 }
 
-/// Outcomes of all tenants together.
+/// Returns the outcome of all tenants together.
 pub fn total(outcomes: &[Outcome]) -> Outcome {
     outcomes
         .iter()
         .fold(Outcome::default(), |sum, one| Outcome {
-            asked: sum.asked + one.asked,
-            served: sum.served + one.served,
+            requests: sum.requests + one.requests,
+            admitted: sum.admitted + one.admitted,
             in_time: sum.in_time + one.in_time,
             refused_for_share: sum.refused_for_share + one.refused_for_share,
         })
@@ -74,11 +75,11 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A tenant's next request.
-    Asks { tenant: usize },
-    /// A refused one comes again.
-    Repeats { tenant: usize, left: u32 },
-    /// A prompt was read.
-    Read { send: usize },
+    Request { tenant: usize },
+    /// A retry of a refused request.
+    Retry { tenant: usize, left: u32 },
+    /// An engine has read a prompt.
+    PromptRead { send: usize },
 }
 
 struct Send {
@@ -88,12 +89,12 @@
     began: Timestamp,
 }
 
-/// The whole run.
-pub struct Overload {
+/// The state of a simulation.
+pub struct OverloadSimulation {
     directory: Directory,
     service: ServiceName,
     zone: ZoneName,
-    asking: Vec<Asking>,
+    send_patterns: Vec<SendPattern>,
     keys: Vec<Option<TenantKey>>,
     outcomes: Vec<Outcome>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
@@ -102,18 +103,18 @@
     random: u64,
 }
 
-impl Overload {
-    /// Tenants that ask so, at a gateway with these decisions.
-    pub fn new(asking: Vec<Asking>, decisions: Decisions, seed: u64) -> Self {
+impl OverloadSimulation {
+    /// Creates a simulation of these tenants at a gateway with these decisions.
+    pub fn new(send_patterns: Vec<SendPattern>, decisions: Decisions, seed: u64) -> Self {
         let name = |number: usize| TenantName::new(format!("tenant-{number}"));
-        let keys = (0..asking.len()).map(|number| Some(TenantKey::of(&name(number))));
+        let keys = (0..send_patterns.len()).map(|number| Some(TenantKey::of(&name(number))));
         Self {
             directory: directory(decisions),
             service: ServiceName::new("s"),
             zone: ZoneName::new("z"),
             keys: keys.collect(),
-            outcomes: vec![Outcome::default(); asking.len()],
-            asking,
+            outcomes: vec![Outcome::default(); send_patterns.len()],
+            send_patterns,
             events: BinaryHeap::new(),
             busy_until: HashMap::new(),
             sends: Vec::new(),
@@ -121,43 +122,43 @@
         }
     }
 
-    /// The gateway does not know whose requests they are.
+    /// Makes the gateway treat all requests as requests without a tenant.
     pub fn without_tenants(mut self) -> Self {
         self.keys.fill(None);
         self
     }
 
-    /// Runs to the end: what came of each tenant's requests.
+    /// Runs the simulation to its end and returns the outcome of each tenant.
     pub fn run(mut self) -> Vec<Outcome> {
-        for tenant in 0..self.asking.len() {
+        for tenant in 0..self.send_patterns.len() {
             self.schedule_next(0, tenant);
         }
         while let Some(Reverse((at, event))) = self.events.pop() {
             match event {
-                Event::Asks { tenant } => {
+                Event::Request { tenant } => {
                     self.schedule_next(at, tenant);
-                    self.outcomes[tenant].asked += 1;
-                    self.request(at, tenant, self.asking[tenant].repeats);
+                    self.outcomes[tenant].requests += 1;
+                    self.request(at, tenant, self.send_patterns[tenant].retries);
                 }
-                Event::Repeats { tenant, left } => self.request(at, tenant, left),
-                Event::Read { send } => self.end(at, send),
+                Event::Retry { tenant, left } => self.request(at, tenant, left),
+                Event::PromptRead { send } => self.end_send(at, send),
             }
         }
         self.outcomes
     }
 
-    /// The next of requests that come at random (exponential pauses).
+    /// Schedules a tenant's next request after a random, exponentially distributed delay.
     fn schedule_next(&mut self, at: u64, tenant: usize) {
         let draw = (self.draw() >> 11) as f64 / (1_u64 << 53) as f64;
-        let seconds = -(1.0 - draw).ln() / self.asking[tenant].a_second;
+        let seconds = -(1.0 - draw).ln() / self.send_patterns[tenant].requests_per_second;
         let next = at + (seconds * MICROS_PER_SECOND) as u64;
-        if next < ASKING_MICROS {
-            self.events.push(Reverse((next, Event::Asks { tenant })));
+        if next < SENDING_MICROS {
+            self.events.push(Reverse((next, Event::Request { tenant })));
         }
     }
 
-    fn request(&mut self, at: u64, tenant: usize, repeats_left: u32) {
-        let now = moment(at);
+    fn request(&mut self, at: u64, tenant: usize, retries_left: u32) {
+        let now = timestamp(at);
         let draw = self.draw();
         let prompt = vec![PromptPart {
             id: format!("own-{draw}"),
@@ -179,27 +180,27 @@
                 let worker = self.directory.select(now, demand, &Need::Run);
                 let worker = worker.expect("an engine").id.clone();
                 let ticket = self.directory.send_began(now, &worker, demand, &Need::Run);
-                self.read(at, worker, tenant, ticket, prompt);
+                self.read_prompt(at, worker, tenant, ticket, prompt);
             }
             Admission::Refused { cause, .. } => {
-                let of_share = cause == RefusalCause::TenantShare;
-                self.outcomes[tenant].refused_for_share += u32::from(of_share);
-                self.repeat(at, tenant, repeats_left);
+                let is_for_share = cause == RefusalCause::TenantShare;
+                self.outcomes[tenant].refused_for_share += u32::from(is_for_share);
+                self.schedule_retry(at, tenant, retries_left);
             }
         }
     }
 
-    fn repeat(&mut self, at: u64, tenant: usize, left: u32) {
+    fn schedule_retry(&mut self, at: u64, tenant: usize, left: u32) {
         if left == 0 {
             return;
         }
-        let again = at + self.asking[tenant].repeat_micros;
+        let retry_at = at + self.send_patterns[tenant].retry_delay_micros;
         let left = left - 1;
         self.events
-            .push(Reverse((again, Event::Repeats { tenant, left })));
+            .push(Reverse((retry_at, Event::Retry { tenant, left })));
     }
 
-    fn read(
+    fn read_prompt(
         &mut self,
         at: u64,
         worker: WorkerId,
@@ -208,24 +209,24 @@
         prompt: Vec<PromptPart>,
     ) {
         let busy_until = self.busy_until.entry(worker).or_default();
-        *busy_until = at.max(*busy_until) + READING_MICROS;
+        *busy_until = at.max(*busy_until) + PREFILL_MICROS;
         let send = self.sends.len();
         self.events
-            .push(Reverse((*busy_until, Event::Read { send })));
+            .push(Reverse((*busy_until, Event::PromptRead { send })));
         self.sends.push(Send {
             tenant,
             ticket,
             prompt,
-            began: moment(at),
+            began: timestamp(at),
         });
     }
 
-    fn end(&mut self, at: u64, send: usize) {
-        let now = moment(at);
+    fn end_send(&mut self, at: u64, send: usize) {
+        let now = timestamp(at);
         let send = &mut self.sends[send];
         let latency = now.since(send.began);
         let outcome = &mut self.outcomes[send.tenant];
-        outcome.served += 1;
+        outcome.admitted += 1;
         outcome.in_time += u32::from(latency <= OBJECTIVES.latency);
         let (ticket, prompt) = (&mut send.ticket, &send.prompt);
         self.directory.prompt_was_read(now, ticket, prompt, latency);
@@ -233,7 +234,7 @@
         self.directory.send_ended(now, ticket, prompt, answered);
     }
 
-    /// A random number (splitmix64).
+    /// Returns a random number (splitmix64).
     fn draw(&mut self) -> u64 {
         self.random = self.random.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mixed = (self.random ^ (self.random >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -242,7 +243,7 @@
     }
 }
 
-fn moment(micros: u64) -> Timestamp {
+fn timestamp(micros: u64) -> Timestamp {
     Timestamp::from_millis(10_000) + Duration::from_micros(micros)
 }
 
