--- a/crates/forwarding/src/tenant_shares.rs
+++ b/crates/forwarding/src/tenant_shares.rs
@@ -23,7 +23,7 @@
 use std::time::Duration;
 
 use tansyhall_core::{TenantName, Timestamp};
-use tansyhall_shares::fair_part;
+use tansyhall_shares::max_min_fair_share;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::rate::Rate;
@@ -171,7 +171,7 @@
         let accepted: u64 = each(|work| work.accepted).sum();
         self.fairness = match accepted < contending.iter().sum() {
             true => Fairness {
-                max_share: fair_part(accepted, &contending) as f64,
+                max_share: max_min_fair_share(accepted, &contending) as f64,
                 accepted_fraction: accepted as f64 / demand as f64,
             },
             false => Fairness::default(),
