--- a/crates/cli/tests/gateway_platform/restored_store.rs
+++ b/crates/cli/tests/gateway_platform/restored_store.rs
@@ -5,7 +5,7 @@
 
 use prost::Message;
 use serde_json::json;
-use tansyhall_forwarding::Update;
+use tansyhall_forwarding::MirrorUpdate;
 use tansyhall_gateway::copy_message::{UpdateHead, UpdateMessage};
 use tansyhall_gateway::protocol::Catalogue;
 use tansyhall_platform::PlatformCatalogue;
@@ -180,7 +180,7 @@
     let message = UpdateMessage::decode(body).expect("a message");
     assert_eq!(message.question, 7);
     let received = message.into_received(UpdateHead::default());
-    let Ok(Some(Update::Whole(snapshot))) = received.map(|one| one.update) else {
+    let Ok(Some(MirrorUpdate::Snapshot(snapshot))) = received.map(|one| one.update) else {
         panic!("no copy");
     };
     let key = PlatformCatalogue.configuration_key();
--- a/crates/forwarding/src/cache_view.rs
+++ b/crates/forwarding/src/cache_view.rs
@@ -36,9 +36,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CacheChange {
     /// The part that the cache holds now.
-    pub kept: Option<PartKey>,
+    pub cached_part: Option<PartKey>,
     /// The parts that the cache no longer holds.
-    pub dropped: Vec<PartKey>,
+    pub evicted_parts: Vec<PartKey>,
 }
 
 /// The estimated contents of a worker's cache.
@@ -51,7 +51,7 @@
 impl CacheView {
     /// Returns the number of tokens at the start of a prompt that this worker need not read again.
     /// Parts that it is reading now count, since it will have read them when it reaches this prompt.
-    pub fn kept_tokens(&self, prompt: &[PromptPart]) -> u64 {
+    pub fn cached_tokens(&self, prompt: &[PromptPart]) -> u64 {
         self.leading_tokens(prompt, |_| true)
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Records that the worker has begun to read a part. `capacity` is the cache's size in tokens.
-    pub fn began(
+    pub fn record_reading(
         &mut self,
         now: Timestamp,
         key: PartKey,
@@ -96,7 +96,7 @@
     }
 
     /// Records that the worker has read or used a part. `capacity` is the cache's size in tokens.
-    pub fn used(
+    pub fn record_read(
         &mut self,
         now: Timestamp,
         key: PartKey,
@@ -126,24 +126,24 @@
         self.tokens = self.tokens - tokens_before + tokens;
         let usable_tokens = (capacity as f64 * USABLE_FRACTION) as u64;
         let mut change = CacheChange {
-            kept: Some(key),
-            dropped: Vec::new(),
+            cached_part: Some(key),
+            evicted_parts: Vec::new(),
         };
         while self.tokens > usable_tokens && self.parts.len() > 1 {
-            change.dropped.extend(self.evict_oldest());
+            change.evicted_parts.extend(self.evict_oldest());
         }
         change
     }
 
     /// Removes parts of a prompt that the worker has not finished reading.
-    pub fn forget_unread(&mut self, prompt: &[PromptPart]) -> CacheChange {
+    pub fn remove_unready(&mut self, prompt: &[PromptPart]) -> CacheChange {
         let mut change = CacheChange::default();
         for part in prompt {
             let key = PartKey::of(part);
             if self.parts.get(&key).is_some_and(|cached| !cached.ready) {
                 let removed = self.parts.remove(&key);
                 self.tokens -= removed.map_or(0, |cached| cached.tokens);
-                change.dropped.push(key);
+                change.evicted_parts.push(key);
             }
         }
         change
--- a/crates/forwarding/src/configuration.rs
+++ b/crates/forwarding/src/configuration.rs
@@ -106,11 +106,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerScaling {
     /// The minimum number of workers in a zone.
-    pub least: u32,
+    pub min_workers: u32,
     /// The maximum number of workers in a zone.
-    pub most: u32,
+    pub max_workers: u32,
     /// The time from an order until the worker serves requests.
-    pub start: Duration,
+    pub startup_time: Duration,
     /// The price of a spot worker as a fraction of the price of a reserved one; `None` if spot workers are not
     /// available.
     pub spot_price: Option<f64>,
--- a/crates/forwarding/src/directory/admission.rs
+++ b/crates/forwarding/src/directory/admission.rs
@@ -251,7 +251,7 @@
     /// What is asked of the engines that only read over what they can do.
     fn reader_utilization(&self, now: Timestamp, service: &ServiceName) -> f64 {
         let readers = self.usable_workers(now, service, &Need::ReadPrompt);
-        self.engine_demand(now, service).readers / readers.max(1) as f64
+        self.engine_demand(now, service).prefill_engines / readers.max(1) as f64
     }
 
     /// Whether an engine that decodes has time for a prompt that no reader has time for: it would be
--- a/crates/forwarding/src/directory/choice.rs
+++ b/crates/forwarding/src/directory/choice.rs
@@ -107,7 +107,7 @@
         if count >= serving.len() {
             return self.candidates(now, demand, need);
         }
-        let keeps_some = |tracked: &&Tracked| tracked.cache.kept_tokens(demand.prompt) > 0;
+        let keeps_some = |tracked: &&Tracked| tracked.cache.cached_tokens(demand.prompt) > 0;
         let holders = self.part_holders.of_prompt(demand.prompt, demand.draw);
         let holders = holders
             .iter()
--- a/crates/forwarding/src/directory/demand.rs
+++ b/crates/forwarding/src/directory/demand.rs
@@ -46,9 +46,9 @@
     fn demand(&self, now: Timestamp, service: ServiceKey) -> EngineDemand {
         EngineDemand {
             service,
-            readers: self.reading.a_second(now),
-            decoders: self.reading_short.a_second(now),
-            places: self.places.a_second(now),
+            prefill_engines: self.reading.per_second(now),
+            decode_engines: self.reading_short.per_second(now),
+            decode_slots: self.places.per_second(now),
         }
     }
 }
@@ -82,7 +82,10 @@
             .iter()
             .map(|(service, asked)| asked.demand(now, ServiceKey::of(service)));
         let is_reported = |demand: &EngineDemand| {
-            let most = demand.readers.max(demand.decoders).max(demand.places);
+            let most = demand
+                .prefill_engines
+                .max(demand.decode_engines)
+                .max(demand.decode_slots);
             most >= MIN_REPORTED
         };
         own.filter(is_reported).collect()
@@ -107,9 +110,9 @@
         let of_service = self.others.iter().filter(|((_, heard), _)| *heard == key);
         of_service.fold(own.demand(now, key), |sum, (_, heard)| EngineDemand {
             service: key,
-            readers: sum.readers + heard.demand.readers,
-            decoders: sum.decoders + heard.demand.decoders,
-            places: sum.places + heard.demand.places,
+            prefill_engines: sum.prefill_engines + heard.demand.prefill_engines,
+            decode_engines: sum.decode_engines + heard.demand.decode_engines,
+            decode_slots: sum.decode_slots + heard.demand.decode_slots,
         })
     }
 }
--- a/crates/forwarding/src/directory/mod.rs
+++ b/crates/forwarding/src/directory/mod.rs
@@ -251,7 +251,9 @@
         if self.decisions.caches {
             for part in prompt {
                 let key = PartKey::of(part);
-                let change = tracked.cache.began(now, key, part.tokens, capacity);
+                let change = tracked
+                    .cache
+                    .record_reading(now, key, part.tokens, capacity);
                 self.part_holders.apply(tracked.key, &change);
             }
         }
@@ -291,7 +293,7 @@
         if self.decisions.caches {
             for part in prompt {
                 let key = PartKey::of(part);
-                let change = tracked.cache.used(now, key, part.tokens, capacity);
+                let change = tracked.cache.record_read(now, key, part.tokens, capacity);
                 self.part_holders.apply(tracked.key, &change);
             }
         }
@@ -318,7 +320,7 @@
         let Some(tracked) = tracked.filter(|_| ticket.counted) else {
             return;
         };
-        let change = tracked.cache.forget_unread(prompt);
+        let change = tracked.cache.remove_unready(prompt);
         self.part_holders.apply(key, &change);
         tracked.own.sends = tracked.own.sends.saturating_sub(1);
         let unread = ticket.reading_tokens;
--- a/crates/forwarding/src/directory/notices.rs
+++ b/crates/forwarding/src/directory/notices.rs
@@ -106,8 +106,8 @@
 
     fn note(&mut self, now: Timestamp, key: WorkerKey, notice: WorkerNotice) -> NoticeNews {
         let is_longer = |rest: &Duration| self.lengthen_rest(key, now + *rest);
-        let rest = notice.rest.filter(is_longer);
-        let leaves = notice.leaves && self.leaving.insert(key, now).is_none();
+        let rest = notice.backoff.filter(is_longer);
+        let leaves = notice.is_leaving && self.leaving.insert(key, now).is_none();
         NoticeNews {
             leaves,
             rest,
@@ -191,8 +191,8 @@
         let key = WorkerKey::of(id);
         let until = self.notices.rests_until(now, key);
         WorkerNotice {
-            leaves: self.notices.leaves(key),
-            rest: until.map(|until| until.since(now)),
+            is_leaving: self.notices.leaves(key),
+            backoff: until.map(|until| until.since(now)),
             rate_limit: None,
         }
     }
@@ -205,7 +205,7 @@
     /// Why nothing may be sent to a worker; none if something may.
     pub fn unavailable(&self, now: Timestamp, id: &WorkerId) -> Option<Unavailable> {
         let notice = self.notice_of(now, id);
-        match (notice.leaves, notice.rest) {
+        match (notice.is_leaving, notice.backoff) {
             (true, _) => Some(Unavailable::Leaving),
             (false, Some(_)) => Some(Unavailable::Resting),
             (false, None) => None,
--- a/crates/forwarding/src/directory/part_holders.rs
+++ b/crates/forwarding/src/directory/part_holders.rs
@@ -21,10 +21,10 @@
 impl PartHolders {
     /// Takes in what a worker's cache holds now, and does not hold any more.
     pub(super) fn apply(&mut self, worker: WorkerKey, change: &CacheChange) {
-        if let Some(part) = change.kept {
+        if let Some(part) = change.cached_part {
             self.by_part.entry(part).or_default().insert(worker);
         }
-        for part in &change.dropped {
+        for part in &change.evicted_parts {
             self.remove(worker, *part);
         }
     }
--- a/crates/forwarding/src/directory/prediction.rs
+++ b/crates/forwarding/src/directory/prediction.rs
@@ -117,7 +117,7 @@
                 tracked.weigh(comparison.now, seconds)
             }
             Need::Continue { .. } => {
-                let copied = comparison.prompt_tokens - tracked.cache.kept_tokens(demand.prompt);
+                let copied = comparison.prompt_tokens - tracked.cache.cached_tokens(demand.prompt);
                 let displaced = self.displaced_seconds(copied, comparison);
                 let work = self.engine_work(tracked, need, comparison);
                 let seconds = comparison.costs.seconds(&work) * tracked.slowness
@@ -161,7 +161,7 @@
         if let Need::Continue { reader } = need {
             let reader = self.tracked(reader).map(|reader| &reader.worker.zone);
             let other_zone = reader.is_some_and(|zone| *zone != tracked.worker.zone);
-            let copied = comparison.prompt_tokens - tracked.cache.kept_tokens(demand.prompt);
+            let copied = comparison.prompt_tokens - tracked.cache.cached_tokens(demand.prompt);
             let way = if other_zone { OTHER_ZONE_FETCH } else { 1.0 };
             return EngineWork::Continue(ContinuingWork {
                 requests: load.sends,
@@ -194,7 +194,7 @@
 
     /// What reading the demand's prompt at a worker takes.
     pub(super) fn reading(&self, tracked: &Tracked, comparison: &Comparison<'_>) -> Reading {
-        let kept = tracked.cache.kept_tokens(comparison.demand.prompt);
+        let kept = tracked.cache.cached_tokens(comparison.demand.prompt);
         let lacking = comparison.prompt_tokens - kept;
         let same_zone = |holder: &&Holder<'_>| holder.tracked.worker.zone == tracked.worker.zone;
         let source = comparison
--- a/crates/forwarding/src/directory/sampling.rs
+++ b/crates/forwarding/src/directory/sampling.rs
@@ -47,7 +47,7 @@
     /// How many of `candidates` workers a request compares, those that hold a part of its prompt aside. Other
     /// gateways are taken to place as much as this one.
     pub(super) fn count(&self, now: Timestamp, candidates: usize) -> usize {
-        let others_sends = self.own_sends.a_second(now) * self.others as f64;
+        let others_sends = self.own_sends.per_second(now) * self.others as f64;
         let unreported = others_sends * self.report_pause.as_secs_f64();
         let count = match unreported > LOOKS_BETWEEN_REPORTS {
             true => candidates as f64 * LOOKS_BETWEEN_REPORTS / unreported,
--- a/crates/forwarding/src/directory/sharing.rs
+++ b/crates/forwarding/src/directory/sharing.rs
@@ -96,8 +96,12 @@
                 continue;
             };
             let change = match read.ready {
-                true => tracked.cache.used(now, read.part, read.tokens, capacity),
-                false => tracked.cache.began(now, read.part, read.tokens, capacity),
+                true => tracked
+                    .cache
+                    .record_read(now, read.part, read.tokens, capacity),
+                false => tracked
+                    .cache
+                    .record_reading(now, read.part, read.tokens, capacity),
             };
             self.part_holders.apply(read.worker, &change);
         }
--- a/crates/forwarding/src/directory/tenants.rs
+++ b/crates/forwarding/src/directory/tenants.rs
@@ -12,7 +12,7 @@
     /// The part of the usual wait for which a request may wait.
     pub(super) fn tenant_patience(&mut self, now: Timestamp, demand: Demand<'_>) -> f64 {
         let shares = self.shares_of(demand);
-        shares.map_or(1.0, |(shares, tenant)| shares.patience_part(now, tenant))
+        shares.map_or(1.0, |(shares, tenant)| shares.wait_fraction(now, tenant))
     }
 
     /// Counts what a request asked for, and what became of it.
@@ -45,7 +45,7 @@
 
 fn outcome(admission: &Admission) -> WorkOutcome {
     match admission {
-        Admission::Taken { .. } => WorkOutcome::Taken,
+        Admission::Taken { .. } => WorkOutcome::Accepted,
         Admission::Refused { cause, .. } => match cause {
             RefusalCause::Overload | RefusalCause::RateLimit => WorkOutcome::RefusedForOverload,
             RefusalCause::TenantShare => WorkOutcome::RefusedForShare,
--- a/crates/forwarding/src/directory/ticket.rs
+++ b/crates/forwarding/src/directory/ticket.rs
@@ -94,7 +94,7 @@
         }
         let comparison = self.comparison(now, demand);
         let work = self.engine_work(tracked, need, &comparison);
-        if need.reads() {
+        if need.reads_prompt() {
             let reading = self.reading(tracked, &comparison);
             ticket.reading_tokens = reading.missing_tokens;
             ticket.short =
--- a/crates/forwarding/src/lapsed_workers.rs
+++ b/crates/forwarding/src/lapsed_workers.rs
@@ -26,7 +26,7 @@
 impl LapsedWorkers {
     /// Records that a worker's entry has disappeared. Returns whether the worker remains usable. `store_returned_at`
     /// is the time at which the store last became available again, if it was ever unavailable.
-    pub fn entry_gone(
+    pub fn record_missing_entry(
         &mut self,
         now: Timestamp,
         store_returned_at: Option<Timestamp>,
@@ -43,7 +43,7 @@
 
     /// Records that a worker with this name has an entry again. Returns the incarnation that was usable without an
     /// entry, if any.
-    pub fn entry_back(&mut self, name: &str) -> Option<WorkerId> {
+    pub fn record_returned_entry(&mut self, name: &str) -> Option<WorkerId> {
         self.awaited.remove(name)
     }
 
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -47,7 +47,7 @@
     Absence, EngineDemand, GatewayKey, LimitStatement, Load, LoadEntry, LoadReport, LoadReporter,
     PartRead, ServiceKey, WorkerKey,
 };
-pub use mirror::{Item, Mirror, MirrorChange, Snapshot, Touched, Update};
+pub use mirror::{Item, Mirror, MirrorChange, MirrorUpdate, Snapshot, Touched};
 pub use placement::{
     Placement, PlacementAnswer, PlacementBook, PlacementId, PlacementLedger, PlacementMessage,
     PlacementNeed, PlacementNotice, PlacementRequest,
@@ -69,6 +69,6 @@
 pub use selection::{affinity_part, prompt_tokens, Need, PromptPart};
 pub use stop_plan::StopPlan;
 pub use tenant_shares::{TenantKey, TenantShares, WorkOutcome};
-pub use tenants::{ApiKey, KnownTenant, Tenant, TenantError, TenantTable};
+pub use tenants::{ApiKey, AuthenticatedTenant, Tenant, TenantError, TenantTable};
 pub use worker::{Worker, WorkerId, WorkerKind, WorkerState};
-pub use worker_notice::{WorkerNotice, MAX_REST};
+pub use worker_notice::{WorkerNotice, MAX_BACKOFF};
--- a/crates/forwarding/src/load_exchange.rs
+++ b/crates/forwarding/src/load_exchange.rs
@@ -34,7 +34,7 @@
 impl WorkerKey {
     /// Returns the key of an incarnation of a worker.
     pub fn of(worker: &WorkerId) -> Self {
-        Self(xxh3_64(worker.life().as_bytes()))
+        Self(xxh3_64(worker.qualified_name().as_bytes()))
     }
 }
 
@@ -66,11 +66,11 @@
     /// The service.
     pub service: ServiceKey,
     /// The number of prefill-only engines that its long prompts would keep busy.
-    pub readers: f64,
+    pub prefill_engines: f64,
     /// The number of decoding engines that reading its short prompts would keep busy.
-    pub decoders: f64,
+    pub decode_engines: f64,
     /// The number of slots of decoding engines that its streams would occupy.
-    pub places: f64,
+    pub decode_slots: f64,
 }
 
 /// The load that one gateway has in flight at one worker.
--- a/crates/forwarding/src/mirror.rs
+++ b/crates/forwarding/src/mirror.rs
@@ -95,7 +95,7 @@
 
 /// An update that brings an older mirror of a peer up to date.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Update {
+pub enum MirrorUpdate {
     /// The changes after the peer's position, up to `position` and ordered by position.
     Changes {
         /// The changes.
@@ -104,10 +104,10 @@
         position: Position,
         /// Whether the changes span a gap: intermediate changes between the two states on either side of the gap are
         /// missing.
-        skips: bool,
+        spans_gap: bool,
     },
     /// A snapshot, for a peer that the history does not reach back to.
-    Whole(Snapshot),
+    Snapshot(Snapshot),
 }
 
 /// The items of a mirror that a change has touched.
@@ -124,7 +124,7 @@
 
 impl Touched {
     /// Returns whether anything has changed.
-    pub fn is_any(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         *self != Touched::Nothing
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Returns whether any item whose key starts with this prefix was touched.
-    pub fn covers_below(&self, prefix: &str) -> bool {
+    pub fn covers_any_with_prefix(&self, prefix: &str) -> bool {
         match self {
             Touched::Nothing => false,
             Touched::Keys(keys) => keys.iter().any(|touched| touched.starts_with(prefix)),
@@ -244,7 +244,7 @@
 
 impl Mirror {
     /// Creates an empty mirror that excludes keys with this prefix, for items that change often and have few readers.
-    pub fn without(excluded_prefix: &'static str) -> Self {
+    pub fn excluding_prefix(excluded_prefix: &'static str) -> Self {
         Self {
             excluded_prefix: Some(excluded_prefix),
             ..Self::default()
@@ -356,14 +356,14 @@
     }
 
     /// Applies an update from a peer. Returns the items that were touched.
-    pub fn take_in(&mut self, update: Update) -> Touched {
+    pub fn apply_update(&mut self, update: MirrorUpdate) -> Touched {
         match update {
-            Update::Changes {
+            MirrorUpdate::Changes {
                 changes,
                 position,
-                skips,
+                spans_gap,
             } => {
-                if skips && position > self.position {
+                if spans_gap && position > self.position {
                     self.history.record_gap(Gap {
                         before: self.position,
                         after: position,
@@ -371,34 +371,34 @@
                 }
                 self.apply(changes, position)
             }
-            Update::Whole(snapshot) => self.replace(snapshot),
+            MirrorUpdate::Snapshot(snapshot) => self.replace(snapshot),
         }
     }
 
     /// Returns whether a peer whose mirror has this position can be sent changes instead of a snapshot.
-    pub fn remembers_after(&self, position: Position) -> bool {
+    pub fn has_history_since(&self, position: Position) -> bool {
         self.history.covers(position)
     }
 
     /// Returns the update for a peer whose mirror has this position, or `None` if that mirror is not older than this
     /// one.
-    pub fn update_after(&self, position: Position) -> Option<Update> {
+    pub fn update_after(&self, position: Position) -> Option<MirrorUpdate> {
         if position >= self.position {
             return None;
         }
         let update = match self.history.changes_after(position) {
-            Some(changes) => Update::Changes {
+            Some(changes) => MirrorUpdate::Changes {
                 changes,
                 position: self.position,
-                skips: self.history.spans_gap_after(position),
+                spans_gap: self.history.spans_gap_after(position),
             },
-            None => Update::Whole(self.snapshot()),
+            None => MirrorUpdate::Snapshot(self.snapshot()),
         };
         Some(update)
     }
 
     /// Returns the items whose keys start with this prefix, ordered by key.
-    pub fn below<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Item> {
+    pub fn items_with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Item> {
         self.items
             .range(prefix.to_owned()..)
             .map(|(_, item)| item)
--- a/crates/forwarding/src/rate.rs
+++ b/crates/forwarding/src/rate.rs
@@ -29,7 +29,7 @@
 
     /// Returns the rate per second. For a constant rate, the decaying sum equals the rate times the mean lifetime of an
     /// amount, which is `HALF_LIFE` / ln 2.
-    pub(crate) fn a_second(&self, now: Timestamp) -> f64 {
+    pub(crate) fn per_second(&self, now: Timestamp) -> f64 {
         self.decayed(now) * std::f64::consts::LN_2 / HALF_LIFE.as_secs_f64()
     }
 }
--- a/crates/forwarding/src/route_table.rs
+++ b/crates/forwarding/src/route_table.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the route for a host and a path, and the service that receives this request by weighted round-robin.
-    pub fn take(&mut self, host: &str, path: &str) -> Option<(Arc<Route>, ServiceName)> {
+    pub fn route_request(&mut self, host: &str, path: &str) -> Option<(Arc<Route>, ServiceName)> {
         let entries = self.by_host.get_mut(&host_name(host))?;
         let entry = entries.iter_mut().find(|entry| entry.matches(path))?;
         let service = entry.next_target().service.clone();
--- a/crates/forwarding/src/selection.rs
+++ b/crates/forwarding/src/selection.rs
@@ -27,7 +27,7 @@
 
 impl Need {
     /// Returns whether the worker reads the prompt itself, as opposed to fetching its KV cache.
-    pub const fn reads(&self) -> bool {
+    pub const fn reads_prompt(&self) -> bool {
         !matches!(self, Need::Continue { .. })
     }
 }
--- a/crates/forwarding/src/tenant_shares.rs
+++ b/crates/forwarding/src/tenant_shares.rs
@@ -7,7 +7,7 @@
 //!   of its demand, however small that makes the shares of others. It is refused more often than the others,
 //!   but it is not starved.
 //! - A tenant that exceeds its entitlement may wait in the queue for only a fraction of the time for which
-//!   others may wait ([`TenantShares::patience_part`]). The queue in which its requests are refused therefore
+//!   others may wait ([`TenantShares::wait_fraction`]). The queue in which its requests are refused therefore
 //!   still has room for other tenants, and the engines still have work. No capacity is reserved for any
 //!   tenant.
 //!
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkOutcome {
     /// The work was accepted.
-    Taken,
+    Accepted,
     /// The work was refused because it would have waited too long, whichever tenant requested it.
     RefusedForOverload,
     /// The work was refused only because its tenant has used more than its share.
@@ -115,13 +115,13 @@
         if outcome != WorkOutcome::RefusedForShare {
             work.contending.record(now, seconds);
         }
-        if outcome == WorkOutcome::Taken {
+        if outcome == WorkOutcome::Accepted {
             work.accepted.record(now, seconds);
         }
     }
 
     /// Returns the fraction of the usual wait for which requests of a tenant may wait.
-    pub fn patience_part(&mut self, now: Timestamp, tenant: TenantKey) -> f64 {
+    pub fn wait_fraction(&mut self, now: Timestamp, tenant: TenantKey) -> f64 {
         self.calculate_if_due(now);
         let Some(work) = self.tenants.get(&tenant) else {
             return 1.0;
@@ -181,5 +181,5 @@
 
 /// Converts a rate of seconds to whole microseconds per second.
 fn micros_per_second(rate: Rate, now: Timestamp) -> u64 {
-    (rate.a_second(now) * MICROS_PER_SECOND) as u64
+    (rate.per_second(now) * MICROS_PER_SECOND) as u64
 }
--- a/crates/forwarding/src/tenants.rs
+++ b/crates/forwarding/src/tenants.rs
@@ -86,7 +86,7 @@
 
 /// The tenant of an authenticated caller, with the properties that its requests depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct KnownTenant {
+pub struct AuthenticatedTenant {
     /// The name.
     pub name: TenantName,
     /// The rank of its requests, which overrides the rank of the route.
@@ -96,7 +96,7 @@
 /// Tenants by API key. The time of a lookup does not depend on the number of keys.
 #[derive(Debug, Default)]
 pub struct TenantTable {
-    by_key: HashMap<ApiKey, Arc<KnownTenant>>,
+    by_key: HashMap<ApiKey, Arc<AuthenticatedTenant>>,
 }
 
 impl TenantTable {
@@ -104,7 +104,7 @@
     pub fn new(tenants: &[Tenant]) -> Self {
         let mut by_key = HashMap::new();
         for tenant in tenants {
-            let tenant_of_keys = Arc::new(KnownTenant {
+            let tenant_of_keys = Arc::new(AuthenticatedTenant {
                 name: tenant.name.clone(),
                 rank: tenant.rank,
             });
@@ -116,7 +116,7 @@
     }
 
     /// Returns the tenant that a key belongs to.
-    pub fn holder(&self, key: &ApiKey) -> Option<Arc<KnownTenant>> {
+    pub fn tenant_of(&self, key: &ApiKey) -> Option<Arc<AuthenticatedTenant>> {
         self.by_key.get(key).cloned()
     }
 }
--- a/crates/forwarding/src/worker.rs
+++ b/crates/forwarding/src/worker.rs
@@ -20,7 +20,7 @@
 impl WorkerId {
     /// Returns the incarnation of the worker `name` that started at `started_at`, in milliseconds since the Unix epoch.
     /// Without a start time, the name alone identifies the incarnation.
-    pub fn of_life(name: &str, started_at: Option<u64>) -> Self {
+    pub fn of_incarnation(name: &str, started_at: Option<u64>) -> Self {
         match started_at {
             None => Self::from(name),
             Some(started_at) => Self::from(format!("{name}{START_SEPARATOR}{started_at}").as_str()),
@@ -33,12 +33,12 @@
     }
 
     /// Returns the name and the start time as one string, for messages between gateways. [`WorkerId::from`] parses it.
-    pub fn life(&self) -> &str {
+    pub fn qualified_name(&self) -> &str {
         &self.qualified_name
     }
 
     /// Returns whether this is an earlier incarnation of the same worker as `other`.
-    pub fn is_before(&self, other: &Self) -> bool {
+    pub fn is_earlier_incarnation_of(&self, other: &Self) -> bool {
         let (name, started_at) = self.name_and_start();
         let (other_name, other_started_at) = other.name_and_start();
         name == other_name && started_at < other_started_at
--- a/crates/forwarding/tests/budget_and_mirror.rs
+++ b/crates/forwarding/tests/budget_and_mirror.rs
@@ -117,9 +117,9 @@
         items: vec![item("a", 4)],
         position: at(5),
     };
-    assert!(!mirror.replace(older).is_any());
+    assert!(!mirror.replace(older).has_changes());
     let late = mirror.apply(vec![MirrorChange::Written(item("a", 3))], at(6));
-    assert!(!late.is_any());
+    assert!(!late.has_changes());
     assert_eq!(mirror.get("a").map(|item| item.written), Some(at(5)));
 }
 
@@ -137,7 +137,10 @@
         ],
         at(4),
     );
-    let keys: Vec<&str> = mirror.below("p/").map(|item| item.key.as_str()).collect();
+    let keys: Vec<&str> = mirror
+        .items_with_prefix("p/")
+        .map(|item| item.key.as_str())
+        .collect();
     assert_eq!(keys, ["p/b"]);
     assert_eq!(mirror.position(), at(4));
 }
--- a/crates/forwarding/tests/lapsed_workers.rs
+++ b/crates/forwarding/tests/lapsed_workers.rs
@@ -35,11 +35,11 @@
 fn workers_whose_entries_expired_with_the_store_unavailable_are_usable_until_back_or_overdue() {
     let mut lapsed = LapsedWorkers::default();
     for id in ["b", "c"] {
-        assert!(lapsed.entry_gone(shortly_after(), Some(STORE_RETURNED_AT), &ready(id)));
+        assert!(lapsed.record_missing_entry(shortly_after(), Some(STORE_RETURNED_AT), &ready(id)));
     }
     assert!(lapsed.has_awaited_workers());
-    assert_eq!(lapsed.entry_back("b"), Some(WorkerId::from("b")));
-    assert_eq!(lapsed.entry_back("a"), None);
+    assert_eq!(lapsed.record_returned_entry("b"), Some(WorkerId::from("b")));
+    assert_eq!(lapsed.record_returned_entry("a"), None);
     assert!(lapsed
         .take_overdue(shortly_after(), Some(STORE_RETURNED_AT))
         .is_empty());
@@ -56,16 +56,16 @@
 fn a_worker_that_was_leaving_is_gone_with_its_entry() {
     let mut lapsed = LapsedWorkers::default();
     let leaving = worker("a", WorkerState::Draining);
-    assert!(!lapsed.entry_gone(shortly_after(), Some(STORE_RETURNED_AT), &leaving));
+    assert!(!lapsed.record_missing_entry(shortly_after(), Some(STORE_RETURNED_AT), &leaving));
     assert!(!lapsed.has_awaited_workers());
 }
 
 #[test]
 fn an_entry_removed_while_the_store_is_available_is_gone_immediately() {
     let mut lapsed = LapsedWorkers::default();
-    assert!(!lapsed.entry_gone(shortly_after(), None, &ready("b")));
+    assert!(!lapsed.record_missing_entry(shortly_after(), None, &ready("b")));
     let long_before = Some(Timestamp::from_millis(1_000));
-    assert!(!lapsed.entry_gone(shortly_after(), long_before, &ready("a")));
+    assert!(!lapsed.record_missing_entry(shortly_after(), long_before, &ready("a")));
     assert!(!lapsed.has_awaited_workers());
 }
 
@@ -73,10 +73,10 @@
 fn a_worker_that_returns_in_another_incarnation_yields_the_earlier_one() {
     let mut lapsed = LapsedWorkers::default();
     let before = Worker {
-        id: WorkerId::of_life("a", Some(1)),
+        id: WorkerId::of_incarnation("a", Some(1)),
         ..ready("a")
     };
-    assert!(lapsed.entry_gone(shortly_after(), Some(STORE_RETURNED_AT), &before));
-    assert_eq!(lapsed.entry_back("a"), Some(before.id));
+    assert!(lapsed.record_missing_entry(shortly_after(), Some(STORE_RETURNED_AT), &before));
+    assert_eq!(lapsed.record_returned_entry("a"), Some(before.id));
     assert!(!lapsed.has_awaited_workers());
 }
--- a/crates/forwarding/tests/mirror_updates.rs
+++ b/crates/forwarding/tests/mirror_updates.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use tansyhall_fixed_cases::fixed_cases;
-use tansyhall_forwarding::{Item, Mirror, MirrorChange, Position, Snapshot, Update};
+use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
 
 /// Seed of the property test.
 const SEED: u64 = 20_261_204;
@@ -57,7 +57,7 @@
             source.apply(vec![change], at(revision));
             if draw == 0 {
                 let update = source.update_after(peer.position());
-                peer.take_in(update.expect("something new"));
+                peer.apply_update(update.expect("something new"));
                 prop_assert_eq!(peer.snapshot(), source.snapshot());
             }
         }
@@ -73,10 +73,10 @@
 fn a_peer_that_lacks_few_changes_gets_only_those() {
     let mut source = read_mirror();
     source.apply(vec![written(1, 2), written(2, 3)], at(3));
-    let update = Update::Changes {
+    let update = MirrorUpdate::Changes {
         changes: vec![written(2, 3)],
         position: at(3),
-        skips: false,
+        spans_gap: false,
     };
     assert_eq!(source.update_after(at(2)), Some(update));
 }
@@ -87,7 +87,10 @@
     for revision in 2..2_000 {
         source.apply(vec![written(1, revision)], at(revision));
     }
-    assert!(matches!(source.update_after(at(1)), Some(Update::Whole(_))));
+    assert!(matches!(
+        source.update_after(at(1)),
+        Some(MirrorUpdate::Snapshot(_))
+    ));
 }
 
 #[test]
@@ -102,10 +105,13 @@
         };
         source.apply(vec![MirrorChange::Written(item)], at(revision));
     }
-    assert!(matches!(source.update_after(at(1)), Some(Update::Whole(_))));
+    assert!(matches!(
+        source.update_after(at(1)),
+        Some(MirrorUpdate::Snapshot(_))
+    ));
     assert!(matches!(
         source.update_after(at(4)),
-        Some(Update::Changes { .. })
+        Some(MirrorUpdate::Changes { .. })
     ));
 }
 
@@ -138,11 +144,11 @@
     let touched = source.replace(after.clone());
     assert!(touched.covers("key-0") && touched.covers("key-6") && !touched.covers("key-1"));
     let update = source.update_after(peer.position()).expect("something new");
-    let Update::Changes { changes, .. } = &update else {
+    let MirrorUpdate::Changes { changes, .. } = &update else {
         panic!("got a snapshot");
     };
     assert_eq!(changes.len(), 3);
-    peer.take_in(update);
+    peer.apply_update(update);
     assert_eq!(peer.snapshot(), source.snapshot());
     let mut fresh = Mirror::default();
     fresh.replace(after);
--- a/crates/forwarding/tests/rate_limits.rs
+++ b/crates/forwarding/tests/rate_limits.rs
@@ -260,7 +260,7 @@
 #[test]
 fn a_limit_does_not_apply_to_another_incarnation_of_the_worker() {
     let mut directory = alone(&[]);
-    let incarnation = |started_at| WorkerId::of_life("a", Some(started_at));
+    let incarnation = |started_at| WorkerId::of_incarnation("a", Some(started_at));
     directory.take_notice(START, &incarnation(1), limit_notice(limit(2.0)));
     assert_eq!(directory.rate_limit_of(&incarnation(1)), Some(limit(2.0)));
     assert_eq!(directory.rate_limit_of(&incarnation(2)), None);
--- a/crates/forwarding/tests/restored_mirror.rs
+++ b/crates/forwarding/tests/restored_mirror.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use tansyhall_fixed_cases::fixed_cases;
-use tansyhall_forwarding::{Item, Mirror, MirrorChange, Position, Snapshot, Update};
+use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
 
 /// Seed of the property test.
 const SEED: u64 = 20_261_206;
@@ -111,7 +111,7 @@
                 Step::Request(follower, relay) => {
                     let update = mirrors[relay].update_after(mirrors[follower].position());
                     if let Some(update) = update {
-                        mirrors[follower].take_in(update);
+                        mirrors[follower].apply_update(update);
                         prop_assert_eq!(contents(&mirrors[follower]), contents(&mirrors[relay]));
                     }
                 }
@@ -167,11 +167,11 @@
             position: Position::new(1, 10),
         });
         let update = relay.update_after(follower.position()).expect("something");
-        let Update::Changes { changes, .. } = &update else {
+        let MirrorUpdate::Changes { changes, .. } = &update else {
             panic!("got a snapshot of {entries} entries");
         };
         assert_eq!(changes.len(), LOST);
-        follower.take_in(update);
+        follower.apply_update(update);
         assert_eq!(follower.snapshot(), relay.snapshot());
     }
 }
@@ -189,8 +189,8 @@
     follower.replace(read(vec![item(1, old), item(2, lost)], lost));
     relay.replace(read(vec![item(1, old)], Position::new(1, 10)));
     let update = relay.update_after(follower.position()).expect("something");
-    assert!(matches!(update, Update::Whole(_)));
-    follower.take_in(update);
+    assert!(matches!(update, MirrorUpdate::Snapshot(_)));
+    follower.apply_update(update);
     assert_eq!(follower.get("key-00002"), None);
 }
 
@@ -205,8 +205,8 @@
     relay.replace(read(0));
     let mut follower = Mirror::default();
     follower.replace(read(0));
-    assert!(relay.replace(read(1)).is_any());
+    assert!(relay.replace(read(1)).has_changes());
     let update = relay.update_after(follower.position()).expect("something");
-    assert!(follower.take_in(update).is_any());
+    assert!(follower.apply_update(update).has_changes());
     assert_eq!(follower.position(), Position::new(1, 10));
 }
--- a/crates/forwarding/tests/routes.rs
+++ b/crates/forwarding/tests/routes.rs
@@ -59,7 +59,7 @@
     ];
     let mut table = RouteTable::new(&configuration(routes));
     let mut route_name = |host: &str, path: &str| {
-        let taken = table.take(host, path);
+        let taken = table.route_request(host, path);
         taken.map(|(route, _)| route.name.clone())
     };
     assert_eq!(route_name("shop.example", "/x/y/z"), Some("long".into()));
@@ -77,7 +77,7 @@
     let mut table = RouteTable::new(&configuration(routes));
     let mut counts: HashMap<String, u32> = HashMap::new();
     for _ in 0..50 {
-        let (_, service) = table.take("shop.example", "/s/").expect("a route");
+        let (_, service) = table.route_request("shop.example", "/s/").expect("a route");
         *counts.entry(service.to_string()).or_default() += 1;
     }
     assert_eq!(counts["a"], 45);
--- a/crates/forwarding/tests/tenant_shares.rs
+++ b/crates/forwarding/tests/tenant_shares.rs
@@ -24,7 +24,7 @@
     for (number, (demand, fraction)) in demands.iter().enumerate() {
         let tenant = TenantKey(number as u64);
         let accepted = demand * fraction;
-        shares.record(NOW, tenant, accepted, WorkOutcome::Taken);
+        shares.record(NOW, tenant, accepted, WorkOutcome::Accepted);
         shares.record(NOW, tenant, demand - accepted, refused);
     }
     shares
@@ -37,7 +37,7 @@
 
 fn fractions(shares: &mut TenantShares, tenants: usize) -> Vec<f64> {
     let keys = (0..tenants as u64).map(TenantKey);
-    keys.map(|tenant| shares.patience_part(NOW, tenant))
+    keys.map(|tenant| shares.wait_fraction(NOW, tenant))
         .collect()
 }
 
@@ -100,10 +100,10 @@
     }
     assert_eq!(shares.tracked_tenants() as u64, MANY_TENANTS);
     for tenant in 0..100_000 {
-        shares.record(NOW, TenantKey(tenant), 1.0, WorkOutcome::Taken);
+        shares.record(NOW, TenantKey(tenant), 1.0, WorkOutcome::Accepted);
     }
     assert!(shares.tracked_tenants() < 2_000);
-    assert_eq!(shares.patience_part(NOW, TenantKey(99_999)), 1.0);
+    assert_eq!(shares.wait_fraction(NOW, TenantKey(99_999)), 1.0);
 }
 
 #[test]
@@ -113,18 +113,18 @@
         shares.record(NOW, TenantKey(tenant), 1.0, WorkOutcome::RefusedForOverload);
     }
     let later = NOW + Duration::from_secs(120);
-    shares.record(later, TenantKey(0), 1.0, WorkOutcome::Taken);
-    shares.patience_part(later, TenantKey(0));
+    shares.record(later, TenantKey(0), 1.0, WorkOutcome::Accepted);
+    shares.wait_fraction(later, TenantKey(0));
     assert_eq!(shares.tracked_tenants(), 1);
 }
 
 #[test]
 fn work_accepted_during_overload_is_forgotten() {
     let mut shares = overloaded(&[(10.0, 0.5), (0.1, 0.0)]);
-    assert!(shares.patience_part(NOW, TenantKey(0)) < 1.0);
+    assert!(shares.wait_fraction(NOW, TenantKey(0)) < 1.0);
     let later = NOW + Duration::from_secs(30);
     for tenant in [0, 1] {
-        shares.record(later, TenantKey(tenant), 1.0, WorkOutcome::Taken);
+        shares.record(later, TenantKey(tenant), 1.0, WorkOutcome::Accepted);
     }
-    assert!(shares.patience_part(later, TenantKey(0)) > 1.0 - ROUNDING);
+    assert!(shares.wait_fraction(later, TenantKey(0)) > 1.0 - ROUNDING);
 }
--- a/crates/forwarding/tests/tenants.rs
+++ b/crates/forwarding/tests/tenants.rs
@@ -15,7 +15,7 @@
 fn a_key_identifies_its_tenant() {
     let table = TenantTable::new(&[tenant("a", &["k-1", "k-2"]), tenant("b", &["k-3"])]);
     let tenant_of = |key: &str| {
-        let known = table.holder(&ApiKey::new(key));
+        let known = table.tenant_of(&ApiKey::new(key));
         known.map(|known| known.name.to_string())
     };
     assert_eq!(tenant_of("k-2"), Some("a".into()));
--- a/crates/forwarding/tests/worker_notices.rs
+++ b/crates/forwarding/tests/worker_notices.rs
@@ -9,7 +9,7 @@
 use tansyhall_forwarding::{
     Demand, Directory, FirstAvailable, GatewayKey, Need, Objectives, PlacementAnswer,
     PlacementBook, PlacementId, PlacementLedger, PlacementNeed, PlacementNotice, PlacementRequest,
-    SendResult, SendTicket, Unavailable, Worker, WorkerId, WorkerNotice, MAX_REST,
+    SendResult, SendTicket, Unavailable, Worker, WorkerId, WorkerNotice, MAX_BACKOFF,
 };
 
 use sample::ready_worker;
@@ -42,14 +42,14 @@
 
 fn leaving_notice() -> WorkerNotice {
     WorkerNotice {
-        leaves: true,
+        is_leaving: true,
         ..WorkerNotice::default()
     }
 }
 
 fn backoff_notice(backoff: Duration) -> WorkerNotice {
     WorkerNotice {
-        rest: Some(backoff),
+        backoff: Some(backoff),
         ..WorkerNotice::default()
     }
 }
@@ -118,7 +118,7 @@
 #[test]
 fn notices_of_one_incarnation_do_not_apply_to_the_next() {
     let caller = Caller::new();
-    let [first, second] = [1, 2].map(|started_at| WorkerId::of_life("a", Some(started_at)));
+    let [first, second] = [1, 2].map(|started_at| WorkerId::of_incarnation("a", Some(started_at)));
     let mut directory = Directory::new(GatewayKey(1));
     directory.announce_one(worker(first.clone()));
     directory.take_notice(NOW, &first, leaving_notice());
@@ -158,10 +158,10 @@
     directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF));
     let update = directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF / 2));
     assert_eq!(update.rest, None);
-    let longest = directory.notice_of(NOW, &named("a")).rest;
+    let longest = directory.notice_of(NOW, &named("a")).backoff;
     assert_eq!(longest, Some(BACKOFF));
     directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF * 2));
-    let longer = directory.notice_of(NOW, &named("a")).rest;
+    let longer = directory.notice_of(NOW, &named("a")).backoff;
     assert_eq!(longer, Some(BACKOFF * 2));
 }
 
@@ -172,7 +172,7 @@
     let soon = NOW + Duration::from_millis(20);
     let again = directory.take_notice(soon, &named("a"), backoff_notice(BACKOFF));
     assert_eq!(again.rest, None);
-    let left = directory.notice_of(soon, &named("a")).rest;
+    let left = directory.notice_of(soon, &named("a")).backoff;
     assert_eq!(left, Some(BACKOFF));
     let later = NOW + Duration::from_secs(1);
     let anew = directory.take_notice(later, &named("a"), backoff_notice(BACKOFF));
@@ -240,11 +240,11 @@
 #[test]
 fn invalid_seconds_request_no_backoff() {
     for seconds in [0.0, -0.0, -1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        assert_eq!(WorkerNotice::of_rest_seconds(seconds), None);
+        assert_eq!(WorkerNotice::backoff_from_seconds(seconds), None);
     }
-    let backoff = WorkerNotice::of_rest_seconds;
+    let backoff = WorkerNotice::backoff_from_seconds;
     assert_eq!(backoff(0.25), Some(Duration::from_millis(250)));
-    assert_eq!(backoff(f64::MAX), Some(MAX_REST));
+    assert_eq!(backoff(f64::MAX), Some(MAX_BACKOFF));
 }
 
 #[test]
--- a/crates/gateway/src/copy_answers.rs
+++ b/crates/gateway/src/copy_answers.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 use bytes::Bytes;
-use tansyhall_forwarding::{Mirror, Position, Update};
+use tansyhall_forwarding::{Mirror, MirrorUpdate, Position};
 
 use crate::copy_message::deflate_items;
 
@@ -35,7 +35,7 @@
     /// Nothing is new.
     Nothing,
     /// Little is.
-    Plain(Update),
+    Plain(MirrorUpdate),
     /// This, deflated.
     Deflated(DeflatedUpdate),
 }
@@ -45,7 +45,13 @@
     pub fn skips(&self) -> bool {
         match self {
             CopyAnswer::Nothing => false,
-            CopyAnswer::Plain(update) => matches!(update, Update::Changes { skips: true, .. }),
+            CopyAnswer::Plain(update) => matches!(
+                update,
+                MirrorUpdate::Changes {
+                    spans_gap: true,
+                    ..
+                }
+            ),
             CopyAnswer::Deflated(update) => update.skips,
         }
     }
@@ -82,7 +88,7 @@
     }
 
     fn known(&self, mirror: &Mirror, position: Position) -> Option<DeflatedUpdate> {
-        if !mirror.remembers_after(position) {
+        if !mirror.has_history_since(position) {
             let whole = self.whole.as_ref()?;
             return leads_on(whole, mirror, position).then(|| whole.clone());
         }
@@ -110,22 +116,24 @@
 fn leads_on(whole: &DeflatedUpdate, mirror: &Mirror, position: Position) -> bool {
     let is_newer = whole.position > position;
     let is_present = whole.position.epoch == mirror.position().epoch;
-    is_newer && is_present && mirror.remembers_after(whole.position)
+    is_newer && is_present && mirror.has_history_since(whole.position)
 }
 
-fn size(update: &Update) -> usize {
+fn size(update: &MirrorUpdate) -> usize {
     match update {
-        Update::Changes { changes, .. } => changes.iter().map(|change| change.bytes()).sum(),
-        Update::Whole(snapshot) => snapshot.items.iter().map(|item| item.bytes()).sum(),
+        MirrorUpdate::Changes { changes, .. } => changes.iter().map(|change| change.bytes()).sum(),
+        MirrorUpdate::Snapshot(snapshot) => snapshot.items.iter().map(|item| item.bytes()).sum(),
     }
 }
 
-fn deflate(update: Update) -> Option<DeflatedUpdate> {
+fn deflate(update: MirrorUpdate) -> Option<DeflatedUpdate> {
     let (position, whole, skips) = match &update {
-        Update::Changes {
-            position, skips, ..
+        MirrorUpdate::Changes {
+            position,
+            spans_gap: skips,
+            ..
         } => (*position, false, *skips),
-        Update::Whole(snapshot) => (snapshot.position, true, false),
+        MirrorUpdate::Snapshot(snapshot) => (snapshot.position, true, false),
     };
     let items = deflate_items(update)?;
     Some(DeflatedUpdate {
--- a/crates/gateway/src/copy_message.rs
+++ b/crates/gateway/src/copy_message.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use prost::Message;
-use tansyhall_forwarding::{Item, MirrorChange, Position, Snapshot, Update};
+use tansyhall_forwarding::{Item, MirrorChange, MirrorUpdate, Position, Snapshot};
 
 use crate::copy_answers::DeflatedUpdate;
 use crate::deflated_values::{deflate, inflate, DeflatedValues};
@@ -46,15 +46,15 @@
 }
 
 /// The items of an update, deflated together.
-pub fn deflate_items(update: Update) -> Option<Vec<u8>> {
+pub fn deflate_items(update: MirrorUpdate) -> Option<Vec<u8>> {
     let items: Vec<ItemMessage> = match update {
-        Update::Changes {
+        MirrorUpdate::Changes {
             changes, position, ..
         } => changes
             .into_iter()
             .map(|change| ItemMessage::plain_change(change, position.epoch))
             .collect(),
-        Update::Whole(Snapshot { items, position }) => items
+        MirrorUpdate::Snapshot(Snapshot { items, position }) => items
             .into_iter()
             .map(|item| ItemMessage::plain(item, position.epoch))
             .collect(),
@@ -99,7 +99,7 @@
 pub struct UpdateHead {
     /// The epoch of the sender's copy.
     pub epoch: u64,
-    /// Whether the changes lead over a gap, see [`Update::Changes`].
+    /// Whether the changes lead over a gap, see [`MirrorUpdate::Changes`].
     pub skips: bool,
 }
 
@@ -107,7 +107,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Received {
     /// What is new, if anything.
-    pub update: Option<Update>,
+    pub update: Option<MirrorUpdate>,
     /// The epoch of the sender's copy.
     pub epoch: u64,
     /// Time since the store last answered the sender.
@@ -116,10 +116,10 @@
 
 impl UpdateMessage {
     /// The message for a receiver that lacks `update`, from a sender whose knowledge is this old.
-    pub fn new(update: Option<Update>, age: Duration, deflated: &mut DeflatedValues) -> Self {
+    pub fn new(update: Option<MirrorUpdate>, age: Duration, deflated: &mut DeflatedValues) -> Self {
         let (items, revision, whole) = match update {
             None => (Vec::new(), 0, false),
-            Some(Update::Changes {
+            Some(MirrorUpdate::Changes {
                 changes, position, ..
             }) => {
                 let items = changes
@@ -127,7 +127,7 @@
                     .map(|change| ItemMessage::of_change(change, position.epoch, deflated));
                 (items.collect(), position.revision, false)
             }
-            Some(Update::Whole(Snapshot { items, position })) => {
+            Some(MirrorUpdate::Snapshot(Snapshot { items, position })) => {
                 let items = items
                     .into_iter()
                     .map(|item| ItemMessage::of_item(item, position.epoch, deflated));
@@ -176,14 +176,14 @@
         let position = Position::new(epoch, self.revision);
         let update = match (self.revision, self.whole) {
             (0, _) => None,
-            (_, true) => Some(Update::Whole(Snapshot {
+            (_, true) => Some(MirrorUpdate::Snapshot(Snapshot {
                 items: items_of(items, epoch)?,
                 position,
             })),
-            (_, false) => Some(Update::Changes {
+            (_, false) => Some(MirrorUpdate::Changes {
                 changes: changes_of(items, epoch)?,
                 position,
-                skips,
+                spans_gap: skips,
             }),
         };
         Ok(Received {
--- a/crates/gateway/src/exchange/placing.rs
+++ b/crates/gateway/src/exchange/placing.rs
@@ -93,7 +93,7 @@
         let fits = |placed: &OpenPlacement| {
             let placement = placed.placement();
             let reads = need == Need::ReadPrompt;
-            avoid.is_empty() && need.reads() && placement.read_apart == reads
+            avoid.is_empty() && need.reads_prompt() && placement.read_apart == reads
         };
         if let Some(placed) = self.placed.take().filter(fits) {
             return Some(self.go_to(placed));
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -203,7 +203,7 @@
         let mut mirror = self.shared.mirror.lock();
         let touched = mirror.apply(changes, position.unwrap_or_default());
         drop(mirror);
-        if touched.is_any() {
+        if touched.has_changes() {
             refresh(&self.shared, &touched);
         }
         Ok(())
@@ -327,7 +327,7 @@
     contact.mark(shared.now(), Duration::ZERO, epoch.0);
     observe_revision(shared, revision);
     let touched = shared.mirror.lock().replace(snapshot);
-    if touched.is_any() {
+    if touched.has_changes() {
         refresh(shared, &touched);
     }
     Ok(())
--- a/crates/gateway/src/load_messages.rs
+++ b/crates/gateway/src/load_messages.rs
@@ -144,9 +144,9 @@
 fn encode_demand(demand: &EngineDemand) -> DemandMessage {
     DemandMessage {
         service: demand.service.0,
-        readers: demand.readers as f32,
-        places: demand.places as f32,
-        decoders: demand.decoders as f32,
+        readers: demand.prefill_engines as f32,
+        places: demand.decode_slots as f32,
+        decoders: demand.decode_engines as f32,
     }
 }
 
@@ -176,9 +176,9 @@
 fn decode_demand(message: &DemandMessage) -> EngineDemand {
     EngineDemand {
         service: ServiceKey(message.service),
-        readers: possible(message.readers),
-        places: possible(message.places),
-        decoders: possible(message.decoders),
+        prefill_engines: possible(message.readers),
+        decode_slots: possible(message.places),
+        decode_engines: possible(message.decoders),
     }
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -19,7 +19,7 @@
 use rand::RngExt;
 use serde::Deserialize;
 use tansyhall_core::Timestamp;
-use tansyhall_forwarding::{Position, Touched, Update};
+use tansyhall_forwarding::{MirrorUpdate, Position, Touched};
 use tokio::time::{sleep, timeout};
 
 use crate::copy_answers::CopyAnswer;
@@ -145,7 +145,7 @@
     }
     if let Some(update) = update {
         let touched = take_in(shared, after, update);
-        if touched.is_any() {
+        if touched.has_changes() {
             refresh(shared, &touched);
         }
     }
@@ -153,12 +153,12 @@
 }
 
 /// Takes an update in. What leads on from an earlier epoch leads nowhere if the copy has left that epoch meanwhile.
-fn take_in(shared: &Shared, asked_after: Position, update: Update) -> Touched {
+fn take_in(shared: &Shared, asked_after: Position, update: MirrorUpdate) -> Touched {
     let mut mirror = shared.mirror.lock();
     if mirror.position().epoch != asked_after.epoch && !asked_after.is_start() {
         return Touched::Nothing;
     }
-    mirror.take_in(update)
+    mirror.apply_update(update)
 }
 
 /// Asks a gateway what is newer than a position. Its answer must name this very question: what comes
--- a/crates/gateway/src/placement/codec.rs
+++ b/crates/gateway/src/placement/codec.rs
@@ -7,7 +7,7 @@
 use tansyhall_forwarding::{
     GatewayKey, Need, Objectives, Placement, PlacementAnswer, PlacementId, PlacementMessage,
     PlacementNeed, PlacementNotice, PlacementRequest, PromptPart, RefusalCause, SendResult,
-    StatedLimit, TenantKey, WorkerId, WorkerNotice, MAX_REST,
+    StatedLimit, TenantKey, WorkerId, WorkerNotice, MAX_BACKOFF,
 };
 
 use crate::load_messages::StatedLimitMessage;
@@ -87,8 +87,8 @@
                     SendResult::Answered { latency } => micros(latency),
                     _ => 0,
                 },
-                worker_leaves: said.leaves,
-                rest_micros: said.rest.map_or(0, micros),
+                worker_leaves: said.is_leaving,
+                rest_micros: said.backoff.map_or(0, micros),
                 rate_limit: rate_limit.map(StatedLimitMessage::from),
             },
         }
@@ -112,10 +112,10 @@
             NoticeKind::AbandonedSilent => SendResult::Abandoned { silent: true },
             NoticeKind::Abandoned => SendResult::Abandoned { silent: false },
         };
-        let rest = Duration::from_micros(message.rest_micros).min(MAX_REST);
+        let rest = Duration::from_micros(message.rest_micros).min(MAX_BACKOFF);
         let said = WorkerNotice {
-            leaves: message.worker_leaves,
-            rest: (!rest.is_zero()).then_some(rest),
+            is_leaving: message.worker_leaves,
+            backoff: (!rest.is_zero()).then_some(rest),
             rate_limit: None,
         };
         Ok(PlacementNotice::Ended {
@@ -141,7 +141,7 @@
             id: part.id.clone(),
             tokens: part.tokens,
         };
-        let life = |worker: &WorkerId| worker.life().to_owned();
+        let life = |worker: &WorkerId| worker.qualified_name().to_owned();
         Self {
             id: request.id.0,
             service: request.service.as_str().to_owned(),
@@ -251,7 +251,7 @@
     fn from(placement: &Placement) -> Self {
         let fetch_from = placement.fetch_from.map(|address| address.to_string());
         Self {
-            worker: placement.worker.life().to_owned(),
+            worker: placement.worker.qualified_name().to_owned(),
             read_apart: placement.read_apart,
             fetch_from: fetch_from.unwrap_or_default(),
             reading_tokens: placement.reading_tokens,
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -58,7 +58,7 @@
 /// The gateways in a copy of the store.
 pub fn members(mirror: &Mirror) -> Vec<Member> {
     mirror
-        .below(PREFIX)
+        .items_with_prefix(PREFIX)
         .filter_map(|item| member(&item.key, &item.value))
         .collect()
 }
--- a/crates/gateway/src/quarantine/listed.rs
+++ b/crates/gateway/src/quarantine/listed.rs
@@ -41,7 +41,9 @@
 }
 
 fn listed(mirror: &Mirror) -> BTreeSet<Fingerprint> {
-    let keys = mirror.below(PREFIX).map(|item| &item.key[PREFIX.len()..]);
+    let keys = mirror
+        .items_with_prefix(PREFIX)
+        .map(|item| &item.key[PREFIX.len()..]);
     let numbers = keys.filter_map(|key| u64::from_str_radix(key, 16).ok());
     numbers.map(Fingerprint).collect()
 }
--- a/crates/gateway/src/role_orders.rs
+++ b/crates/gateway/src/role_orders.rs
@@ -106,9 +106,9 @@
             let demand = self.shared.directory.lock().engine_demand(now, &service);
             let peak = self.short_reading.entry(service.clone()).or_default();
             let expected = ExpectedDemand {
-                readers: demand.readers,
-                decoders: peak.observe(now, demand.decoders),
-                places: demand.places,
+                readers: demand.prefill_engines,
+                decoders: peak.observe(now, demand.decode_engines),
+                places: demand.decode_slots,
             };
             for change in balance_roles(&balanced, expected) {
                 desired.set(&members[change.engine].worker.id, change.role);
@@ -216,7 +216,7 @@
         };
         if leaves {
             let notice = WorkerNotice {
-                leaves,
+                is_leaving: leaves,
                 ..WorkerNotice::default()
             };
             let notices = &self.shared.connections.notices;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -209,7 +209,7 @@
         clock,
         protocol: Arc::clone(&adapter.protocol),
         catalogue: Arc::clone(&adapter.catalogue),
-        mirror: Mutex::new(Mirror::without(usage::ROWS_PREFIX)),
+        mirror: Mutex::new(Mirror::excluding_prefix(usage::ROWS_PREFIX)),
         mirror_position: watch::Sender::default(),
         deflated_values: Mutex::default(),
         copy_answers: Mutex::default(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -10,9 +10,9 @@
 use tansyhall_core::time::MonotonicClock;
 use tansyhall_core::{ServiceName, TenantName, Timestamp, ZoneName};
 use tansyhall_forwarding::{
-    ApiKey, Configuration, Directory, KnownTenant, LapsedWorkers, Limits, Mirror, PlacementLedger,
-    Position, Quarantine, RetryShares, Route, RouteTable, SendLedger, StopPlan, TenantTable,
-    Worker,
+    ApiKey, AuthenticatedTenant, Configuration, Directory, LapsedWorkers, Limits, Mirror,
+    PlacementLedger, Position, Quarantine, RetryShares, Route, RouteTable, SendLedger, StopPlan,
+    TenantTable, Worker,
 };
 use tokio::sync::watch;
 
@@ -158,7 +158,7 @@
         if self.tenants.is_some() && tenant.is_none() && !found.public {
             return Err(NotRouted::UnknownKey);
         }
-        let taken = routes.take(host, path);
+        let taken = routes.route_request(host, path);
         drop(routes);
         let (route, service) = taken.ok_or(NotRouted::NoRoute)?;
         let own_rank = tenant.as_ref().and_then(|tenant| tenant.rank);
@@ -183,8 +183,8 @@
         names(self) == names(other)
     }
 
-    fn tenant_of(&self, key: Option<&ApiKey>) -> Option<Arc<KnownTenant>> {
-        self.tenants.as_ref()?.holder(key?)
+    fn tenant_of(&self, key: Option<&ApiKey>) -> Option<Arc<AuthenticatedTenant>> {
+        self.tenants.as_ref()?.tenant_of(key?)
     }
 
     /// Bounds on what callers may send.
--- a/crates/gateway/src/store_copy.rs
+++ b/crates/gateway/src/store_copy.rs
@@ -29,7 +29,7 @@
             .set_desired_roles(desired.into_roles());
     }
     worker_entries::refresh(shared, touched, services_changed);
-    if touched.covers_below(quarantine::PREFIX) {
+    if touched.covers_any_with_prefix(quarantine::PREFIX) {
         quarantine::read_listed(shared);
     }
     let position = shared.mirror.lock().position();
@@ -42,7 +42,7 @@
 
 /// Takes in which gateways there are.
 fn refresh_fleet(shared: &Shared, touched: &Touched) {
-    if !touched.covers_below(presence::PREFIX) {
+    if !touched.covers_any_with_prefix(presence::PREFIX) {
         return;
     }
     let mut members = presence::members(&shared.mirror.lock());
--- a/crates/gateway/src/usage/reporter.rs
+++ b/crates/gateway/src/usage/reporter.rs
@@ -298,7 +298,7 @@
 }
 
 fn decided_in(mirror: &Mirror) -> Vec<(WindowNumber, TenantCounts)> {
-    let items = mirror.below(REPORTS_PREFIX);
+    let items = mirror.items_with_prefix(REPORTS_PREFIX);
     let decided = items.filter_map(|item| {
         let window = item.key[REPORTS_PREFIX.len()..].parse().ok()?;
         match serde_json::from_slice(&item.value) {
--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -96,7 +96,7 @@
 /// The names of all entries, those that are gone included.
 fn all_names(shared: &Shared, prefix: &str) -> Vec<String> {
     let mirror = shared.mirror.lock();
-    let listed = mirror.below(prefix);
+    let listed = mirror.items_with_prefix(prefix);
     let listed = listed.map(|item| item.key[prefix.len()..].to_owned());
     let mut names: Vec<String> = listed.collect();
     drop(mirror);
@@ -152,7 +152,9 @@
     let before_worker = before.as_ref().and_then(|entry| entry.worker.as_ref());
     let worker = match (worker.ok(), before_worker) {
         // What an earlier life wrote came late: the later one is there.
-        (Some(worker), Some(later)) if worker.id.is_before(&later.id) => Some(later.clone()),
+        (Some(worker), Some(later)) if worker.id.is_earlier_incarnation_of(&later.id) => {
+            Some(later.clone())
+        }
         (worker, _) => worker,
     };
     let ended_life = ended_life(shared, before.as_ref(), worker.as_ref());
@@ -221,7 +223,10 @@
 /// Announces a worker to the directory if the configuration names its service. An entry may come from anybody;
 /// nothing is to be sent to a worker of a service that is none.
 fn announce(shared: &Shared, worker: &Worker) -> bool {
-    let lapsed = shared.lapsed_workers.lock().entry_back(worker.id.as_str());
+    let lapsed = shared
+        .lapsed_workers
+        .lock()
+        .record_returned_entry(worker.id.as_str());
     let mut directory = shared.directory.lock();
     if let Some(lapsed) = lapsed.filter(|lapsed| *lapsed != worker.id) {
         directory.withdraw(&lapsed);
@@ -240,7 +245,7 @@
     let returned = shared.store_contact.returned();
     let leaves = shared.directory.lock().has_said_that_it_leaves(&worker.id);
     let mut lapsed = shared.lapsed_workers.lock();
-    let counts = !leaves && lapsed.entry_gone(shared.now(), returned, worker);
+    let counts = !leaves && lapsed.record_missing_entry(shared.now(), returned, worker);
     drop(lapsed);
     if !counts {
         shared.directory.lock().withdraw(&worker.id);
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -128,10 +128,10 @@
             .directory
             .lock()
             .engine_demand(now, &service.name);
-        let streams = demand.places / f64::from(engine.slots.max(1));
+        let streams = demand.decode_slots / f64::from(engine.slots.max(1));
         let least = f64::from(planned) * NEEDED_PART;
         let asked = self.asked.entry(service.name.clone()).or_default();
-        let busy = demand.readers + demand.decoders + streams;
+        let busy = demand.prefill_engines + demand.decode_engines + streams;
         asked.needed(now, busy, least)
     }
 
@@ -185,8 +185,8 @@
         let workers = self.workers(&service.name);
         let zones = self.zones(&service.name, scaling, &workers);
         let limits = WorkerLimits {
-            least: scaling.least,
-            most: scaling.most,
+            least: scaling.min_workers,
+            most: scaling.max_workers,
             spot_price: scaling.spot_price,
         };
         let wanted = WorkersWanted {
@@ -202,7 +202,9 @@
                     WorkerKind::Spot => zone.spot,
                 };
                 let now = self.shared.now();
-                if order.desired == serving || !self.history.is_due(now, &order, scaling.start) {
+                if order.desired == serving
+                    || !self.history.is_due(now, &order, scaling.startup_time)
+                {
                     continue;
                 }
                 if let Some(order) = self.within_allowance(order, serving) {
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use prost::Message;
-use tansyhall_forwarding::{Item, MirrorChange, Position, Snapshot, Update};
+use tansyhall_forwarding::{Item, MirrorChange, MirrorUpdate, Position, Snapshot};
 use tansyhall_gateway::copy_message::{Incomplete, Received, UpdateHead, UpdateMessage};
 use tansyhall_gateway::deflated_values::DeflatedValues;
 
@@ -29,15 +29,15 @@
     }
 }
 
-fn whole(items: usize) -> Update {
-    Update::Whole(Snapshot {
+fn whole(items: usize) -> MirrorUpdate {
+    MirrorUpdate::Snapshot(Snapshot {
         items: (0..items).map(item).collect(),
         position: at(99),
     })
 }
 
-fn changes() -> Update {
-    Update::Changes {
+fn changes() -> MirrorUpdate {
+    MirrorUpdate::Changes {
         changes: vec![
             MirrorChange::Written(item(3)),
             MirrorChange::Removed {
@@ -46,11 +46,11 @@
             },
         ],
         position: at(8),
-        skips: true,
+        spans_gap: true,
     }
 }
 
-fn transported(update: Option<Update>) -> Result<Received, Incomplete> {
+fn transported(update: Option<MirrorUpdate>) -> Result<Received, Incomplete> {
     let bytes = UpdateMessage::new(update, AGE, &mut DeflatedValues::default()).encode_to_vec();
     let message = UpdateMessage::decode(bytes.as_slice()).expect("a message");
     message.into_received(HEAD)
@@ -86,10 +86,10 @@
         written: at(5),
         created: 1,
     };
-    let update = Update::Changes {
+    let update = MirrorUpdate::Changes {
         changes: vec![MirrorChange::Written(long.clone())],
         position: at(5),
-        skips: true,
+        spans_gap: true,
     };
     let mut deflated = DeflatedValues::default();
     for _ in 0..2 {
@@ -105,7 +105,7 @@
 fn a_damaged_value_is_refused() {
     let mut long = item(1);
     long.value = (0..9_000).map(|byte| (byte % 13) as u8).collect();
-    let update = Update::Whole(Snapshot {
+    let update = MirrorUpdate::Snapshot(Snapshot {
         items: vec![long],
         position: at(9),
     });
--- a/crates/gateway/tests/copy_growth.rs
+++ b/crates/gateway/tests/copy_growth.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use prost::Message;
-use tansyhall_forwarding::{Item, Mirror, MirrorChange, Position, Snapshot, Update};
+use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
 use tansyhall_gateway::copy_answers::{CopyAnswer, CopyAnswers, DeflatedUpdate};
 use tansyhall_gateway::copy_message::{Incomplete, UpdateHead, UpdateMessage};
 use tansyhall_gateway::deflated_values::DeflatedValues;
@@ -77,7 +77,7 @@
         let received = message
             .into_received(UpdateHead::default())
             .expect("complete");
-        let whole = Update::Whole(mirror.snapshot());
+        let whole = MirrorUpdate::Snapshot(mirror.snapshot());
         assert_eq!((received.update, received.age), (Some(whole), AGE));
     }
 }
@@ -93,7 +93,7 @@
         handed_over.insert(whole.position);
         let mut own = Mirror::default();
         let message = UpdateMessage::deflated(whole, AGE);
-        own.take_in(
+        own.apply_update(
             message
                 .into_received(UpdateHead::default())
                 .expect("complete")
@@ -102,11 +102,11 @@
         );
         let rest = mirror.update_after(own.position());
         assert!(
-            !matches!(rest, Some(Update::Whole(_))),
+            !matches!(rest, Some(MirrorUpdate::Snapshot(_))),
             "the rest is handed over whole"
         );
         if let Some(rest) = rest {
-            own.take_in(rest);
+            own.apply_update(rest);
         }
         assert_eq!(own.snapshot(), mirror.snapshot());
     }
--- a/crates/gateway/tests/placement_messages.rs
+++ b/crates/gateway/tests/placement_messages.rs
@@ -50,8 +50,8 @@
 fn said() -> impl Strategy<Value = WorkerNotice> {
     let rest = prop::option::of((1_u64..10_000_000).prop_map(Duration::from_micros));
     (any::<bool>(), rest).prop_map(|(leaves, rest)| WorkerNotice {
-        leaves,
-        rest,
+        is_leaving: leaves,
+        backoff: rest,
         ..WorkerNotice::default()
     })
 }
--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -138,11 +138,11 @@
     });
     let ends: Vec<(SendResult, WorkerNotice, Option<StatedLimit>)> = ends.collect();
     let leaves = WorkerNotice {
-        leaves: true,
+        is_leaving: true,
         ..WorkerNotice::default()
     };
     let rests = WorkerNotice {
-        rest: Some(Duration::from_secs(3)),
+        backoff: Some(Duration::from_secs(3)),
         ..WorkerNotice::default()
     };
     let said = [WorkerNotice::default(), leaves, rests];
--- a/crates/gateway/tests/questions_to_gateways.rs
+++ b/crates/gateway/tests/questions_to_gateways.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use prost::Message;
-use tansyhall_forwarding::{Position, Snapshot, Update};
+use tansyhall_forwarding::{MirrorUpdate, Position, Snapshot};
 use tansyhall_gateway::copy_message::UpdateMessage;
 use tansyhall_gateway::deflated_values::DeflatedValues;
 use tansyhall_gateway::peers;
@@ -27,7 +27,7 @@
         items: Vec::new(),
         position: Position::new(0, parameter(question, "after") + 1),
     };
-    let update = Some(Update::Whole(snapshot));
+    let update = Some(MirrorUpdate::Snapshot(snapshot));
     let mut message = UpdateMessage::new(update, Duration::ZERO, &mut DeflatedValues::default());
     message.question = number;
     (200, message.encode_to_vec())
@@ -37,8 +37,8 @@
     let after = Position::new(0, after);
     let asked = peers::fetch(client, gateway.address, after, Duration::ZERO).await;
     match asked.ok()?.update? {
-        Update::Whole(snapshot) => Some(snapshot.position.revision),
-        Update::Changes { position, .. } => Some(position.revision),
+        MirrorUpdate::Snapshot(snapshot) => Some(snapshot.position.revision),
+        MirrorUpdate::Changes { position, .. } => Some(position.revision),
     }
 }
 
@@ -87,7 +87,7 @@
     let asked = peers::fetch(&mut client, gateway.address, after, Duration::ZERO).await;
     let received = asked.expect("an answer");
     assert_eq!(received.epoch, EPOCH);
-    let Some(Update::Whole(snapshot)) = received.update else {
+    let Some(MirrorUpdate::Snapshot(snapshot)) = received.update else {
         panic!("no copy");
     };
     assert_eq!(snapshot.position, Position::new(EPOCH, 8));
