--- a/crates/forwarding/src/directory/admission.rs
+++ b/crates/forwarding/src/directory/admission.rs
@@ -262,7 +262,7 @@
     /// Returns the demand for prefill engines relative to their capacity.
     fn reader_utilization(&self, now: Timestamp, service: &ServiceName) -> f64 {
         let readers = self.usable_workers(now, service, &Need::ReadPrompt);
-        self.engine_demand(now, service).readers / readers.max(1) as f64
+        self.engine_demand(now, service).prefill_engines / readers.max(1) as f64
     }
 
     /// Returns whether a decode engine has time for a prompt for which no prefill engine has time:
--- a/crates/forwarding/src/directory/choice.rs
+++ b/crates/forwarding/src/directory/choice.rs
@@ -112,7 +112,7 @@
             return self.candidates(now, demand, need);
         }
         let has_cached_start =
-            |tracked: &&TrackedWorker| tracked.cache.kept_tokens(demand.prompt) > 0;
+            |tracked: &&TrackedWorker| tracked.cache.cached_tokens(demand.prompt) > 0;
         let holders = self.part_holders.of_prompt(demand.prompt, demand.draw);
         let holders = holders
             .iter()
--- a/crates/forwarding/src/directory/demand.rs
+++ b/crates/forwarding/src/directory/demand.rs
@@ -46,9 +46,9 @@
     fn demand(&self, now: Timestamp, service: ServiceKey) -> EngineDemand {
         EngineDemand {
             service,
-            readers: self.prefill.a_second(now),
-            decoders: self.short_prefill.a_second(now),
-            places: self.slots.a_second(now),
+            prefill_engines: self.prefill.per_second(now),
+            decode_engines: self.short_prefill.per_second(now),
+            decode_slots: self.slots.per_second(now),
         }
     }
 }
@@ -87,7 +87,10 @@
             .iter()
             .map(|(service, rates)| rates.demand(now, ServiceKey::of(service)));
         let is_reported = |demand: &EngineDemand| {
-            let most = demand.readers.max(demand.decoders).max(demand.places);
+            let most = demand
+                .prefill_engines
+                .max(demand.decode_engines)
+                .max(demand.decode_slots);
             most >= MIN_REPORTED_DEMAND
         };
         own.filter(is_reported).collect()
@@ -118,9 +121,9 @@
             .filter(|((_, reported), _)| *reported == key);
         of_service.fold(own.demand(now, key), |sum, (_, reported)| EngineDemand {
             service: key,
-            readers: sum.readers + reported.demand.readers,
-            decoders: sum.decoders + reported.demand.decoders,
-            places: sum.places + reported.demand.places,
+            prefill_engines: sum.prefill_engines + reported.demand.prefill_engines,
+            decode_engines: sum.decode_engines + reported.demand.decode_engines,
+            decode_slots: sum.decode_slots + reported.demand.decode_slots,
         })
     }
 }
--- a/crates/forwarding/src/directory/notices.rs
+++ b/crates/forwarding/src/directory/notices.rs
@@ -111,8 +111,8 @@
 
     fn record(&mut self, now: Timestamp, key: WorkerKey, notice: WorkerNotice) -> NoticeNews {
         let is_extension = |backoff: &Duration| self.extend_backoff(key, now + *backoff);
-        let rest = notice.rest.filter(is_extension);
-        let leaves = notice.leaves && self.leaving.insert(key, now).is_none();
+        let rest = notice.backoff.filter(is_extension);
+        let leaves = notice.is_leaving && self.leaving.insert(key, now).is_none();
         NoticeNews {
             leaves,
             rest,
@@ -198,8 +198,8 @@
         let key = WorkerKey::of(id);
         let until = self.notices.backoff_until(now, key);
         WorkerNotice {
-            leaves: self.notices.is_leaving(key),
-            rest: until.map(|until| until.since(now)),
+            is_leaving: self.notices.is_leaving(key),
+            backoff: until.map(|until| until.since(now)),
             rate_limit: None,
         }
     }
@@ -213,7 +213,7 @@
     /// considered.
     pub fn unavailable(&self, now: Timestamp, id: &WorkerId) -> Option<Unavailable> {
         let notice = self.notice_of(now, id);
-        match (notice.leaves, notice.rest) {
+        match (notice.is_leaving, notice.backoff) {
             (true, _) => Some(Unavailable::Leaving),
             (false, Some(_)) => Some(Unavailable::Resting),
             (false, None) => None,
--- a/crates/forwarding/src/directory/prediction.rs
+++ b/crates/forwarding/src/directory/prediction.rs
@@ -119,7 +119,7 @@
                 tracked.penalize_failures(comparison.now, seconds)
             }
             Need::Continue { .. } => {
-                let copied = comparison.prompt_tokens - tracked.cache.kept_tokens(demand.prompt);
+                let copied = comparison.prompt_tokens - tracked.cache.cached_tokens(demand.prompt);
                 let eviction_seconds = self.eviction_seconds(copied, comparison);
                 let work = self.engine_work(tracked, need, comparison);
                 let seconds = comparison.costs.seconds(&work) * tracked.slowness
@@ -163,7 +163,7 @@
         if let Need::Continue { reader } = need {
             let reader = self.tracked(reader).map(|reader| &reader.worker.zone);
             let other_zone = reader.is_some_and(|zone| *zone != tracked.worker.zone);
-            let copied = comparison.prompt_tokens - tracked.cache.kept_tokens(demand.prompt);
+            let copied = comparison.prompt_tokens - tracked.cache.cached_tokens(demand.prompt);
             let zone_factor = if other_zone {
                 OTHER_ZONE_TRANSFER_FACTOR
             } else {
@@ -204,7 +204,7 @@
         tracked: &TrackedWorker,
         comparison: &Comparison<'_>,
     ) -> PrefillEstimate {
-        let kept = tracked.cache.kept_tokens(comparison.demand.prompt);
+        let kept = tracked.cache.cached_tokens(comparison.demand.prompt);
         let uncached = comparison.prompt_tokens - kept;
         let same_zone = |holder: &&Holder<'_>| holder.tracked.worker.zone == tracked.worker.zone;
         let source = comparison
--- a/crates/forwarding/src/directory/sampling.rs
+++ b/crates/forwarding/src/directory/sampling.rs
@@ -49,7 +49,7 @@
     /// Returns how many of `candidates` workers a request compares, not counting those that have a
     /// part of its prompt cached. Other gateways are assumed to place as many requests as this one.
     pub(super) fn sample_size(&self, now: Timestamp, candidates: usize) -> usize {
-        let other_sends = self.own_sends.a_second(now) * self.other_gateways as f64;
+        let other_sends = self.own_sends.per_second(now) * self.other_gateways as f64;
         let unreported = other_sends * self.report_interval.as_secs_f64();
         let count = match unreported > EXAMINATIONS_PER_REPORT_INTERVAL {
             true => candidates as f64 * EXAMINATIONS_PER_REPORT_INTERVAL / unreported,
--- a/crates/forwarding/src/directory/tenants.rs
+++ b/crates/forwarding/src/directory/tenants.rs
@@ -12,7 +12,7 @@
     /// Returns the fraction of the usual wait for which a request may wait.
     pub(super) fn tenant_wait_fraction(&mut self, now: Timestamp, demand: Demand<'_>) -> f64 {
         let shares = self.shares_of(demand);
-        shares.map_or(1.0, |(shares, tenant)| shares.patience_part(now, tenant))
+        shares.map_or(1.0, |(shares, tenant)| shares.wait_fraction(now, tenant))
     }
 
     /// Records the engine time that a request required, and whether it was admitted.
@@ -46,7 +46,7 @@
 
 fn work_outcome(admission: &Admission) -> WorkOutcome {
     match admission {
-        Admission::Taken { .. } => WorkOutcome::Taken,
+        Admission::Taken { .. } => WorkOutcome::Accepted,
         Admission::Refused { cause, .. } => match cause {
             RefusalCause::Overload | RefusalCause::RateLimit => WorkOutcome::RefusedForOverload,
             RefusalCause::TenantShare => WorkOutcome::RefusedForShare,
--- a/crates/forwarding/src/directory/ticket.rs
+++ b/crates/forwarding/src/directory/ticket.rs
@@ -96,7 +96,7 @@
         }
         let comparison = self.comparison(now, demand);
         let work = self.engine_work(tracked, need, &comparison);
-        if need.reads() {
+        if need.reads_prompt() {
             let estimate = self.prefill_estimate(tracked, &comparison);
             ticket.reading_tokens = estimate.missing_tokens;
             ticket.is_short =
