--- a/crates/forwarding/src/directory/admission.rs
+++ b/crates/forwarding/src/directory/admission.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// It is admitted.
-    Taken {
+    Admitted {
         /// Whether it is better read by a prefill engine than by the engine that decodes it.
         read_apart: bool,
         /// The random number with which the demand meets its objective: its worker must be drawn
@@ -167,7 +167,7 @@
         demand: Demand<'_>,
         objectives: Objectives,
     ) -> Admission {
-        let taken = |read_apart, draw| Admission::Taken { read_apart, draw };
+        let taken = |read_apart, draw| Admission::Admitted { read_apart, draw };
         if let Some(retry_after) = self.rate_limited_for(now, demand.service, &Need::Run) {
             return Admission::Refused {
                 cause: RefusalCause::RateLimit,
@@ -210,7 +210,7 @@
         first: Plan,
         limits: WaitLimits,
     ) -> Admission {
-        let taken = |read_apart, draw| Admission::Taken { read_apart, draw };
+        let taken = |read_apart, draw| Admission::Admitted { read_apart, draw };
         if limits.admits(&first) || !self.decisions.refusal {
             return taken(first.read_apart, demand.draw);
         }
--- a/crates/forwarding/src/directory/availability.rs
+++ b/crates/forwarding/src/directory/availability.rs
@@ -15,7 +15,7 @@
     /// Time until then.
     pub after: Duration,
     /// What prevents it.
-    pub until_then: Unavailable,
+    pub blocked_by: Unavailable,
 }
 
 impl Directory {
@@ -28,7 +28,7 @@
         need: &Need,
     ) -> Option<FirstAvailable> {
         let serving = self.eligible.serving(service, need);
-        if self.kept_notices() < serving.len() {
+        if self.notice_count() < serving.len() {
             return None;
         }
         let waits = serving.iter().map(|key| self.wait_for(now, *key));
@@ -45,7 +45,7 @@
         need: &Need,
     ) -> Option<Duration> {
         let first = self.first_available(now, service, need)?;
-        (first.until_then == Unavailable::RateLimited).then_some(first.after)
+        (first.blocked_by == Unavailable::RateLimited).then_some(first.after)
     }
 
     /// Returns how long a worker accepts no request because of its own notices; `None` if it
@@ -54,11 +54,11 @@
         let backoff_end = self.notices.backoff_until(now, key);
         let backoff = backoff_end.map_or(Duration::ZERO, |until| until.since(now));
         let token_wait = self.rate_limits.wait(now, key);
-        let until_then = match token_wait > backoff {
+        let blocked_by = match token_wait > backoff {
             true => Unavailable::RateLimited,
-            false => Unavailable::Resting,
+            false => Unavailable::BackingOff,
         };
         let after = backoff.max(token_wait);
-        (!after.is_zero()).then_some(FirstAvailable { after, until_then })
+        (!after.is_zero()).then_some(FirstAvailable { after, blocked_by })
     }
 }
--- a/crates/forwarding/src/directory/choice.rs
+++ b/crates/forwarding/src/directory/choice.rs
@@ -143,7 +143,7 @@
 
     /// Returns the number of workers examined for decisions on requests so far, a measure of their
     /// cost.
-    pub fn workers_looked_at(&self) -> u64 {
+    pub fn examined_workers(&self) -> u64 {
         self.examined.get()
     }
 
--- a/crates/forwarding/src/directory/mod.rs
+++ b/crates/forwarding/src/directory/mod.rs
@@ -73,7 +73,7 @@
 pub use admission::{Admission, Objectives, RefusalCause};
 pub use availability::FirstAvailable;
 pub use choice::Demand;
-pub use notices::{NoticeNews, Unavailable};
+pub use notices::{NoticeChanges, Unavailable};
 pub use rate_limits::RateToken;
 pub use ticket::SendTicket;
 pub use tracked::SendResult;
@@ -184,8 +184,9 @@
     }
 
     /// Sets how many other gateways place requests, and the interval of their reports.
-    pub fn set_exchange(&mut self, other_gateways: usize, report_interval: Duration) {
-        self.sampling.set_exchange(other_gateways, report_interval);
+    pub fn set_other_gateways(&mut self, other_gateways: usize, report_interval: Duration) {
+        self.sampling
+            .set_other_gateways(other_gateways, report_interval);
     }
 
     /// Returns the engines that have a role and are not leaving, with the sends in progress there.
@@ -237,7 +238,7 @@
     }
 
     /// Records that a send to a worker begins, and returns the ticket that follows it to its end.
-    pub fn send_began(
+    pub fn begin_send(
         &mut self,
         now: Timestamp,
         id: &WorkerId,
@@ -273,7 +274,7 @@
 
     /// Records that the worker has read the prompt of a send: its answer begins `latency` after the
     /// send.
-    pub fn prompt_was_read(
+    pub fn record_prompt_read(
         &mut self,
         now: Timestamp,
         ticket: &mut SendTicket,
@@ -312,7 +313,7 @@
     }
 
     /// Records the end of a send.
-    pub fn send_ended(
+    pub fn end_send(
         &mut self,
         now: Timestamp,
         ticket: &SendTicket,
--- a/crates/forwarding/src/directory/notices.rs
+++ b/crates/forwarding/src/directory/notices.rs
@@ -48,7 +48,7 @@
     Leaving,
     /// It has asked to back off.
     #[error("worker is backing off")]
-    Resting,
+    BackingOff,
     /// This gateway has used up its share of the worker's rate limit.
     #[error("rate limit of the worker is reached")]
     RateLimited,
@@ -56,11 +56,11 @@
 
 /// The changes made by a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct NoticeNews {
+pub struct NoticeChanges {
     /// Whether the worker is leaving and this was not known before.
-    pub leaves: bool,
+    pub is_leaving: bool,
     /// The back-off, counted from now, if it is new or longer than the known one.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// The rate limit that the worker states, if it differs from the known one.
     pub rate_limit: Option<RateLimit>,
 }
@@ -109,14 +109,14 @@
         (until > now).then_some(until)
     }
 
-    fn record(&mut self, now: Timestamp, key: WorkerKey, notice: WorkerNotice) -> NoticeNews {
+    fn record(&mut self, now: Timestamp, key: WorkerKey, notice: WorkerNotice) -> NoticeChanges {
         let is_extension = |backoff: &Duration| self.extend_backoff(key, now + *backoff);
-        let rest = notice.backoff.filter(is_extension);
-        let leaves = notice.is_leaving && self.leaving.insert(key, now).is_none();
-        NoticeNews {
-            leaves,
-            rest,
-            ..NoticeNews::default()
+        let backoff = notice.backoff.filter(is_extension);
+        let is_leaving = notice.is_leaving && self.leaving.insert(key, now).is_none();
+        NoticeChanges {
+            is_leaving,
+            backoff,
+            ..NoticeChanges::default()
         }
     }
 
@@ -169,20 +169,20 @@
 impl Directory {
     /// Applies a notice that a worker gave to this gateway, or to a gateway whose requests this one
     /// places.
-    pub fn take_notice(
+    pub fn apply_notice(
         &mut self,
         now: Timestamp,
         id: &WorkerId,
         notice: WorkerNotice,
-    ) -> NoticeNews {
+    ) -> NoticeChanges {
         if !self.decisions.worker_notices {
-            return NoticeNews::default();
+            return NoticeChanges::default();
         }
         let key = WorkerKey::of(id);
         let mut changes = self.notices.record(now, key, notice);
         let limit = notice.rate_limit;
         changes.rate_limit = limit.filter(|limit| self.rate_limits.record_limit(now, key, *limit));
-        if changes.leaves {
+        if changes.is_leaving {
             if let Some(tracked) = self.workers.get_mut(&key) {
                 tracked.worker.state = WorkerState::Draining;
                 self.notices.set_announced(key, tracked.announced);
@@ -194,7 +194,7 @@
 
     /// Returns the notice of a worker as far as it is in force now. Its rate limit is not included:
     /// see [`Self::stated_rate_limit`].
-    pub fn notice_of(&self, now: Timestamp, id: &WorkerId) -> WorkerNotice {
+    pub fn current_notice(&self, now: Timestamp, id: &WorkerId) -> WorkerNotice {
         let key = WorkerKey::of(id);
         let until = self.notices.backoff_until(now, key);
         WorkerNotice {
@@ -205,17 +205,17 @@
     }
 
     /// Returns whether a worker has stated that it is leaving.
-    pub fn has_said_that_it_leaves(&self, id: &WorkerId) -> bool {
+    pub fn has_stated_leaving(&self, id: &WorkerId) -> bool {
         self.notices.is_leaving(WorkerKey::of(id))
     }
 
     /// Returns the reason why nothing may be sent to a worker, if there is one. Rate limits are not
     /// considered.
     pub fn unavailable(&self, now: Timestamp, id: &WorkerId) -> Option<Unavailable> {
-        let notice = self.notice_of(now, id);
+        let notice = self.current_notice(now, id);
         match (notice.is_leaving, notice.backoff) {
             (true, _) => Some(Unavailable::Leaving),
-            (false, Some(_)) => Some(Unavailable::Resting),
+            (false, Some(_)) => Some(Unavailable::BackingOff),
             (false, None) => None,
         }
     }
@@ -234,8 +234,8 @@
     }
 
     /// Returns the number of notices that are kept.
-    pub fn kept_notices(&self) -> usize {
-        self.notices.leaving.len() + self.notices.backoffs.len() + self.kept_rate_limits()
+    pub fn notice_count(&self) -> usize {
+        self.notices.leaving.len() + self.notices.backoffs.len() + self.rate_limit_count()
     }
 
     /// Removes notices that are no longer needed.
--- a/crates/forwarding/src/directory/rate_limits.rs
+++ b/crates/forwarding/src/directory/rate_limits.rs
@@ -264,13 +264,13 @@
 
     /// Records that a worker stated no limit in its answer to a request sent at `sent`; returns
     /// whether this ends a limit.
-    pub fn rate_limit_not_named(&mut self, now: Timestamp, id: &WorkerId, sent: Timestamp) -> bool {
+    pub fn record_no_rate_limit(&mut self, now: Timestamp, id: &WorkerId, sent: Timestamp) -> bool {
         self.rate_limits
             .record_no_limit(now, WorkerKey::of(id), sent)
     }
 
     /// Records another gateway's report of what a worker has stated about its limit.
-    pub fn hear_rate_limit(&mut self, now: Timestamp, id: &WorkerId, stated: StatedLimit) {
+    pub fn receive_rate_limit(&mut self, now: Timestamp, id: &WorkerId, stated: StatedLimit) {
         if self.decisions.worker_notices {
             self.rate_limits.receive(now, WorkerKey::of(id), stated);
         }
@@ -292,12 +292,12 @@
     }
 
     /// Returns a token that was taken for a request that was not sent.
-    pub fn give_back_rate_token(&mut self, now: Timestamp, id: &WorkerId) {
+    pub fn return_rate_token(&mut self, now: Timestamp, id: &WorkerId) {
         self.rate_limits.return_token(now, WorkerKey::of(id));
     }
 
     /// Returns the number of worker limits that are kept, including recently ended ones.
-    pub fn kept_rate_limits(&self) -> usize {
+    pub fn rate_limit_count(&self) -> usize {
         self.rate_limits.len()
     }
 
--- a/crates/forwarding/src/directory/sampling.rs
+++ b/crates/forwarding/src/directory/sampling.rs
@@ -36,7 +36,7 @@
 
 impl Sampling {
     /// Sets the number of other gateways that place requests, and the interval of their reports.
-    pub(super) fn set_exchange(&mut self, other_gateways: usize, report_interval: Duration) {
+    pub(super) fn set_other_gateways(&mut self, other_gateways: usize, report_interval: Duration) {
         self.other_gateways = other_gateways;
         self.report_interval = report_interval;
     }
--- a/crates/forwarding/src/directory/sharing.rs
+++ b/crates/forwarding/src/directory/sharing.rs
@@ -30,7 +30,7 @@
     }
 
     /// Applies another gateway's report.
-    pub fn hear(&mut self, now: Timestamp, report: &LoadReport) {
+    pub fn receive_report(&mut self, now: Timestamp, report: &LoadReport) {
         let last = self.last_sequences.entry(report.sender).or_default();
         if report.sequence <= *last {
             return;
@@ -109,7 +109,7 @@
     }
 
     /// Applies an engine's own list of what its cache holds, and reports it to the other gateways.
-    pub fn list_parts(&mut self, now: Timestamp, id: &WorkerId, parts: &[PromptPart]) {
+    pub fn record_listed_parts(&mut self, now: Timestamp, id: &WorkerId, parts: &[PromptPart]) {
         let key = WorkerKey::of(id);
         if !self.workers.contains_key(&key) {
             return;
--- a/crates/forwarding/src/directory/tenants.rs
+++ b/crates/forwarding/src/directory/tenants.rs
@@ -46,7 +46,7 @@
 
 fn work_outcome(admission: &Admission) -> WorkOutcome {
     match admission {
-        Admission::Taken { .. } => WorkOutcome::Accepted,
+        Admission::Admitted { .. } => WorkOutcome::Accepted,
         Admission::Refused { cause, .. } => match cause {
             RefusalCause::Overload | RefusalCause::RateLimit => WorkOutcome::RefusedForOverload,
             RefusalCause::TenantShare => WorkOutcome::RefusedForShare,
--- a/crates/forwarding/src/directory/ticket.rs
+++ b/crates/forwarding/src/directory/ticket.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the latency that was expected when the send began.
-    pub fn expected(&self) -> Duration {
+    pub fn expected_latency(&self) -> Duration {
         Duration::from_secs_f64(self.expected_seconds.clamp(0.0, MAX_EXPECTED_SECONDS))
     }
 }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -38,7 +38,7 @@
 };
 pub use decisions::Decisions;
 pub use directory::{
-    Admission, Demand, Directory, EngineLoad, FirstAvailable, NoticeNews, Objectives, RateToken,
+    Admission, Demand, Directory, EngineLoad, FirstAvailable, NoticeChanges, Objectives, RateToken,
     RefusalCause, SendResult, SendTicket, Unavailable,
 };
 pub use event_stream::{CompleteEvents, EventFramer};
--- a/crates/forwarding/src/placement/ledger.rs
+++ b/crates/forwarding/src/placement/ledger.rs
@@ -102,7 +102,7 @@
         match notice {
             PlacementNotice::PromptRead { id, latency } => {
                 if let Some(open) = self.open.get_mut(&id) {
-                    directory.prompt_was_read(now, &mut open.ticket, &open.prompt, latency);
+                    directory.record_prompt_read(now, &mut open.ticket, &open.prompt, latency);
                 }
             }
             PlacementNotice::Ended { id, result, .. } => self.end(now, directory, id, result),
@@ -126,7 +126,7 @@
         result: SendResult,
     ) {
         if let Some(open) = self.open.remove(&id) {
-            directory.send_ended(now, &open.ticket, &open.prompt, result);
+            directory.end_send(now, &open.ticket, &open.prompt, result);
         }
     }
 
@@ -150,7 +150,7 @@
         let need = match &request.need {
             PlacementNeed::Worker { need } => need.clone(),
             PlacementNeed::Admission => match directory.admit(now, demand, request.objectives) {
-                Admission::Taken { read_apart, draw } => {
+                Admission::Admitted { read_apart, draw } => {
                     demand.draw = draw;
                     match read_apart {
                         true => Need::ReadPrompt,
@@ -175,7 +175,7 @@
             return no_worker(now, directory, &request.service, &need);
         };
         let has_rate_token = directory.take_rate_token(now, &worker) == RateToken::Taken;
-        let ticket = directory.send_began(now, &worker, demand, &need);
+        let ticket = directory.begin_send(now, &worker, demand, &need);
         let placement = Placement {
             id: request.id,
             worker: worker.clone(),
@@ -183,7 +183,7 @@
             fetch_from: ticket.fetch_from(),
             reading_tokens: ticket.reading_tokens(),
             short_reading: ticket.is_short_reading(),
-            expected: ticket.expected(),
+            expected: ticket.expected_latency(),
             has_rate_token,
             rate_limit: directory.stated_rate_limit(now, &worker),
         };
--- a/crates/forwarding/tests/directory.rs
+++ b/crates/forwarding/tests/directory.rs
@@ -90,7 +90,7 @@
     let admission = directory.admit(NOW, caller.demand(prompt), OBJECTIVES);
     matches!(
         admission,
-        Admission::Taken {
+        Admission::Admitted {
             read_apart: true,
             ..
         }
@@ -105,15 +105,15 @@
     need: &Need,
 ) -> SendTicket {
     let demand = Caller::new();
-    directory.send_began(NOW, &WorkerId::from(id), demand.demand(prompt), need)
+    directory.begin_send(NOW, &WorkerId::from(id), demand.demand(prompt), need)
 }
 
 /// Lets a worker read a prompt from beginning to end.
 fn read_prompt(directory: &mut Directory, id: &str, prompt: &[PromptPart]) {
     let mut ticket = begin_send(directory, id, prompt, &Need::ReadPrompt);
     let latency = Duration::from_millis(100);
-    directory.prompt_was_read(NOW, &mut ticket, prompt, latency);
-    directory.send_ended(NOW, &ticket, prompt, SendResult::Answered { latency });
+    directory.record_prompt_read(NOW, &mut ticket, prompt, latency);
+    directory.end_send(NOW, &ticket, prompt, SendResult::Answered { latency });
 }
 
 #[test]
@@ -143,7 +143,7 @@
     );
     for _ in 0..6 {
         let ticket = begin_send(&mut directory, "near", &[], &Need::Run);
-        directory.send_ended(NOW, &ticket, &[], SendResult::Failed);
+        directory.end_send(NOW, &ticket, &[], SendResult::Failed);
     }
     assert_eq!(
         caller.choose(&directory, &[], &Need::Run),
@@ -156,7 +156,7 @@
     let caller = Caller::new();
     let mut directory = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
     let ticket = begin_send(&mut directory, "near", &[], &Need::Run);
-    directory.send_ended(NOW, &ticket, &[], SendResult::Refused);
+    directory.end_send(NOW, &ticket, &[], SendResult::Refused);
     assert_eq!(
         caller.choose(&directory, &[], &Need::Run),
         Some("far".into())
@@ -238,13 +238,13 @@
         demands: Vec::new(),
         rate_limits: Vec::new(),
     };
-    directory.hear(NOW, &report(2, 40_000));
+    directory.receive_report(NOW, &report(2, 40_000));
     assert_eq!(
         caller.choose(&directory, &long, &Need::ReadPrompt),
         Some("b".into())
     );
     // An older report has no effect.
-    directory.hear(NOW, &report(1, 0));
+    directory.receive_report(NOW, &report(1, 0));
     assert_eq!(
         caller.choose(&directory, &long, &Need::ReadPrompt),
         Some("b".into())
@@ -265,7 +265,7 @@
     ]);
     let huge = prompt("huge", 90_000);
     let taken = directory.admit(NOW, caller.demand(&huge), OBJECTIVES);
-    assert!(matches!(taken, Admission::Taken { .. }));
+    assert!(matches!(taken, Admission::Admitted { .. }));
     begin_send(&mut directory, "reader", &huge, &Need::ReadPrompt);
     begin_send(
         &mut directory,
@@ -277,7 +277,7 @@
     let refused = directory.admit(NOW, caller.demand(&next), OBJECTIVES);
     assert!(matches!(refused, Admission::Refused { retry_after, .. } if !retry_after.is_zero()));
     let without_prompt = directory.admit(NOW, caller.demand(&[]), OBJECTIVES);
-    assert!(matches!(without_prompt, Admission::Taken { .. }));
+    assert!(matches!(without_prompt, Admission::Admitted { .. }));
 }
 
 /// Guards against refusing prompts while decode engines have most of their slots free.
@@ -304,7 +304,7 @@
     let taken = directory.admit(NOW, caller.demand(&part), strict);
     assert!(matches!(
         taken,
-        Admission::Taken {
+        Admission::Admitted {
             read_apart: false,
             ..
         }
@@ -341,7 +341,7 @@
         let now = NOW + Duration::from_millis(10 * number);
         match directory.admit(now, demand, OBJECTIVES) {
             Admission::Refused { retry_after, .. } => retry_times.push(retry_after),
-            Admission::Taken { .. } => panic!("the queue is too long"),
+            Admission::Admitted { .. } => panic!("the queue is too long"),
         }
     }
     let latest = OBJECTIVES.time_left - OBJECTIVES.latency;
@@ -407,24 +407,24 @@
                     let prompt = prompt(&format!("p{tokens}"), tokens);
                     let id = WorkerId::from(format!("w{number}").as_str());
                     let demand = caller.demand(&prompt);
-                    let ticket = directory.send_began(NOW, &id, demand, &Need::ReadPrompt);
+                    let ticket = directory.begin_send(NOW, &id, demand, &Need::ReadPrompt);
                     open.push((ticket, prompt));
                 }
                 Step::Read(index) if !open.is_empty() => {
                     let index = index % open.len();
                     let (ticket, prompt) = &mut open[index];
-                    directory.prompt_was_read(NOW, ticket, prompt, Duration::from_millis(9));
+                    directory.record_prompt_read(NOW, ticket, prompt, Duration::from_millis(9));
                 }
                 Step::End(index) if !open.is_empty() => {
                     let (ticket, prompt) = open.swap_remove(index % open.len());
-                    directory.send_ended(NOW, &ticket, &prompt, SendResult::Failed);
+                    directory.end_send(NOW, &ticket, &prompt, SendResult::Failed);
                 }
                 Step::Announce(count) => directory.announce(all[..count.min(4)].to_vec()),
                 Step::Read(_) | Step::End(_) => {}
             }
         }
         for (ticket, prompt) in open {
-            directory.send_ended(NOW, &ticket, &prompt, SendResult::Failed);
+            directory.end_send(NOW, &ticket, &prompt, SendResult::Failed);
         }
         directory.announce(all);
         for engine in directory.engine_loads() {
@@ -445,10 +445,10 @@
     let mut finder = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
     let mut informed = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
     let ticket = begin_send(&mut finder, "near", &[], &Need::Run);
-    finder.send_ended(NOW, &ticket, &[], SendResult::Absent);
+    finder.end_send(NOW, &ticket, &[], SendResult::Absent);
     let mut report = finder.report_due(NOW).expect("a report");
     report.sender = GatewayKey(2);
-    informed.hear(NOW, &report);
+    informed.receive_report(NOW, &report);
     for directory in [&mut finder, &mut informed] {
         let chosen = caller.choose(directory, &[], &Need::Run);
         assert_eq!(chosen, Some("far".into()));
@@ -465,7 +465,7 @@
     let caller = Caller::new();
     let mut directory = directory(vec![worker("only", "z", None)]);
     let ticket = begin_send(&mut directory, "only", &[], &Need::Run);
-    directory.send_ended(NOW, &ticket, &[], SendResult::Absent);
+    directory.end_send(NOW, &ticket, &[], SendResult::Absent);
     let chosen = caller.choose(&directory, &[], &Need::Run);
     assert_eq!(chosen, Some("only".into()));
 }
@@ -478,10 +478,10 @@
     let mut directory = directory(vec![worker("near", "z", role), worker("far", "y", role)]);
     let prompt = prompt("shared", 100);
     let mut ticket = begin_send(&mut directory, "near", &prompt, &Need::Run);
-    directory.prompt_was_read(NOW, &mut ticket, &prompt, Duration::from_millis(50));
+    directory.record_prompt_read(NOW, &mut ticket, &prompt, Duration::from_millis(50));
     let later = NOW + Duration::from_millis(800);
     let latency = Duration::from_millis(50);
-    directory.send_ended(later, &ticket, &prompt, SendResult::Answered { latency });
+    directory.end_send(later, &ticket, &prompt, SendResult::Answered { latency });
     let reader = WorkerId::from("p");
     let need = Need::Continue { reader };
     let before = caller.choose(&directory, &prompt, &need);
@@ -507,9 +507,9 @@
     }];
     let mut ticket = begin_send(&mut directory, "only", &part, &Need::Run);
     let latency = Duration::from_millis(50);
-    directory.prompt_was_read(NOW, &mut ticket, &part, latency);
+    directory.record_prompt_read(NOW, &mut ticket, &part, latency);
     let later = NOW + Duration::from_secs(9);
-    directory.send_ended(later, &ticket, &part, SendResult::Answered { latency });
+    directory.end_send(later, &ticket, &part, SendResult::Answered { latency });
     for _ in 0..19 {
         begin_send(&mut directory, "only", &[], &Need::Run);
     }
@@ -519,7 +519,7 @@
         ..urgent
     };
     let taken = directory.admit(NOW, urgent, OBJECTIVES);
-    assert!(matches!(taken, Admission::Taken { .. }));
+    assert!(matches!(taken, Admission::Admitted { .. }));
     let refused = directory.admit(NOW, yielding, OBJECTIVES);
     assert!(matches!(refused, Admission::Refused { .. }));
 }
@@ -532,7 +532,7 @@
     let mut directory = directory(vec![worker("near", "z", None), worker("far", "y", None)]);
     for _ in 0..40 {
         let ticket = begin_send(&mut directory, "near", &[], &Need::Run);
-        directory.send_ended(NOW, &ticket, &[], SendResult::Failed);
+        directory.end_send(NOW, &ticket, &[], SendResult::Failed);
     }
     let choose = |at: Timestamp| {
         let chosen = directory.select(at, caller.demand(&[]), &Need::Run);
@@ -552,8 +552,8 @@
     };
     let refuse = |directory: &mut Directory, now: Timestamp| {
         let id = WorkerId::from("a");
-        let ticket = directory.send_began(now, &id, caller.demand(&[]), &Need::Run);
-        directory.send_ended(now, &ticket, &[], SendResult::Refused);
+        let ticket = directory.begin_send(now, &id, caller.demand(&[]), &Need::Run);
+        directory.end_send(now, &ticket, &[], SendResult::Refused);
     };
     refuse(&mut directory, NOW);
     // A refusal of a request that was in progress together with the first does not lengthen the
@@ -578,7 +578,7 @@
     });
     for ticket in &tickets {
         let result = SendResult::Answered { latency };
-        directory.send_ended(NOW, ticket, &[], result);
+        directory.end_send(NOW, ticket, &[], result);
     }
     let received = tickets
         .iter()
--- a/crates/forwarding/tests/directory_growth.rs
+++ b/crates/forwarding/tests/directory_growth.rs
@@ -48,7 +48,7 @@
         link_bytes_per_second: 200e9,
     };
     directory.set_engines(HashMap::from([(service(), capacity)]));
-    directory.set_exchange(OTHER_GATEWAYS.0, OTHER_GATEWAYS.1);
+    directory.set_other_gateways(OTHER_GATEWAYS.0, OTHER_GATEWAYS.1);
     directory
 }
 
@@ -95,7 +95,7 @@
             draw: number.wrapping_mul(0x9E37_79B9_7F4A_7C15),
         };
         let admission = directory.admit(now, demand, objectives);
-        let Admission::Taken { read_apart, draw } = admission else {
+        let Admission::Admitted { read_apart, draw } = admission else {
             panic!("an idle fleet refuses a request");
         };
         let demand = Demand { draw, ..demand };
@@ -105,10 +105,10 @@
         };
         let worker = directory.select(now, demand, &need).expect("a worker");
         let worker = worker.id.clone();
-        let mut ticket = directory.send_began(now, &worker, demand, &need);
-        directory.prompt_was_read(now, &mut ticket, &prompt, Duration::from_millis(30));
+        let mut ticket = directory.begin_send(now, &worker, demand, &need);
+        directory.record_prompt_read(now, &mut ticket, &prompt, Duration::from_millis(30));
     }
-    directory.workers_looked_at() / REQUESTS
+    directory.examined_workers() / REQUESTS
 }
 
 #[test]
--- a/crates/forwarding/tests/overload/mod.rs
+++ b/crates/forwarding/tests/overload/mod.rs
@@ -175,11 +175,11 @@
             draw,
         };
         match self.directory.admit(now, demand, OBJECTIVES) {
-            Admission::Taken { draw, .. } => {
+            Admission::Admitted { draw, .. } => {
                 let demand = Demand { draw, ..demand };
                 let worker = self.directory.select(now, demand, &Need::Run);
                 let worker = worker.expect("an engine").id.clone();
-                let ticket = self.directory.send_began(now, &worker, demand, &Need::Run);
+                let ticket = self.directory.begin_send(now, &worker, demand, &Need::Run);
                 self.read_prompt(at, worker, tenant, ticket, prompt);
             }
             Admission::Refused { cause, .. } => {
@@ -229,9 +229,10 @@
         outcome.admitted += 1;
         outcome.in_time += u32::from(latency <= OBJECTIVES.latency);
         let (ticket, prompt) = (&mut send.ticket, &send.prompt);
-        self.directory.prompt_was_read(now, ticket, prompt, latency);
+        self.directory
+            .record_prompt_read(now, ticket, prompt, latency);
         let answered = SendResult::Answered { latency };
-        self.directory.send_ended(now, ticket, prompt, answered);
+        self.directory.end_send(now, ticket, prompt, answered);
     }
 
     /// Returns a random number (splitmix64).
--- a/crates/forwarding/tests/placements.rs
+++ b/crates/forwarding/tests/placements.rs
@@ -303,7 +303,7 @@
         let schedulers = gateways.iter().filter(|one| plan.is_scheduler(&one.name));
         let schedulers = schedulers.enumerate().map(|(number, one)| {
             let mut directory = directory(number as u64, MANY_ENGINES, ZONES);
-            directory.set_exchange(plan.schedulers() - 1, REPORT_PAUSE);
+            directory.set_other_gateways(plan.schedulers() - 1, REPORT_PAUSE);
             (one.name.clone(), (directory, PlacementLedger::default()))
         });
         Self {
@@ -370,7 +370,7 @@
             .collect();
         for (directory, _) in self.schedulers.values_mut() {
             for report in &reports {
-                directory.hear(now, report);
+                directory.receive_report(now, report);
             }
         }
     }
--- a/crates/forwarding/tests/rate_limits.rs
+++ b/crates/forwarding/tests/rate_limits.rs
@@ -85,7 +85,7 @@
 
     fn state_limit(&mut self, limit: RateLimit) {
         for gateway in &mut self.gateways {
-            gateway.take_notice(START, &WorkerId::from("a"), limit_notice(limit));
+            gateway.apply_notice(START, &WorkerId::from("a"), limit_notice(limit));
         }
     }
 
@@ -210,16 +210,16 @@
         chosen.map(|worker| worker.id.as_str().to_owned())
     };
     let (a, b) = (WorkerId::from("a"), WorkerId::from("b"));
-    directory.take_notice(START, &a, limit_notice(limit(2.0)));
+    directory.apply_notice(START, &a, limit_notice(limit(2.0)));
     assert_eq!(chosen(&directory, START), Some("b".into()));
     assert_eq!(directory.first_available(START, &service, &Need::Run), None);
 
-    directory.take_notice(START, &b, limit_notice(limit(1.0)));
+    directory.apply_notice(START, &b, limit_notice(limit(1.0)));
     assert_eq!(chosen(&directory, START), None);
     let half = Duration::from_millis(500);
     let first = FirstAvailable {
         after: half,
-        until_then: Unavailable::RateLimited,
+        blocked_by: Unavailable::RateLimited,
     };
     let known = directory.first_available(START, &service, &Need::Run);
     assert_eq!(known, Some(first));
@@ -235,7 +235,7 @@
     assert_eq!(directory.take_rate_token(later, &a), RateToken::Taken);
     assert_eq!(directory.take_rate_token(later, &a), RateToken::Missing);
     assert_eq!(chosen(&directory, later), None);
-    directory.give_back_rate_token(later, &a);
+    directory.return_rate_token(later, &a);
     assert_eq!(chosen(&directory, later), Some("a".into()));
 }
 
@@ -248,10 +248,10 @@
     let sent_earlier = START;
     let stated_at = START + STEP;
     let now = stated_at + STEP;
-    directory.take_notice(stated_at, &a, limit_notice(limit(2.0)));
-    assert!(!directory.rate_limit_not_named(now, &a, sent_earlier));
+    directory.apply_notice(stated_at, &a, limit_notice(limit(2.0)));
+    assert!(!directory.record_no_rate_limit(now, &a, sent_earlier));
     assert_eq!(directory.rate_limit_of(&a), Some(limit(2.0)));
-    assert!(directory.rate_limit_not_named(now, &a, stated_at + STEP));
+    assert!(directory.record_no_rate_limit(now, &a, stated_at + STEP));
     assert_eq!(directory.rate_limit_of(&a), None);
     assert_eq!(directory.take_rate_token(now, &a), RateToken::Unlimited);
 }
@@ -261,7 +261,7 @@
 fn a_limit_does_not_apply_to_another_incarnation_of_the_worker() {
     let mut directory = alone(&[]);
     let incarnation = |started_at| WorkerId::of_incarnation("a", Some(started_at));
-    directory.take_notice(START, &incarnation(1), limit_notice(limit(2.0)));
+    directory.apply_notice(START, &incarnation(1), limit_notice(limit(2.0)));
     assert_eq!(directory.rate_limit_of(&incarnation(1)), Some(limit(2.0)));
     assert_eq!(directory.rate_limit_of(&incarnation(2)), None);
 }
@@ -288,13 +288,13 @@
         stated: StatedLimit { limit, age },
     };
     let now = START + AFTER_EXPIRY;
-    directory.hear(now, &report(2, 1, statement(Some(limit(2.0)), STEP)));
+    directory.receive_report(now, &report(2, 1, statement(Some(limit(2.0)), STEP)));
     assert_eq!(directory.rate_limit_of(&a), Some(limit(2.0)));
-    directory.hear(now, &report(3, 1, statement(None, STEP * 2)));
+    directory.receive_report(now, &report(3, 1, statement(None, STEP * 2)));
     assert_eq!(directory.rate_limit_of(&a), Some(limit(2.0)));
-    directory.hear(now, &report(3, 2, statement(None, Duration::ZERO)));
+    directory.receive_report(now, &report(3, 2, statement(None, Duration::ZERO)));
     assert_eq!(directory.rate_limit_of(&a), None);
-    directory.hear(
+    directory.receive_report(
         now + STEP,
         &report(2, 2, statement(Some(limit(2.0)), STEP * 2)),
     );
@@ -310,19 +310,19 @@
     let mut exchange = |sender: &mut Directory, now| {
         let report = sender.report_due(now);
         if let Some(report) = &report {
-            receiver.hear(now, report);
+            receiver.receive_report(now, report);
         }
         (report.is_some(), receiver.rate_limit_of(&a))
     };
     sender.report_due(START);
-    sender.take_notice(START, &a, limit_notice(limit(2.0)));
+    sender.apply_notice(START, &a, limit_notice(limit(2.0)));
     assert_eq!(exchange(&mut sender, START), (true, Some(limit(2.0))));
     let soon = START + STEP;
-    sender.take_notice(soon, &a, limit_notice(limit(2.1)));
+    sender.apply_notice(soon, &a, limit_notice(limit(2.1)));
     assert_eq!(exchange(&mut sender, soon), (false, Some(limit(2.0))));
     let later = START + AFTER_REPETITION;
     assert_eq!(exchange(&mut sender, later), (true, Some(limit(2.1))));
-    assert!(sender.rate_limit_not_named(later + STEP, &a, later));
+    assert!(sender.record_no_rate_limit(later + STEP, &a, later));
     assert_eq!(exchange(&mut sender, later + STEP), (true, None));
 }
 
@@ -334,14 +334,14 @@
         let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
         let mut directory = alone(&ids);
         for id in &ids {
-            directory.take_notice(START, &WorkerId::from(*id), limit_notice(limit(2.0)));
+            directory.apply_notice(START, &WorkerId::from(*id), limit_notice(limit(2.0)));
         }
         let report = directory.report_due(START).expect("a report");
         assert_eq!(report.rate_limits.len(), fleet.min(64));
         directory.expire_notices(START + STEP);
-        assert_eq!(directory.kept_rate_limits(), fleet);
+        assert_eq!(directory.rate_limit_count(), fleet);
         directory.expire_notices(START + AFTER_EXPIRY);
-        assert_eq!(directory.kept_rate_limits(), 0);
+        assert_eq!(directory.rate_limit_count(), 0);
     }
 }
 
@@ -349,7 +349,7 @@
 /// worker.
 fn placement_answers(gateways: u64) -> Vec<PlacementAnswer> {
     let mut directory = alone(&["a"]);
-    directory.take_notice(START, &WorkerId::from("a"), limit_notice(limit(6.0)));
+    directory.apply_notice(START, &WorkerId::from("a"), limit_notice(limit(6.0)));
     let mut ledger = PlacementLedger::default();
     let zone = ZoneName::new("z");
     let now = START + SPAN;
--- a/crates/forwarding/tests/worker_notices.rs
+++ b/crates/forwarding/tests/worker_notices.rs
@@ -86,7 +86,7 @@
     }
 
     fn send(&self, directory: &mut Directory, now: Timestamp, name: &str) -> SendTicket {
-        directory.send_began(now, &named(name), self.demand(), &Need::Run)
+        directory.begin_send(now, &named(name), self.demand(), &Need::Run)
     }
 }
 
@@ -96,13 +96,13 @@
     let mut directory = directory(&["a"]);
     assert!(
         directory
-            .take_notice(NOW, &named("a"), leaving_notice())
-            .leaves
+            .apply_notice(NOW, &named("a"), leaving_notice())
+            .is_leaving
     );
     assert!(
         !directory
-            .take_notice(NOW, &named("a"), leaving_notice())
-            .leaves
+            .apply_notice(NOW, &named("a"), leaving_notice())
+            .is_leaving
     );
     assert_eq!(caller.select(&directory, NOW), None);
     assert_eq!(directory.ready_workers(), 0);
@@ -121,8 +121,8 @@
     let [first, second] = [1, 2].map(|started_at| WorkerId::of_incarnation("a", Some(started_at)));
     let mut directory = Directory::new(GatewayKey(1));
     directory.announce_one(worker(first.clone()));
-    directory.take_notice(NOW, &first, leaving_notice());
-    directory.take_notice(NOW, &first, backoff_notice(BACKOFF));
+    directory.apply_notice(NOW, &first, leaving_notice());
+    directory.apply_notice(NOW, &first, backoff_notice(BACKOFF));
     directory.withdraw(&first);
     directory.announce_one(worker(second.clone()));
     assert_eq!(caller.select(&directory, NOW), Some("a".into()));
@@ -133,7 +133,7 @@
 fn a_notice_of_an_unknown_worker_applies_once_it_is_announced() {
     let caller = Caller::new();
     let mut directory = directory(&[]);
-    directory.take_notice(NOW, &named("a"), leaving_notice());
+    directory.apply_notice(NOW, &named("a"), leaving_notice());
     directory.announce_one(worker(named("a")));
     assert_eq!(caller.select(&directory, NOW), None);
 }
@@ -142,11 +142,11 @@
 fn a_worker_that_is_backing_off_is_not_selected_even_if_it_is_the_only_one() {
     let caller = Caller::new();
     let mut directory = directory(&["a"]);
-    let update = directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF));
-    assert_eq!(update.rest, Some(BACKOFF));
+    let update = directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF));
+    assert_eq!(update.backoff, Some(BACKOFF));
     assert_eq!(caller.select(&directory, NOW), None);
     let unavailable = directory.unavailable(NOW, &named("a"));
-    assert_eq!(unavailable, Some(Unavailable::Resting));
+    assert_eq!(unavailable, Some(Unavailable::BackingOff));
     let just_before_end = NOW + BACKOFF - Duration::from_millis(1);
     assert_eq!(caller.select(&directory, just_before_end), None);
     assert_eq!(caller.select(&directory, NOW + BACKOFF), Some("a".into()));
@@ -155,28 +155,28 @@
 #[test]
 fn a_later_shorter_backoff_does_not_shorten_the_first() {
     let mut directory = directory(&["a"]);
-    directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF));
-    let update = directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF / 2));
-    assert_eq!(update.rest, None);
-    let longest = directory.notice_of(NOW, &named("a")).backoff;
+    directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF));
+    let update = directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF / 2));
+    assert_eq!(update.backoff, None);
+    let longest = directory.current_notice(NOW, &named("a")).backoff;
     assert_eq!(longest, Some(BACKOFF));
-    directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF * 2));
-    let longer = directory.notice_of(NOW, &named("a")).backoff;
+    directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF * 2));
+    let longer = directory.current_notice(NOW, &named("a")).backoff;
     assert_eq!(longer, Some(BACKOFF * 2));
 }
 
 #[test]
 fn a_backoff_repeated_soon_is_not_reported_again_but_extends_its_end() {
     let mut directory = directory(&["a"]);
-    directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF));
+    directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF));
     let soon = NOW + Duration::from_millis(20);
-    let again = directory.take_notice(soon, &named("a"), backoff_notice(BACKOFF));
-    assert_eq!(again.rest, None);
-    let left = directory.notice_of(soon, &named("a")).backoff;
+    let again = directory.apply_notice(soon, &named("a"), backoff_notice(BACKOFF));
+    assert_eq!(again.backoff, None);
+    let left = directory.current_notice(soon, &named("a")).backoff;
     assert_eq!(left, Some(BACKOFF));
     let later = NOW + Duration::from_secs(1);
-    let anew = directory.take_notice(later, &named("a"), backoff_notice(BACKOFF));
-    assert_eq!(anew.rest, Some(BACKOFF));
+    let anew = directory.apply_notice(later, &named("a"), backoff_notice(BACKOFF));
+    assert_eq!(anew.backoff, Some(BACKOFF));
 }
 
 #[test]
@@ -185,34 +185,34 @@
     let mut directory = directory(&["a", "b"]);
     // The other worker is slow, so that all requests would go to the first one.
     let ticket = caller.send(&mut directory, NOW, "a");
-    directory.send_ended(NOW, &ticket, &[], SendResult::Answered { latency: LATENCY });
+    directory.end_send(NOW, &ticket, &[], SendResult::Answered { latency: LATENCY });
     let slow = SendResult::Answered {
         latency: Duration::from_secs(5),
     };
     let ticket = caller.send(&mut directory, NOW, "b");
-    directory.send_ended(NOW, &ticket, &[], slow);
-    directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF));
+    directory.end_send(NOW, &ticket, &[], slow);
+    directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF));
     assert_eq!(caller.select(&directory, NOW), Some("b".into()));
 
     let backoff_end = NOW + BACKOFF;
     assert_eq!(caller.select(&directory, backoff_end), Some("a".into()));
     let mut trials = [(); 2].map(|()| caller.send(&mut directory, backoff_end, "a"));
     assert_eq!(caller.select(&directory, backoff_end), Some("b".into()));
-    directory.send_ended(backoff_end, &trials[0], &[], SendResult::Unreachable);
+    directory.end_send(backoff_end, &trials[0], &[], SendResult::Unreachable);
     let later = backoff_end + Duration::from_secs(5);
     assert_eq!(caller.select(&directory, later), Some("a".into()));
     let third = caller.send(&mut directory, later, "a");
     assert_eq!(caller.select(&directory, later), Some("b".into()));
-    directory.prompt_was_read(later, &mut trials[1], &[], LATENCY);
+    directory.record_prompt_read(later, &mut trials[1], &[], LATENCY);
     assert_eq!(caller.select(&directory, later), Some("a".into()));
-    directory.send_ended(later, &third, &[], SendResult::Refused);
+    directory.end_send(later, &third, &[], SendResult::Refused);
 }
 
 #[test]
 fn a_worker_on_trial_is_selected_if_it_is_the_only_one() {
     let caller = Caller::new();
     let mut directory = directory(&["a"]);
-    directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF));
+    directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF));
     let backoff_end = NOW + BACKOFF;
     for _ in 0..4 {
         assert_eq!(caller.select(&directory, backoff_end), Some("a".into()));
@@ -224,13 +224,13 @@
 fn first_available_is_known_only_if_all_workers_are_backing_off() {
     let mut directory = directory(&["a", "b"]);
     let service = ServiceName::new("s");
-    directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF * 2));
+    directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF * 2));
     assert_eq!(directory.first_available(NOW, &service, &Need::Run), None);
-    directory.take_notice(NOW, &named("b"), backoff_notice(BACKOFF));
+    directory.apply_notice(NOW, &named("b"), backoff_notice(BACKOFF));
     let first = directory.first_available(NOW, &service, &Need::Run);
     let expected = FirstAvailable {
         after: BACKOFF,
-        until_then: Unavailable::Resting,
+        blocked_by: Unavailable::BackingOff,
     };
     assert_eq!(first, Some(expected));
     let later = directory.first_available(NOW + BACKOFF, &service, &Need::Run);
@@ -254,21 +254,21 @@
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut directory = directory(&names);
         for name in &names {
-            directory.take_notice(NOW, &named(name), leaving_notice());
-            directory.take_notice(NOW, &named(name), backoff_notice(BACKOFF));
+            directory.apply_notice(NOW, &named(name), leaving_notice());
+            directory.apply_notice(NOW, &named(name), backoff_notice(BACKOFF));
         }
         let (gone, announced) = names.split_at(fleet / 2);
         for name in gone {
             directory.withdraw(&named(name));
         }
         directory.expire_notices(NOW + BACKOFF);
-        assert_eq!(directory.kept_notices(), 2 * fleet);
+        assert_eq!(directory.notice_count(), 2 * fleet);
         directory.expire_notices(NOW + BACKOFF + ENDED_BACKOFF_RETENTION);
-        assert_eq!(directory.kept_notices(), fleet);
+        assert_eq!(directory.notice_count(), fleet);
         directory.expire_notices(NOW + AFTER_EXPIRY);
-        assert_eq!(directory.kept_notices(), announced.len());
-        assert!(directory.has_said_that_it_leaves(&named(announced[0])));
-        assert!(!directory.has_said_that_it_leaves(&named(gone[0])));
+        assert_eq!(directory.notice_count(), announced.len());
+        assert!(directory.has_stated_leaving(&named(announced[0])));
+        assert!(!directory.has_stated_leaving(&named(gone[0])));
     }
 }
 
@@ -279,13 +279,13 @@
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut directory = directory(&names);
         for name in &names {
-            directory.take_notice(NOW, &named(name), backoff_notice(BACKOFF));
+            directory.apply_notice(NOW, &named(name), backoff_notice(BACKOFF));
         }
         let reported = directory.unavailable_workers(NOW).len();
         assert_eq!(reported, fleet.min(64));
         assert!(directory.unavailable_workers(NOW + BACKOFF).is_empty());
         for name in &names {
-            directory.take_notice(NOW, &self::named(name), leaving_notice());
+            directory.apply_notice(NOW, &self::named(name), leaving_notice());
         }
         let reported = directory.unavailable_workers(NOW + BACKOFF).len();
         assert_eq!(reported, fleet.min(64));
@@ -408,7 +408,7 @@
             };
             if placement.worker == named("a") {
                 placed_on_a += 1;
-                directory.take_notice(NOW, &named("a"), backoff_notice(BACKOFF));
+                directory.apply_notice(NOW, &named("a"), backoff_notice(BACKOFF));
             }
         }
         assert_eq!(placed_on_a, 1, "{gateways} gateways");
--- a/crates/gateway/src/cache_recovery.rs
+++ b/crates/gateway/src/cache_recovery.rs
@@ -107,7 +107,10 @@
     for worker in own_engines(shared) {
         let parts = list_engine(shared, &worker).await.unwrap_or_default();
         let now = shared.now();
-        shared.directory.lock().list_parts(now, &worker.id, &parts);
+        shared
+            .directory
+            .lock()
+            .record_listed_parts(now, &worker.id, &parts);
     }
 }
 
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -130,7 +130,7 @@
             return (Conclusion::Barred, 0);
         }
         let read_apart = match self.admit(now).await {
-            Admission::Taken { read_apart, draw } => {
+            Admission::Admitted { read_apart, draw } => {
                 self.draw = draw;
                 read_apart
             }
--- a/crates/gateway/src/exchange/placing.rs
+++ b/crates/gateway/src/exchange/placing.rs
@@ -22,7 +22,7 @@
                 // One that is not available is chosen anew with the first send.
                 self.placed = Some(placed).filter(OpenPlacement::is_available);
                 let draw = self.draw;
-                return Admission::Taken { read_apart, draw };
+                return Admission::Admitted { read_apart, draw };
             }
             Some(Answered::Refused {
                 cause,
@@ -131,10 +131,10 @@
         let directory = self.shared.directory.lock();
         let first = directory.first_available(now, service, need);
         drop(directory);
-        self.cause = match first.map(|first| first.until_then) {
+        self.cause = match first.map(|first| first.blocked_by) {
             None => "no_worker",
             Some(Unavailable::RateLimited) => "rate_limit",
-            Some(Unavailable::Resting | Unavailable::Leaving) => "workers_rest",
+            Some(Unavailable::BackingOff | Unavailable::Leaving) => "workers_rest",
         };
         if let Some(first) = first {
             let later = rand::random_range(0.0..RETURN_SPREAD);
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -43,7 +43,7 @@
         quarantine::tell_due(shared);
         let due = {
             let mut directory = shared.directory.lock();
-            directory.set_exchange(other_schedulers(shared, &fleet), pace(&fleet));
+            directory.set_other_gateways(other_schedulers(shared, &fleet), pace(&fleet));
             directory.report_due(now)
         };
         if let Some(report) = due.filter(|_| places_requests(shared, &fleet)) {
@@ -130,7 +130,7 @@
         };
         if let Some(report) = datagram.report {
             let now = shared.now();
-            shared.directory.lock().hear(now, &decode(report));
+            shared.directory.lock().receive_report(now, &decode(report));
         }
         if let Some(question) = datagram.question {
             placement::answer(shared, sender, question);
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -60,7 +60,7 @@
         let now = shared.now();
         if let Some(stated) = placement.rate_limit {
             let mut directory = shared.directory.lock();
-            directory.hear_rate_limit(now, &placement.worker, stated);
+            directory.receive_rate_limit(now, &placement.worker, stated);
         }
         Self {
             shared: Arc::clone(shared),
@@ -93,7 +93,7 @@
         let now = self.shared.now();
         let worker = &self.placement.worker;
         let directory = self.shared.directory.lock();
-        let said = directory.notice_of(now, worker);
+        let said = directory.current_notice(now, worker);
         let rate_limit = directory.stated_rate_limit(now, worker);
         drop(directory);
         self.tell(PlacementNotice::Ended {
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -60,7 +60,7 @@
         if let Some(stated) = rate_limit {
             let now = shared.now();
             let mut directory = shared.directory.lock();
-            directory.hear_rate_limit(now, &worker, *stated);
+            directory.receive_rate_limit(now, &worker, *stated);
         }
         let notices = &shared.connections.notices;
         notices.take(&worker, *said, NoticeSource::Gateway);
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -79,7 +79,7 @@
             draw: 0,
         };
         let mut directory = shared.directory.lock();
-        let ticket = directory.send_began(now, &sent.worker, demand, &sent.need);
+        let ticket = directory.begin_send(now, &sent.worker, demand, &sent.need);
         drop(directory);
         let number = shared.sends.lock().begin(&sent.worker, sent.fingerprint);
         let placed = placement.as_ref().map(OpenPlacement::placement);
@@ -124,7 +124,7 @@
     pub fn expected(&self) -> Duration {
         match self.placed() {
             Some(placed) => placed.expected,
-            None => self.ticket.expected(),
+            None => self.ticket.expected_latency(),
         }
     }
 
@@ -167,7 +167,7 @@
         let now = self.shared.now();
         let latency = now.since(self.began);
         let mut directory = self.shared.directory.lock();
-        directory.prompt_was_read(now, &mut self.ticket, &self.sent.prompt, latency);
+        directory.record_prompt_read(now, &mut self.ticket, &self.sent.prompt, latency);
         drop(directory);
         if let Some(placement) = &self.placement {
             placement.prompt_was_read(latency);
@@ -197,7 +197,7 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut directory = self.shared.directory.lock();
-        directory.send_ended(now, &self.ticket, &self.sent.prompt, self.result);
+        directory.end_send(now, &self.ticket, &self.sent.prompt, self.result);
         drop(directory);
         self.leave_ledger(now);
         if let Some(placement) = &mut self.placement {
--- a/crates/gateway/src/worker_ends.rs
+++ b/crates/gateway/src/worker_ends.rs
@@ -122,7 +122,7 @@
     let directory = shared.directory.lock();
     let last = directory.last_announced(&destination.worker);
     let is_announced_so = last.is_some_and(|worker| worker.state == WorkerState::Draining);
-    if is_announced_so || directory.has_said_that_it_leaves(&destination.worker) {
+    if is_announced_so || directory.has_stated_leaving(&destination.worker) {
         return Announced::Leaving;
     }
     match directory.get(&destination.worker) {
--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -212,7 +212,7 @@
     let was = before.worker.as_ref()?;
     match worker {
         Some(worker) if worker.id != was.id => {
-            let has_said = || shared.directory.lock().has_said_that_it_leaves(&was.id);
+            let has_said = || shared.directory.lock().has_stated_leaving(&was.id);
             let is_without_notice = was.state == WorkerState::Ready && !has_said();
             is_without_notice.then(|| was.id.clone())
         }
@@ -243,7 +243,7 @@
 
 fn entry_gone(shared: &Shared, worker: &Worker) {
     let returned = shared.store_contact.returned();
-    let leaves = shared.directory.lock().has_said_that_it_leaves(&worker.id);
+    let leaves = shared.directory.lock().has_stated_leaving(&worker.id);
     let mut lapsed = shared.lapsed_workers.lock();
     let counts = !leaves && lapsed.record_missing_entry(shared.now(), returned, worker);
     drop(lapsed);
--- a/crates/gateway/src/worker_notices.rs
+++ b/crates/gateway/src/worker_notices.rs
@@ -98,7 +98,7 @@
     fn rate_limit_not_named(&self, worker: &WorkerId, sent: Timestamp, source: NoticeSource) {
         let now = self.clock.now();
         let mut directory = self.directory.lock();
-        let ended = directory.rate_limit_not_named(now, worker, sent);
+        let ended = directory.record_no_rate_limit(now, worker, sent);
         drop(directory);
         if ended {
             let event = Event::WorkerRateLimitEnded {
@@ -112,8 +112,8 @@
     /// A worker has said something of itself.
     pub fn take(&self, worker: &WorkerId, notice: WorkerNotice, source: NoticeSource) {
         let now = self.clock.now();
-        let news = self.directory.lock().take_notice(now, worker, notice);
-        if news.leaves {
+        let news = self.directory.lock().apply_notice(now, worker, notice);
+        if news.is_leaving {
             self.heard.with_label_values(&["leaving"]).inc();
             let event = Event::WorkerLeaving {
                 worker: worker.as_str(),
@@ -121,7 +121,7 @@
             };
             self.log.record(Weight::Important, &event);
         }
-        if let Some(rest) = news.rest {
+        if let Some(rest) = news.backoff {
             self.heard.with_label_values(&["rest"]).inc();
             let event = Event::WorkerRests {
                 worker: worker.as_str(),
@@ -163,7 +163,7 @@
     /// A request for which a token was taken was not sent.
     pub fn give_back_rate_token(&self, worker: &WorkerId) {
         let now = self.clock.now();
-        self.directory.lock().give_back_rate_token(now, worker);
+        self.directory.lock().return_rate_token(now, worker);
     }
 
     /// Whether something may be sent to a worker, as far as it has said. One that leaves still frees what it keeps
