--- a/crates/forwarding/src/directory/admission.rs
+++ b/crates/forwarding/src/directory/admission.rs
@@ -246,7 +246,7 @@
         queue_seconds: f64,
     ) -> Duration {
         let utilization = match self.decisions.later_return {
-            true => self.reader_utilization(now, demand.service),
+            true => self.prefill_utilization(now, demand.service),
             false => 0.0,
         };
         let refused = RefusedCaller {
@@ -260,9 +260,9 @@
     }
 
     /// Returns the demand for prefill engines relative to their capacity.
-    fn reader_utilization(&self, now: Timestamp, service: &ServiceName) -> f64 {
-        let readers = self.usable_workers(now, service, &Need::ReadPrompt);
-        self.engine_demand(now, service).prefill_engines / readers.max(1) as f64
+    fn prefill_utilization(&self, now: Timestamp, service: &ServiceName) -> f64 {
+        let prefill_engines = self.usable_workers(now, service, &Need::ReadPrompt);
+        self.engine_demand(now, service).prefill_engines / prefill_engines.max(1) as f64
     }
 
     /// Returns whether a decode engine has time for a prompt for which no prefill engine has time:
