--- a/crates/forwarding/src/mirror.rs
+++ b/crates/forwarding/src/mirror.rs
@@ -11,11 +11,10 @@
 
 use crate::position::Position;
 
-/// Lower bound of the maximum number of changes in the history. The maximum is the number of items in the mirror, since
-/// a snapshot is the better answer to a peer that lacks more changes than that.
+/// The history may hold as many changes as the mirror has items, but at least this many. A peer that lacks more changes
+/// is better served with a snapshot.
 const MIN_HISTORY_CHANGES: usize = 256;
-/// Lower bound of the maximum size of the keys and values in the history. The maximum is the size of those in the
-/// mirror.
+/// The keys and values in the history may take as many bytes as those in the mirror, but at least this many.
 const MIN_HISTORY_BYTES: usize = 1 << 20;
 
 /// One item of the store.
@@ -147,7 +146,7 @@
     }
 }
 
-/// The latest changes. It contains all changes after `floor`, except those in the gap.
+/// The latest changes: all changes after `floor`, except those inside the gap.
 #[derive(Debug, Default)]
 struct History {
     changes: VecDeque<MirrorChange>,
@@ -167,7 +166,7 @@
 
 impl Gap {
     /// Returns whether the changes after a position span the gap.
-    fn is_after(&self, position: Position) -> bool {
+    fn is_spanned_from(&self, position: Position) -> bool {
         position < self.after
     }
 
@@ -217,7 +216,7 @@
 
     /// Returns whether the changes after a position span a gap.
     fn spans_gap_after(&self, position: Position) -> bool {
-        self.gap.is_some_and(|gap| gap.is_after(position))
+        self.gap.is_some_and(|gap| gap.is_spanned_from(position))
     }
 
     /// Returns the changes after a position, or `None` if the history does not reach back to it.
--- a/crates/forwarding/tests/budget_and_mirror.rs
+++ b/crates/forwarding/tests/budget_and_mirror.rs
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn gateways_that_stop_at_the_same_time_stay_within_the_budget() {
+fn gateways_that_shut_down_shortly_after_each_other_stay_within_the_budget() {
     let (spent, allowed) = retries_while_two_stop(true);
     assert!(f64::from(spent) <= allowed, "{spent} of {allowed}");
     // The fault that this guards against: each stopping gateway took over the shares of the others while those were
