--- a/crates/forwarding/src/event_stream.rs
+++ b/crates/forwarding/src/event_stream.rs
@@ -1,63 +1,63 @@
-//! Cuts a server-sent event stream at the boundaries of its events, so that a stream which another
-//! worker continues never carries a part of an event twice.
+//! Splits a server-sent event stream at event boundaries, so that a stream that another worker resumes never contains a
+//! part of an event twice.
 
-/// The longest event that is held back until it is complete.
+/// Maximum size of an event that is buffered until it is complete.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Whole events, ready to be delivered.
+/// Complete events that can be delivered.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CompleteEvents {
-    /// Their bytes, each event with its closing blank line.
+    /// Bytes of the events, each with its terminating blank line.
     pub bytes: Vec<u8>,
-    /// The id of the last event that has one.
+    /// Id of the last event that has one.
     pub last_id: Option<String>,
-    /// How many events there are.
+    /// Number of events.
     pub count: u32,
 }
 
-/// An event is longer than a gateway will hold.
+/// An event is longer than the maximum that a gateway buffers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an event is longer than {MAX_EVENT_BYTES} bytes")]
+#[error("server-sent event exceeds the maximum of {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
-/// Holds the incomplete end of a stream back.
+/// Splits a stream into complete events, and buffers the incomplete event at its end.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     pending: Vec<u8>,
 }
 
 impl EventFramer {
-    /// Takes the next bytes and returns the events that they complete.
+    /// Adds the next bytes of the stream and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Result<CompleteEvents, EventTooLong> {
-        let searched = self.pending.len().saturating_sub(3);
+        let search_start = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
-        let Some(end) = last_boundary(&self.pending, searched) else {
+        let Some(end) = last_boundary(&self.pending, search_start) else {
             return match self.pending.len() > MAX_EVENT_BYTES {
                 true => Err(EventTooLong),
                 false => Ok(CompleteEvents::default()),
             };
         };
-        let rest = self.pending.split_off(end);
-        let complete = std::mem::replace(&mut self.pending, rest);
-        Ok(describe(complete))
+        let incomplete = self.pending.split_off(end);
+        let complete = std::mem::replace(&mut self.pending, incomplete);
+        Ok(parse_events(complete))
     }
 
-    /// Bytes of an event that is not complete.
+    /// Returns the number of buffered bytes of an incomplete event.
     pub fn pending_bytes(&self) -> usize {
         self.pending.len()
     }
 }
 
-/// The end of the last blank line at or after `from`.
+/// Returns the end of the last blank line that ends after `from`.
 fn last_boundary(bytes: &[u8], from: usize) -> Option<usize> {
-    let ends_here = |end: &usize| {
+    let is_boundary = |end: &usize| {
         let head = &bytes[..*end];
         head.ends_with(b"\n\n") || head.ends_with(b"\n\r\n")
     };
-    (from + 1..=bytes.len()).rev().find(ends_here)
+    (from + 1..=bytes.len()).rev().find(is_boundary)
 }
 
-fn describe(bytes: Vec<u8>) -> CompleteEvents {
+fn parse_events(bytes: Vec<u8>) -> CompleteEvents {
     let mut last_id = None;
     let mut count = 0;
     let mut in_event = false;
--- a/crates/forwarding/src/placement/book.rs
+++ b/crates/forwarding/src/placement/book.rs
@@ -1,4 +1,4 @@
-//! The placements that a gateway has asked schedulers for.
+//! Placements that a gateway has requested from schedulers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,41 +8,41 @@
 use super::{PlacementId, PlacementMessage, PlacementNotice, PlacementRequest};
 use crate::load_exchange::GatewayKey;
 
-/// How long a scheduler that did not answer is passed over: about as long as a gateway takes to start
-/// again.
-const SILENCE_MEMORY: Duration = Duration::from_secs(1);
-/// The longest time for an answer, also assumed before any was observed. A request whose scheduler is
-/// gone waits so long at most before another one is asked.
-const MOST_PATIENCE: Duration = Duration::from_millis(60);
-/// The least time for an answer: a few wake-ups of a process that shares its core.
-const LEAST_PATIENCE: Duration = Duration::from_millis(15);
-/// Weight of the newest answer's time in the smoothed one, and in its deviation (RFC 6298).
-const TIME_WEIGHT: f64 = 0.125;
+/// How long a scheduler that did not answer is skipped: about the time that a gateway takes to restart.
+const UNRESPONSIVE_SCHEDULER_BACKOFF: Duration = Duration::from_secs(1);
+/// Maximum time to wait for an answer, also used before any answer was observed. A request whose
+/// scheduler is gone waits at most this long before another scheduler is asked.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
+/// Minimum time to wait for an answer: a few wake-ups of a process that shares its core.
+const MIN_ANSWER_TIMEOUT: Duration = Duration::from_millis(15);
+/// Weights of the latest answer time in the smoothed answer time and in its deviation (RFC 6298).
+const ANSWER_TIME_WEIGHT: f64 = 0.125;
 const DEVIATION_WEIGHT: f64 = 0.25;
-/// Deviations beyond the smoothed time that an answer may take (RFC 6298).
-const DEVIATIONS: f64 = 4.0;
+/// Number of deviations that an answer may take beyond the smoothed answer time (RFC 6298).
+const TIMEOUT_DEVIATIONS: f64 = 4.0;
 
-/// Bits of a gateway's key that its first identity of a placement is made of: those of ten thousand
-/// questions in two lives meet by a chance of one in 28 billion, and take seven bytes in a message.
-const FIRST_ID_BITS: u32 = 48;
+/// Number of bits of a gateway's key that form its first placement id. The ids of ten thousand requests in
+/// each of two incarnations of a gateway overlap with a probability of 1 in 28 billion, and an id takes seven
+/// bytes in a message.
+const INITIAL_ID_BITS: u32 = 48;
 
-/// How fast a scheduler answers.
+/// Smoothed answer time of a scheduler.
 #[derive(Debug, Clone, Copy)]
 struct AnswerTime {
-    seconds: f64,
-    deviation: f64,
+    smoothed_seconds: f64,
+    deviation_seconds: f64,
 }
 
-/// One scheduler, as the asking gateway knows it.
+/// State that the requesting gateway keeps for one scheduler.
 #[derive(Debug, Default)]
 struct Scheduler {
     open: BTreeSet<PlacementId>,
     notices: Vec<PlacementNotice>,
     answer_time: Option<AnswerTime>,
-    silent_until: Timestamp,
+    skipped_until: Timestamp,
 }
 
-/// What one gateway has asked of schedulers.
+/// Placements that one gateway has requested from schedulers.
 #[derive(Debug)]
 pub struct PlacementBook {
     sender: GatewayKey,
@@ -52,62 +52,63 @@
 }
 
 impl PlacementBook {
-    /// Nothing asked yet. Each life of a gateway has identities of its own, as an answer names only
-    /// the placement and may come after a restart.
+    /// Creates an empty record. Each incarnation of a gateway uses different placement ids, because an
+    /// answer contains only the id and may arrive after a restart.
     pub fn new(sender: GatewayKey) -> Self {
         Self {
             sender,
             sequence: 0,
-            last_id: sender.0 >> (u64::BITS - FIRST_ID_BITS),
+            last_id: sender.0 >> (u64::BITS - INITIAL_ID_BITS),
             schedulers: HashMap::new(),
         }
     }
 
-    /// An identity for a new placement.
+    /// Returns the id for a new placement.
     pub fn next_id(&mut self) -> PlacementId {
         self.last_id += 1;
         PlacementId(self.last_id)
     }
 
-    /// The message that asks a scheduler to place a request; it takes what is to be told along.
+    /// Returns the message that asks a scheduler to place a request, with all notices that wait for that scheduler.
     pub fn ask(&mut self, scheduler: &str, request: PlacementRequest) -> PlacementMessage {
         let entry = self.schedulers.entry(scheduler.to_owned()).or_default();
         entry.open.insert(request.id);
         self.message(scheduler, Some(request))
     }
 
-    /// The scheduler has answered after `elapsed`.
+    /// Records that the scheduler has answered after `elapsed`.
     pub fn answered(&mut self, scheduler: &str, elapsed: Duration) {
         let Some(entry) = self.schedulers.get_mut(scheduler) else {
             return;
         };
         let seconds = elapsed.as_secs_f64();
         let time = entry.answer_time.get_or_insert(AnswerTime {
-            seconds,
-            deviation: seconds / 2.0,
+            smoothed_seconds: seconds,
+            deviation_seconds: seconds / 2.0,
         });
-        time.deviation += ((seconds - time.seconds).abs() - time.deviation) * DEVIATION_WEIGHT;
-        time.seconds += (seconds - time.seconds) * TIME_WEIGHT;
+        time.deviation_seconds +=
+            ((seconds - time.smoothed_seconds).abs() - time.deviation_seconds) * DEVIATION_WEIGHT;
+        time.smoothed_seconds += (seconds - time.smoothed_seconds) * ANSWER_TIME_WEIGHT;
     }
 
-    /// The scheduler has not answered in time.
+    /// Records that the scheduler has not answered in time, and skips it for a while.
     pub fn silent(&mut self, now: Timestamp, scheduler: &str, id: PlacementId) {
         let Some(entry) = self.schedulers.get_mut(scheduler) else {
             return;
         };
         entry.open.remove(&id);
         entry.answer_time = None;
-        entry.silent_until = now + SILENCE_MEMORY;
+        entry.skipped_until = now + UNRESPONSIVE_SCHEDULER_BACKOFF;
     }
 
-    /// A placement was not made.
+    /// Removes a placement that the scheduler has not made.
     pub fn not_placed(&mut self, scheduler: &str, id: PlacementId) {
         if let Some(entry) = self.schedulers.get_mut(scheduler) {
             entry.open.remove(&id);
         }
     }
 
-    /// Something is to be told of a placement that a scheduler has made.
+    /// Queues a notice about a placement for the scheduler that has made it.
     pub fn tell(&mut self, scheduler: &str, notice: PlacementNotice) {
         let Some(entry) = self.schedulers.get_mut(scheduler) else {
             return;
@@ -118,37 +119,37 @@
         entry.notices.push(notice);
     }
 
-    /// Messages with what is to be told and was not told along with a question.
+    /// Returns messages with all notices that were not sent along with a placement request.
     pub fn flush(&mut self) -> Vec<(String, PlacementMessage)> {
-        let due = self
+        let with_notices = self
             .schedulers
             .iter()
             .filter(|(_, scheduler)| !scheduler.notices.is_empty());
-        let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
-        let messages = due.into_iter().map(|name| {
+        let names: Vec<String> = with_notices.map(|(name, _)| name.clone()).collect();
+        let messages = names.into_iter().map(|name| {
             let message = self.message(&name, None);
             (name, message)
         });
         messages.collect()
     }
 
-    /// Whether a scheduler has not been found silent lately.
+    /// Returns whether a scheduler may be asked. One that did not answer recently may not.
     pub fn is_usable(&self, now: Timestamp, scheduler: &str) -> bool {
         let entry = self.schedulers.get(scheduler);
-        entry.is_none_or(|entry| entry.silent_until <= now)
+        entry.is_none_or(|entry| entry.skipped_until <= now)
     }
 
-    /// How long to wait for a scheduler's answer.
+    /// Returns how long to wait for a scheduler's answer.
     pub fn patience(&self, scheduler: &str) -> Duration {
         let entry = self.schedulers.get(scheduler);
         let Some(time) = entry.and_then(|entry| entry.answer_time) else {
-            return MOST_PATIENCE;
+            return MAX_ANSWER_TIMEOUT;
         };
-        let seconds = time.seconds + time.deviation * DEVIATIONS;
-        Duration::from_secs_f64(seconds).clamp(LEAST_PATIENCE, MOST_PATIENCE)
+        let seconds = time.smoothed_seconds + time.deviation_seconds * TIMEOUT_DEVIATIONS;
+        Duration::from_secs_f64(seconds).clamp(MIN_ANSWER_TIMEOUT, MAX_ANSWER_TIMEOUT)
     }
 
-    /// Forgets schedulers that are no longer known, unless something is open there.
+    /// Removes schedulers that are no longer known, except those with open placements.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.schedulers
             .retain(|name, scheduler| is_known(name) || !scheduler.open.is_empty());
--- a/crates/forwarding/src/placement/ledger.rs
+++ b/crates/forwarding/src/placement/ledger.rs
@@ -1,5 +1,5 @@
-//! The placements that a scheduler has made for other gateways. Each counts in the scheduler's directory
-//! like a send of its own.
+//! Placements that a scheduler has made for other gateways. The scheduler's directory counts each of them
+//! like a send of the scheduler itself.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -17,39 +17,39 @@
 use crate::selection::{Need, PromptPart};
 use crate::worker::WorkerId;
 
-/// How long after its request's time is over a placement that nobody ended is closed.
-const OVERDUE: Duration = Duration::from_millis(500);
-/// How long after its last message a gateway without open placements is remembered, so that its messages
-/// are still told apart from older ones.
-const GATEWAY_MEMORY: Duration = Duration::from_secs(30);
-/// How a placement ended whose gateway said nothing of it: this speaks neither for nor against its worker.
-const UNTOLD: SendResult = SendResult::Abandoned { silent: false };
+/// Delay after the deadline of its request at which a placement that was not reported as ended is closed.
+const EXPIRY_DELAY: Duration = Duration::from_millis(500);
+/// How long a gateway without open placements is kept after its last message, so that delayed older messages
+/// are still recognized by their sequence number.
+const IDLE_GATEWAY_TTL: Duration = Duration::from_secs(30);
+/// Result of a placement whose end the gateway did not report. It counts neither for nor against the worker.
+const UNREPORTED_RESULT: SendResult = SendResult::Abandoned { silent: false };
 
-/// A placement under way.
+/// A placement that has not ended.
 #[derive(Debug)]
 struct OpenPlacement {
     ticket: SendTicket,
     prompt: Vec<PromptPart>,
-    over: Timestamp,
+    deadline: Timestamp,
 }
 
-/// One gateway that asks.
+/// State of one gateway that requests placements.
 #[derive(Debug, Default)]
-struct Account {
+struct RequestingGateway {
     sequence: u64,
-    heard: Timestamp,
+    last_message_at: Timestamp,
     open: BTreeMap<PlacementId, OpenPlacement>,
 }
 
-/// The placements of all gateways that ask this one.
+/// Placements made for all gateways that request them from this one.
 #[derive(Debug, Default)]
 pub struct PlacementLedger {
-    accounts: HashMap<GatewayKey, Account>,
+    gateways: HashMap<GatewayKey, RequestingGateway>,
 }
 
 impl PlacementLedger {
-    /// Takes a message in and answers its request, if it has one. `zone` is the scheduler's, and the
-    /// gateway's as well.
+    /// Applies a message and answers its request, if it contains one. `zone` is the zone of both the
+    /// scheduler and the sending gateway.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -57,68 +57,68 @@
         zone: &ZoneName,
         message: PlacementMessage,
     ) -> Option<PlacementAnswer> {
-        let account = self.accounts.entry(message.sender).or_default();
-        account.heard = now;
+        let gateway = self.gateways.entry(message.sender).or_default();
+        gateway.last_message_at = now;
         for notice in message.notices {
-            account.note(now, directory, notice);
+            gateway.apply_notice(now, directory, notice);
         }
-        if message.sequence > account.sequence {
-            account.sequence = message.sequence;
-            account.close_others(now, directory, &message.open);
+        if message.sequence > gateway.sequence {
+            gateway.sequence = message.sequence;
+            gateway.close_unlisted(now, directory, &message.open);
         }
         let request = message.request?;
-        Some(account.place(now, directory, zone, request))
+        Some(gateway.place(now, directory, zone, request))
     }
 
-    /// The worker of a placement that a gateway holds open.
+    /// Returns the worker of an open placement of a gateway.
     pub fn worker_of(&self, sender: GatewayKey, id: PlacementId) -> Option<&WorkerId> {
-        let open = self.accounts.get(&sender)?.open.get(&id)?;
+        let open = self.gateways.get(&sender)?.open.get(&id)?;
         Some(open.ticket.worker())
     }
 
-    /// Whether some gateway has asked lately.
+    /// Returns whether any gateway has sent a message recently or has an open placement.
     pub fn is_asked(&self) -> bool {
-        !self.accounts.is_empty()
+        !self.gateways.is_empty()
     }
 
-    /// Closes placements whose time is over, and forgets gateways that ask no more.
+    /// Closes placements whose time has run out, and removes gateways that have stopped sending messages.
     pub fn expire(&mut self, now: Timestamp, directory: &mut Directory) {
-        for account in self.accounts.values_mut() {
-            let overdue = |open: &OpenPlacement| now > open.over + OVERDUE;
-            let ids = account.open.iter().filter(|(_, open)| overdue(open));
+        for gateway in self.gateways.values_mut() {
+            let is_overdue = |open: &OpenPlacement| now > open.deadline + EXPIRY_DELAY;
+            let ids = gateway.open.iter().filter(|(_, open)| is_overdue(open));
             let ids: Vec<PlacementId> = ids.map(|(id, _)| *id).collect();
             for id in ids {
-                account.end(now, directory, id, UNTOLD);
+                gateway.close(now, directory, id, UNREPORTED_RESULT);
             }
         }
-        self.accounts.retain(|_, account| {
-            !account.open.is_empty() || now.since(account.heard) < GATEWAY_MEMORY
+        self.gateways.retain(|_, gateway| {
+            !gateway.open.is_empty() || now.since(gateway.last_message_at) < IDLE_GATEWAY_TTL
         });
     }
 }
 
-impl Account {
-    fn note(&mut self, now: Timestamp, directory: &mut Directory, notice: PlacementNotice) {
+impl RequestingGateway {
+    fn apply_notice(&mut self, now: Timestamp, directory: &mut Directory, notice: PlacementNotice) {
         match notice {
             PlacementNotice::PromptRead { id, latency } => {
                 if let Some(open) = self.open.get_mut(&id) {
                     directory.prompt_was_read(now, &mut open.ticket, &open.prompt, latency);
                 }
             }
-            PlacementNotice::Ended { id, result, .. } => self.end(now, directory, id, result),
+            PlacementNotice::Ended { id, result, .. } => self.close(now, directory, id, result),
         }
     }
 
-    /// Closes what the gateway does not hold open any more.
-    fn close_others(&mut self, now: Timestamp, directory: &mut Directory, open: &[PlacementId]) {
+    /// Closes placements that the gateway no longer lists as open.
+    fn close_unlisted(&mut self, now: Timestamp, directory: &mut Directory, open: &[PlacementId]) {
         let ended = self.open.keys().filter(|id| !open.contains(id));
         let ended: Vec<PlacementId> = ended.copied().collect();
         for id in ended {
-            self.end(now, directory, id, UNTOLD);
+            self.close(now, directory, id, UNREPORTED_RESULT);
         }
     }
 
-    fn end(
+    fn close(
         &mut self,
         now: Timestamp,
         directory: &mut Directory,
@@ -172,7 +172,7 @@
         };
         let worker = directory.select(now, demand, &need);
         let Some(worker) = worker.map(|worker| worker.id.clone()) else {
-            return no_worker(now, directory, &request.service, &need);
+            return no_worker_answer(now, directory, &request.service, &need);
         };
         let has_rate_token = directory.take_rate_token(now, &worker) == RateToken::Taken;
         let ticket = directory.send_began(now, &worker, demand, &need);
@@ -189,7 +189,7 @@
         };
         let open = OpenPlacement {
             ticket,
-            over: now + request.objectives.time_left,
+            deadline: now + request.objectives.time_left,
             prompt: request.prompt,
         };
         self.open.insert(request.id, open);
@@ -197,8 +197,8 @@
     }
 }
 
-/// The answer if no worker takes a request.
-fn no_worker(
+/// Returns the answer for a request that no worker accepts.
+fn no_worker_answer(
     now: Timestamp,
     directory: &Directory,
     service: &ServiceName,
--- a/crates/forwarding/src/placement/mod.rs
+++ b/crates/forwarding/src/placement/mod.rs
@@ -1,13 +1,13 @@
-//! Requests that one gateway, a scheduler, places on workers for others (see `scheduler_plan`).
+//! Placement of requests on workers by one gateway, a scheduler, for other gateways (see `scheduler_plan`).
 //!
-//! - [`PlacementBook`] is the asking gateway's side: what it has asked for, which placements are open, and
-//!   what is still to be told of them.
-//! - [`PlacementLedger`] is the scheduler's side: each open placement counts in its directory like a send of
-//!   its own, until the gateway says that it has ended.
+//! - [`PlacementBook`] is the state of the requesting gateway: its open placements at each scheduler, and the
+//!   notices about them that have not been sent yet.
+//! - [`PlacementLedger`] is the state of the scheduler. Its directory counts each open placement like a send
+//!   of the scheduler itself, until the gateway reports its end.
 //!
-//! Messages may be lost. Each names all placements that its sender holds open, so that the scheduler
-//! closes those whose end it missed with the next message that it gets; what a gateway that died held
-//! open ends with the time of its requests.
+//! Messages may be lost. Each message therefore lists all open placements of its sender, so that the scheduler
+//! can close those whose end it missed when it receives the next message. Open placements of a gateway that
+//! has crashed are closed when the deadlines of their requests have passed.
 
 mod book;
 mod ledger;
@@ -28,122 +28,123 @@
 pub use book::PlacementBook;
 pub use ledger::PlacementLedger;
 
-/// Names a placement among those of the gateway that asked for it, in all its lives.
+/// Identifies a placement among all placements of the requesting gateway, across its incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PlacementId(pub u64);
 
-/// What a request needs of the scheduler.
+/// What a gateway requests from the scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementNeed {
-    /// Whether it is taken at all, and its first worker.
+    /// Admission of the request, and its first worker.
     Admission,
-    /// One more worker.
+    /// Another worker for an admitted request.
     Worker {
-        /// What the worker is needed for.
+        /// The work that the worker has to do.
         need: Need,
     },
 }
 
-/// A request that is to be placed.
+/// A request to be placed on a worker.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementRequest {
-    /// Names the placement.
+    /// Id of the placement.
     pub id: PlacementId,
-    /// The service.
+    /// The service that the request is for.
     pub service: ServiceName,
-    /// The name of the route.
+    /// Name of the route.
     pub route: String,
-    /// The prompt, for model engines.
+    /// The prompt; empty unless the request is for a model engine.
     pub prompt: Vec<PromptPart>,
-    /// The tenant whose request it is, if it is one's.
+    /// The tenant that the request belongs to, if any.
     pub tenant: Option<TenantKey>,
-    /// Whether the service has more urgent routes than this one.
+    /// Whether the service has routes with a higher priority than this one.
     pub yields: bool,
-    /// In what time an answer is worth something.
+    /// The times within which an answer is useful.
     pub objectives: Objectives,
-    /// A random number, by which one of nearly equal engines is drawn.
+    /// A random number that selects one of several nearly equal engines.
     pub draw: u64,
-    /// What is needed.
+    /// What is requested.
     pub need: PlacementNeed,
-    /// Workers that are not to be chosen: they were tried, or have told the gateway that they leave or rest.
+    /// Workers that must not be selected: they were tried already, or have notified the gateway that they are
+    /// leaving or backing off.
     pub avoid: Vec<WorkerId>,
 }
 
-/// Where a request goes.
+/// The worker that a scheduler selected for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Placement {
-    /// Names it.
+    /// Id of the placement.
     pub id: PlacementId,
-    /// The worker.
+    /// The selected worker.
     pub worker: WorkerId,
-    /// Whether the worker reads the prompt for another one.
+    /// Whether the worker only reads the prompt, and another worker runs the request.
     pub read_apart: bool,
-    /// The worker from which it should fetch what it lacks of the prompt.
+    /// Address of the worker from which the selected one should fetch missing KV cache of the prompt.
     pub fetch_from: Option<SocketAddr>,
-    /// Prompt tokens that it has to read.
+    /// Number of prompt tokens that the worker has to read.
     pub reading_tokens: u64,
-    /// Whether reading them costs an engine hardly more than any prompt does.
+    /// Whether reading these tokens costs an engine hardly more than the fixed cost of any prompt.
     pub short_reading: bool,
-    /// The time after which its answer is expected to begin.
+    /// Expected time until the answer starts.
     pub expected: Duration,
-    /// Whether the scheduler has taken it off the worker's rate limit.
+    /// Whether the scheduler has taken a token from the worker's rate limit for this request.
     pub has_rate_token: bool,
-    /// What the worker has stated of its rate limit, if the scheduler knows something of it.
+    /// The rate limit that the worker has stated, if the scheduler knows it.
     pub rate_limit: Option<StatedLimit>,
 }
 
-/// A scheduler's answer.
+/// A scheduler's answer to a placement request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementAnswer {
-    /// The request is taken.
+    /// The request is admitted and placed.
     Placed(Placement),
-    /// Its wait would be too long.
+    /// The request is refused, because it would have to wait too long.
     Refused {
-        /// Why it may not wait so long.
+        /// Why the request may not wait that long.
         cause: RefusalCause,
-        /// How long it would have waited.
+        /// How long the request would have waited.
         waiting: Duration,
-        /// When the queue is expected to be short enough.
+        /// Time until the queue is expected to be short enough.
         retry_after: Duration,
     },
-    /// The scheduler knows no worker for it.
+    /// The scheduler knows no worker for the request.
     NoWorker,
 }
 
-/// What a gateway tells of a placement.
+/// A notice from a gateway to the scheduler about a placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementNotice {
-    /// The worker has read the prompt: its answer begins.
+    /// The worker has read the prompt, and its answer starts.
     PromptRead {
         /// The placement.
         id: PlacementId,
-        /// Time from the send until then.
+        /// Time from the send until the answer started.
         latency: Duration,
     },
-    /// The send is over.
+    /// The send has ended.
     Ended {
         /// The placement.
         id: PlacementId,
-        /// How it ended.
+        /// Result of the send.
         result: SendResult,
-        /// What the worker has told the gateway of itself, as far as it holds.
+        /// The notice about itself that the worker has sent to the gateway, as far as it is still valid.
         said: WorkerNotice,
-        /// What the worker has stated of its rate limit, if something is known of it.
+        /// The rate limit that the worker has stated, if known.
         rate_limit: Option<StatedLimit>,
     },
 }
 
-/// A message to a scheduler.
+/// A message from a gateway to a scheduler.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementMessage {
-    /// The gateway that asks.
+    /// The requesting gateway.
     pub sender: GatewayKey,
-    /// Grows with each message of a sender.
+    /// Sequence number; it increases with each message of a sender.
     pub sequence: u64,
-    /// All placements at this scheduler that the sender holds open.
+    /// All open placements of the sender at this scheduler.
     pub open: Vec<PlacementId>,
-    /// What is new of them.
+    /// Notices about placements that were not sent before.
     pub notices: Vec<PlacementNotice>,
-    /// A request that is to be placed.
+    /// A request to be placed, if any.
     pub request: Option<PlacementRequest>,
 }
--- a/crates/forwarding/src/quarantine/answers.rs
+++ b/crates/forwarding/src/quarantine/answers.rs
@@ -1,4 +1,4 @@
-//! Requests that workers have answered whole a short while ago.
+//! Requests that workers have recently answered completely.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use super::Fingerprint;
 
-/// How long an answer speaks for its request: much longer than gateways take to tell each other of an end.
-const MEMORY: Duration = Duration::from_secs(10);
-/// Answers that are remembered: those of ten seconds at 400 a second, some 0.2 MB.
+/// How long an answer clears its request: much longer than gateways take to notify each other of a worker end.
+const ANSWER_TTL: Duration = Duration::from_secs(10);
+/// Maximum number of stored answers: ten seconds of answers at 400 per second, about 0.2 MB.
 const MAX_ANSWERS: usize = 4_096;
 
-/// Answers by request, the oldest first.
+/// Times of recent answers by request, and the order in which they arrived.
 #[derive(Debug, Default)]
 pub(super) struct RecentAnswers {
     latest: HashMap<Fingerprint, Timestamp>,
@@ -20,33 +20,33 @@
 }
 
 impl RecentAnswers {
-    /// Notes an answer.
-    pub(super) fn note(&mut self, now: Timestamp, fingerprint: Fingerprint) {
+    /// Records an answer.
+    pub(super) fn record(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         self.latest.insert(fingerprint, now);
         self.order.push_back((now, fingerprint));
         if self.order.len() > MAX_ANSWERS {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
-    /// Whether a request was answered lately. Its answers are forgotten.
+    /// Returns whether a request was answered recently, and removes its answers.
     pub(super) fn take(&mut self, now: Timestamp, fingerprint: Fingerprint) -> bool {
         let answered = self.latest.remove(&fingerprint);
-        answered.is_some_and(|at| now.since(at) <= MEMORY)
+        answered.is_some_and(|at| now.since(at) <= ANSWER_TTL)
     }
 
-    /// Forgets what is too old.
+    /// Removes answers older than [`ANSWER_TTL`].
     pub(super) fn expire(&mut self, now: Timestamp) {
         while self
             .order
             .front()
-            .is_some_and(|(at, _)| now.since(*at) > MEMORY)
+            .is_some_and(|(at, _)| now.since(*at) > ANSWER_TTL)
         {
-            self.forget_oldest();
+            self.remove_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn remove_oldest(&mut self) {
         let Some((at, fingerprint)) = self.order.pop_front() else {
             return;
         };
--- a/crates/forwarding/src/quarantine/fingerprint.rs
+++ b/crates/forwarding/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes tries of a caller, and the sends that follow from them, one and the same request.
+//! Fingerprints by which attempts of a caller, and the sends that follow from them, are recognized as the same request.
 
 use std::fmt;
 
@@ -7,34 +7,34 @@
 
 use crate::selection::PromptPart;
 
-/// Separates fields that are hashed one after another; no method, host, path or name holds it.
+/// Separator between fields that are hashed one after another. No method, host, path or name contains it.
 const SEPARATOR: &[u8] = &[0];
 
-/// What a caller asks for, without what differs between its tries: the request's id, its deadline, the
-/// connection and the gateway.
+/// Content of a caller's request, without the parts that differ between attempts: the request id, the deadline,
+/// the connection and the gateway.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host it is for.
+    /// The requested host.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// The tenant that its caller belongs to.
+    /// The tenant that the caller belongs to.
     pub tenant: Option<&'a TenantName>,
     /// The body.
     pub body: &'a [u8],
-    /// The prompt as headers name it. It tells requests without a body apart.
+    /// The prompt as given in headers. It distinguishes requests without a body.
     pub prompt: &'a [PromptPart],
 }
 
-/// Names a request across tries, gateways and restarts. A hash of 64 bits: among a million requests, two are
-/// alike by chance with a probability of 1 in 37 million.
+/// Identifies a request across attempts, gateways and restarts. A 64-bit hash: among a million requests, two have
+/// the same hash by chance with a probability of 1 in 37 million.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Returns the fingerprint of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = Xxh3Default::new();
         let tenant = content.tenant.map_or("", |tenant| tenant.as_str());
--- a/crates/forwarding/src/quarantine/mod.rs
+++ b/crates/forwarding/src/quarantine/mod.rs
@@ -1,22 +1,21 @@
-//! Requests under which workers end, and which therefore no worker gets any more.
+//! Quarantine: requests that crash workers are barred, which means that no worker gets them any more.
 //!
-//! A request may end each worker that begins to run it, and it comes again: sent on by a gateway, repeated
-//! by its caller, at any gateway. Its tries have nothing in common but what they ask for, the
-//! [`Fingerprint`]. So gateways count by it, together:
+//! A request may crash each worker that starts to run it, and may arrive again: sent to another worker by a
+//! gateway, or repeated by its caller at any gateway. Its attempts have nothing in common except their content,
+//! which is identified by the [`Fingerprint`]. Gateways therefore count worker ends by fingerprint, together:
 //!
-//! 1. The [`SendLedger`] tells which requests a worker may have been running when it ended. One of them
-//!    may be the cause; the others were beside it.
-//! 2. Gateways tell each other the pairs of request and ended worker. Each incarnation of a worker ends
-//!    once, so that what two gateways know is joined as sets, in any order and as often as it is told.
-//! 3. A request under which [`ENDS_TO_BAR`] workers have ended is barred, everywhere.
-//! 4. A request that a worker has answered whole, be it with a failure, did not end that worker: the ends
-//!    that count against it are forgiven, and a bar is lifted. That is what protects requests that many
-//!    callers send alike, and those that were only beside the cause.
-//! 5. All is forgotten [`MEMORY`] after the last end, so that a worker that was mended gets the request
-//!    again.
+//! 1. The [`SendLedger`] knows which requests a worker may have been running when it ended. One of them may be
+//!    the cause; the others only ran at the same time.
+//! 2. Gateways send each other the pairs of request and ended worker. Each incarnation of a worker ends once,
+//!    so the knowledge of two gateways is merged as sets, in any order and with any number of repeats.
+//! 3. A request is barred on all gateways after [`ENDS_TO_BAR`] workers have ended while running it.
+//! 4. A request that a worker has answered completely, even with an error, did not crash that worker: the ends
+//!    counted against the request are cleared, and its bar is lifted. This protects requests that many callers
+//!    send identically, and requests that only ran at the same time as the cause.
+//! 5. Everything is removed [`MEMORY`] after the last end, so that a repaired worker gets the request again.
 //!
-//! What is barred also lies in the store, for gateways that start. Nothing depends on it or on gateways
-//! agreeing: each bars by what it knows.
+//! The store also lists barred requests, for gateways that start. Nothing depends on that list or on agreement
+//! between gateways: each gateway bars requests by what it knows.
 
 mod answers;
 mod fingerprint;
@@ -39,47 +38,47 @@
 use outbox::{Outbox, Topic, FEW_REPEATS, MANY_REPEATS};
 use suspect::Suspect;
 
-/// Ends of workers that bar a request. With two, a request whose first and second try met two crashes of
-/// other causes would be barred.
+/// Number of worker ends that bar a request. With two, a request would be barred if its first and second attempt
+/// met two crashes with other causes.
 pub const ENDS_TO_BAR: usize = 3;
-/// How long ends are remembered: an operator has noticed and acted by then, and a request that still ends
-/// workers costs three of them in each such time.
+/// How long worker ends are kept after the last one. By then an operator has noticed the crashes and acted, and a
+/// request that still crashes workers costs three of them in each such period.
 pub const MEMORY: Duration = Duration::from_secs(600);
-/// Requests with ends that are remembered, some 0.5 MB: callers who vary their bodies push each other out,
-/// those that are barred last.
+/// Maximum number of stored requests with worker ends, about 0.5 MB. Callers that vary their request bodies evict
+/// each other's requests; barred requests are evicted last.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Workers that ended under a request.
+/// Workers that ended while running a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sighting {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The workers.
+    /// The ended workers.
     pub workers: Vec<WorkerKey>,
 }
 
-/// What a gateway tells others.
+/// An update that gateways send each other.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct QuarantineNews {
-    /// Workers that ended under requests.
+    /// Workers that ended while running requests.
     pub sightings: Vec<Sighting>,
-    /// Requests that workers have answered whole.
+    /// Requests that workers have answered completely.
     pub absolved: Vec<Fingerprint>,
 }
 
 impl QuarantineNews {
-    /// Whether there is nothing to tell.
+    /// Returns whether the update has no content.
     pub fn is_empty(&self) -> bool {
         self.sightings.is_empty() && self.absolved.is_empty()
     }
 }
 
-/// What came of another gateway's news.
+/// Result of applying an update from another gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Heard {
-    /// Requests that are barred from now on.
+    /// Requests that are newly barred.
     pub barred: Vec<Fingerprint>,
-    /// What the other gateway does not know yet of requests that are barred.
+    /// Worker ends of barred requests that the other gateway does not know yet.
     pub reply: QuarantineNews,
 }
 
@@ -88,13 +87,13 @@
 pub struct Unlisted {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Since when it is barred.
+    /// When it was barred.
     pub since: Timestamp,
-    /// Workers that ended under it.
+    /// Number of worker ends that count against it.
     pub ends: usize,
 }
 
-/// What one gateway knows of requests under which workers end.
+/// The knowledge of one gateway about requests that crash workers.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
@@ -103,19 +102,19 @@
 }
 
 impl Quarantine {
-    /// Whether workers may get the request no more.
+    /// Returns whether the request must not be sent to any worker.
     pub fn is_barred(&self, fingerprint: Fingerprint) -> bool {
         let suspect = self.suspects.get(&fingerprint);
         suspect.is_some_and(Suspect::is_barred)
     }
 
-    /// How many requests are barred.
+    /// Returns the number of barred requests.
     pub fn barred(&self) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|suspect| suspect.is_barred()).count()
     }
 
-    /// A worker ended while this gateway had it run these requests. Returns those that are barred by it.
+    /// Records that a worker ended while running these requests of this gateway. Returns those that are newly barred.
     pub fn worker_ended(
         &mut self,
         now: Timestamp,
@@ -125,17 +124,17 @@
         let mut barred = Vec::new();
         for fingerprint in requests {
             let suspect = self.suspect(now, fingerprint);
-            let is_barred_now = suspect.add(now, [worker]);
+            let is_barred_now = suspect.record_ends(now, [worker]);
             let audience = match suspect.is_barred() {
                 true => Audience::All,
                 false => Audience::Listeners,
             };
-            let repeats = match suspect.counted() {
+            let repeats = match suspect.counted_ends() {
                 0 | 1 => FEW_REPEATS,
                 _ => MANY_REPEATS,
             };
             self.outbox
-                .put(now, fingerprint, Topic::Sighting, audience, repeats);
+                .enqueue(now, fingerprint, Topic::WorkerEnds, audience, repeats);
             if is_barred_now {
                 barred.push(fingerprint);
             }
@@ -143,27 +142,27 @@
         barred
     }
 
-    /// A worker has answered a request whole.
+    /// Records that a worker has answered a request completely.
     pub fn answered(&mut self, now: Timestamp, fingerprint: Fingerprint) {
-        self.answers.note(now, fingerprint);
-        self.absolve(now, fingerprint);
+        self.answers.record(now, fingerprint);
+        self.clear(now, fingerprint);
     }
 
-    /// Takes in what another gateway tells. A gateway that `relays` passes new bars on to all.
+    /// Applies an update from another gateway. If `relays` is set, new bars are passed on to all gateways.
     pub fn hear(&mut self, now: Timestamp, news: &QuarantineNews, relays: bool) -> Heard {
         let mut heard = Heard::default();
         for sighting in &news.sightings {
-            self.hear_sighting(now, sighting, relays, &mut heard);
+            self.apply_worker_ends(now, sighting, relays, &mut heard);
         }
         for fingerprint in &news.absolved {
             if let Some(suspect) = self.suspects.get_mut(fingerprint) {
-                suspect.forgive();
+                suspect.clear();
             }
         }
         heard
     }
 
-    fn hear_sighting(
+    fn apply_worker_ends(
         &mut self,
         now: Timestamp,
         sighting: &Sighting,
@@ -172,16 +171,16 @@
     ) {
         let fingerprint = sighting.fingerprint;
         let suspect = self.suspect(now, fingerprint);
-        let is_barred_now = suspect.add(now, sighting.workers.iter().copied());
-        // Each answer absolves once: a request that begins to end workers is not held to be harmless for
-        // an answer of before.
+        let is_barred_now = suspect.record_ends(now, sighting.workers.iter().copied());
+        // Each answer clears a request only once: a request that starts to crash workers must not be considered
+        // harmless because of an earlier answer.
         if self.answers.take(now, fingerprint) {
-            self.absolve(now, fingerprint);
+            self.clear(now, fingerprint);
             return;
         }
         let suspect = self.suspect(now, fingerprint);
-        let sender_bars = sighting.workers.len() >= ENDS_TO_BAR;
-        if suspect.counted() >= ENDS_TO_BAR && !sender_bars {
+        let is_barred_at_sender = sighting.workers.len() >= ENDS_TO_BAR;
+        if suspect.counted_ends() >= ENDS_TO_BAR && !is_barred_at_sender {
             heard.reply.sightings.push(suspect.sighting(fingerprint));
         }
         if !is_barred_now {
@@ -189,17 +188,17 @@
         }
         heard.barred.push(fingerprint);
         if relays {
-            self.outbox.put(
+            self.outbox.enqueue(
                 now,
                 fingerprint,
-                Topic::Sighting,
+                Topic::WorkerEnds,
                 Audience::All,
                 FEW_REPEATS,
             );
         }
     }
 
-    /// Takes in which requests the store lists as barred. Returns those that were not barred before.
+    /// Sets the requests that the store lists as barred. Returns those that were not barred before.
     pub fn set_listed(
         &mut self,
         now: Timestamp,
@@ -222,20 +221,20 @@
         barred
     }
 
-    /// Barred requests that the store should list, and does not.
+    /// Returns barred requests that are missing from the list in the store.
     pub fn unlisted(&self) -> impl Iterator<Item = Unlisted> + '_ {
         let suspects = self.suspects.iter();
         suspects.filter_map(|(fingerprint, suspect)| suspect.unlisted(*fingerprint))
     }
 
-    /// Requests that the store lists, and should not.
+    /// Returns requests that the store still lists although their bar has been lifted.
     pub fn listed_in_vain(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         let suspects = self.suspects.iter();
-        let in_vain = suspects.filter(|(_, suspect)| suspect.is_listed_in_vain());
-        in_vain.map(|(fingerprint, _)| *fingerprint)
+        let stale = suspects.filter(|(_, suspect)| suspect.is_listing_stale());
+        stale.map(|(fingerprint, _)| *fingerprint)
     }
 
-    /// What is to be told now.
+    /// Returns the messages to send now.
     pub fn due(&mut self, now: Timestamp) -> Vec<Outgoing> {
         let suspects = &self.suspects;
         self.outbox.due(now, |fingerprint| {
@@ -244,14 +243,14 @@
         })
     }
 
-    /// Forgets what is too old.
+    /// Removes requests and answers that are too old.
     pub fn expire(&mut self, now: Timestamp) {
-        self.suspects.retain(|_, suspect| !suspect.is_over(now));
+        self.suspects.retain(|_, suspect| !suspect.is_expired(now));
         self.answers.expire(now);
     }
 
-    /// Forgives what counts against a request, and tells others if anything did.
-    fn absolve(&mut self, now: Timestamp, fingerprint: Fingerprint) {
+    /// Clears the worker ends of a request, and notifies other gateways if any of them counted.
+    fn clear(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
@@ -259,23 +258,23 @@
             true => Audience::All,
             false => Audience::Listeners,
         };
-        if suspect.forgive() {
+        if suspect.clear() {
             self.outbox
-                .put(now, fingerprint, Topic::Absolution, audience, MANY_REPEATS);
+                .enqueue(now, fingerprint, Topic::Cleared, audience, MANY_REPEATS);
         }
     }
 
     fn suspect(&mut self, now: Timestamp, fingerprint: Fingerprint) -> &mut Suspect {
         let is_new = !self.suspects.contains_key(&fingerprint);
         if is_new && self.suspects.len() >= MAX_SUSPECTS {
-            self.make_room();
+            self.evict_suspect();
         }
         let suspect = self.suspects.entry(fingerprint);
         suspect.or_insert_with(|| Suspect::new(now))
     }
 
-    /// Forgets the request whose last end is the oldest, of those that are not barred if there are any.
-    fn make_room(&mut self) {
+    /// Evicts the request with the oldest last worker end. Barred requests are evicted only if all are barred.
+    fn evict_suspect(&mut self) {
         let oldest = self
             .suspects
             .iter()
--- a/crates/forwarding/src/quarantine/outbox.rs
+++ b/crates/forwarding/src/quarantine/outbox.rs
@@ -1,7 +1,7 @@
-//! What a gateway has to tell others of requests under which workers end, when, and whom.
+//! Messages to other gateways about requests that crash workers: their content, recipients and send times.
 //!
-//! Messages may be lost, so that each is sent again a few times; they bear all that is known, so that the
-//! last one makes good all before it.
+//! Messages may be lost, so each is sent a few more times. Each repeat contains everything known at that time,
+//! so the last one makes up for all lost ones before it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,65 +10,65 @@
 
 use super::{Fingerprint, QuarantineNews, Sighting};
 
-/// Pauses before a message is sent again: each of four messages must be lost before nothing is heard, all
-/// within half of the least time (3 s) in which gateways have to know of each other's changes.
-const PAUSES: [Duration; 3] = [
+/// Delays before a message is sent again. Only if all four copies are lost does a recipient receive nothing. All
+/// are sent within half of the shortest time (3 s) in which gateways must learn of each other's changes.
+const REPEAT_DELAYS: [Duration; 3] = [
     Duration::from_millis(100),
     Duration::from_millis(300),
     Duration::from_millis(1_000),
 ];
-/// How often a message that matters is sent again.
-pub(super) const MANY_REPEATS: usize = PAUSES.len();
-/// The same for a first end, which bars nothing yet, and for a bar that others tell too.
+/// Number of repeats of an important message.
+pub(super) const MANY_REPEATS: usize = REPEAT_DELAYS.len();
+/// Number of repeats for a first worker end, which bars nothing yet, and for a bar that other gateways report too.
 pub(super) const FEW_REPEATS: usize = 1;
-/// Requests in one message, so that it fits a packet.
-const MAX_REQUESTS: usize = 14;
+/// Maximum number of requests in one message, so that it fits into one packet.
+const MAX_REQUESTS_PER_MESSAGE: usize = 14;
 
-/// Who is told.
+/// The gateways that receive a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Audience {
-    /// The gateways that hear reports of load: in a small fleet all, in a large one some of each zone,
-    /// which put together what single gateways have seen.
+    /// The gateways that receive load reports: all gateways in a small fleet, some of each zone in a large one.
+    /// They combine what single gateways have observed.
     Listeners,
     /// All gateways.
     All,
 }
 
-/// What is told of a request.
+/// What a message says about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Topic {
-    /// That workers ended under it.
-    Sighting,
-    /// That it was answered.
-    Absolution,
+    /// Workers ended while running the request.
+    WorkerEnds,
+    /// A worker has answered the request.
+    Cleared,
 }
 
-/// A message to others.
+/// A message to other gateways.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Who gets it.
+    /// The gateways that receive it.
     pub audience: Audience,
-    /// What it says.
+    /// The content.
     pub news: QuarantineNews,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingMessage {
     topic: Topic,
     audience: Audience,
     due: Timestamp,
-    pauses: &'static [Duration],
+    repeat_delays: &'static [Duration],
 }
 
-/// Messages that wait to be sent, or sent again.
+/// Messages that wait to be sent for the first time or again.
 #[derive(Debug, Default)]
 pub(super) struct Outbox {
-    waiting: BTreeMap<Fingerprint, Waiting>,
+    pending: BTreeMap<Fingerprint, PendingMessage>,
 }
 
 impl Outbox {
-    /// Has something told of a request, in place of what was to be told of it before.
-    pub(super) fn put(
+    /// Queues a message about a request. It replaces the queued message about the same request, if any.
+    pub(super) fn enqueue(
         &mut self,
         now: Timestamp,
         fingerprint: Fingerprint,
@@ -76,52 +76,52 @@
         audience: Audience,
         repeats: usize,
     ) {
-        let before = self.waiting.get(&fingerprint);
-        let wider = before.map_or(audience, |before| before.audience.max(audience));
-        let waiting = Waiting {
+        let before = self.pending.get(&fingerprint);
+        let widest_audience = before.map_or(audience, |before| before.audience.max(audience));
+        let pending = PendingMessage {
             topic,
-            audience: wider,
+            audience: widest_audience,
             due: now,
-            pauses: &PAUSES[..repeats],
+            repeat_delays: &REPEAT_DELAYS[..repeats],
         };
-        self.waiting.insert(fingerprint, waiting);
+        self.pending.insert(fingerprint, pending);
     }
 
-    /// What is to be sent now; `sighting` tells what is known of a request.
+    /// Returns the messages to send now. `worker_ends` returns the worker ends known for a request.
     pub(super) fn due(
         &mut self,
         now: Timestamp,
-        sighting: impl Fn(Fingerprint) -> Option<Sighting>,
+        worker_ends: impl Fn(Fingerprint) -> Option<Sighting>,
     ) -> Vec<Outgoing> {
         let mut batches = [Batch::new(Audience::Listeners), Batch::new(Audience::All)];
-        self.waiting.retain(|fingerprint, waiting| {
-            if waiting.due > now {
+        self.pending.retain(|fingerprint, pending| {
+            if pending.due > now {
                 return true;
             }
-            let batch = match waiting.audience {
+            let batch = match pending.audience {
                 Audience::Listeners => &mut batches[0],
                 Audience::All => &mut batches[1],
             };
-            match waiting.topic {
-                Topic::Absolution => batch.absolve(*fingerprint),
-                Topic::Sighting => batch.tell(sighting(*fingerprint)),
+            match pending.topic {
+                Topic::Cleared => batch.add_cleared(*fingerprint),
+                Topic::WorkerEnds => batch.add_worker_ends(worker_ends(*fingerprint)),
             }
-            let Some((pause, rest)) = waiting.pauses.split_first() else {
+            let Some((delay, later_delays)) = pending.repeat_delays.split_first() else {
                 return false;
             };
-            waiting.due = now + *pause;
-            waiting.pauses = rest;
+            pending.due = now + *delay;
+            pending.repeat_delays = later_delays;
             true
         });
-        batches.into_iter().flat_map(Batch::finish).collect()
+        batches.into_iter().flat_map(Batch::into_messages).collect()
     }
 }
 
-/// Messages to one audience.
+/// Messages for one audience.
 #[derive(Debug)]
 struct Batch {
     audience: Audience,
-    full: Vec<QuarantineNews>,
+    finished: Vec<QuarantineNews>,
     news: QuarantineNews,
 }
 
@@ -129,33 +129,33 @@
     fn new(audience: Audience) -> Self {
         Self {
             audience,
-            full: Vec::new(),
+            finished: Vec::new(),
             news: QuarantineNews::default(),
         }
     }
 
-    fn tell(&mut self, sighting: Option<Sighting>) {
-        self.news.sightings.extend(sighting);
-        self.close_if_full();
+    fn add_worker_ends(&mut self, worker_ends: Option<Sighting>) {
+        self.news.sightings.extend(worker_ends);
+        self.finish_message_if_full();
     }
 
-    fn absolve(&mut self, fingerprint: Fingerprint) {
+    fn add_cleared(&mut self, fingerprint: Fingerprint) {
         self.news.absolved.push(fingerprint);
-        self.close_if_full();
+        self.finish_message_if_full();
     }
 
-    fn close_if_full(&mut self) {
-        if self.news.sightings.len() + self.news.absolved.len() >= MAX_REQUESTS {
-            self.full.push(std::mem::take(&mut self.news));
+    fn finish_message_if_full(&mut self) {
+        if self.news.sightings.len() + self.news.absolved.len() >= MAX_REQUESTS_PER_MESSAGE {
+            self.finished.push(std::mem::take(&mut self.news));
         }
     }
 
-    fn finish(mut self) -> impl Iterator<Item = Outgoing> {
+    fn into_messages(mut self) -> impl Iterator<Item = Outgoing> {
         if !self.news.is_empty() {
-            self.full.push(self.news);
+            self.finished.push(self.news);
         }
         let audience = self.audience;
-        let messages = self.full.into_iter();
+        let messages = self.finished.into_iter();
         messages.map(move |news| Outgoing { audience, news })
     }
 }
--- a/crates/forwarding/src/quarantine/send_ledger.rs
+++ b/crates/forwarding/src/quarantine/send_ledger.rs
@@ -1,4 +1,4 @@
-//! Which requests workers may be running, as far as this gateway has sent them.
+//! Requests that this gateway has sent to workers and that the workers may still be running.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use super::Fingerprint;
 use crate::worker::WorkerId;
 
-/// How long a send whose answer did not come whole may still be the cause of its worker's end: longer than
-/// gateways look after a worker that has lost a connection. Finding out that nothing listens takes
-/// milliseconds; that a worker was replaced, until its entry has run out.
-const LINGER: Duration = Duration::from_secs(6);
+/// How long a send without a complete answer is considered a possible cause of its worker's end. This is longer
+/// than a gateway watches a worker after a lost connection. Detecting that nothing listens at the worker's
+/// address takes milliseconds; detecting that a worker was replaced takes until its entry expires.
+const ABANDONED_SEND_TTL: Duration = Duration::from_secs(6);
 
-/// Names a send in the ledger.
+/// Identifies a recorded send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendNumber(u64);
 
@@ -21,54 +21,54 @@
 struct OpenSend {
     number: SendNumber,
     fingerprint: Fingerprint,
-    given_up: Option<Timestamp>,
+    abandoned_at: Option<Timestamp>,
 }
 
-/// Sends that are under way or whose answer did not come whole.
+/// Sends that are in progress or have not returned a complete answer.
 #[derive(Debug, Default)]
 pub struct SendLedger {
-    last: u64,
+    last_number: u64,
     workers: HashMap<WorkerId, Vec<OpenSend>>,
 }
 
 impl SendLedger {
-    /// Notes a send that begins.
+    /// Records the start of a send.
     pub fn begin(&mut self, worker: &WorkerId, fingerprint: Fingerprint) -> SendNumber {
-        self.last += 1;
-        let number = SendNumber(self.last);
+        self.last_number += 1;
+        let number = SendNumber(self.last_number);
         let sends = self.workers.entry(worker.clone()).or_default();
         sends.push(OpenSend {
             number,
             fingerprint,
-            given_up: None,
+            abandoned_at: None,
         });
         number
     }
 
-    /// The worker does not run the request any more: it answered it whole, or refused it.
+    /// Removes a send that the worker no longer runs, because the worker has answered it completely or refused it.
     pub fn settle(&mut self, worker: &WorkerId, number: SendNumber) {
         if let Some(sends) = self.workers.get_mut(worker) {
             sends.retain(|send| send.number != number);
         }
     }
 
-    /// No whole answer came, and none is waited for any more.
+    /// Records that no complete answer has arrived and that the gateway no longer waits for one.
     pub fn give_up(&mut self, now: Timestamp, worker: &WorkerId, number: SendNumber) {
         let sends = self.workers.get_mut(worker);
         let mut sends = sends.into_iter().flatten();
         if let Some(send) = sends.find(|send| send.number == number) {
-            send.given_up = Some(now);
+            send.abandoned_at = Some(now);
         }
     }
 
-    /// The worker has ended: the requests that it may have been running, each once. The worker is forgotten.
+    /// Removes a worker that has ended, and returns the requests that it may have been running, each once.
     pub fn take_ended(&mut self, now: Timestamp, worker: &WorkerId) -> BTreeSet<Fingerprint> {
         let sends = self.workers.remove(worker).unwrap_or_default();
         let open = sends.iter().filter(|send| send.may_run(now));
         open.map(|send| send.fingerprint).collect()
     }
 
-    /// Forgets sends that were given up long ago.
+    /// Removes sends that were abandoned more than [`ABANDONED_SEND_TTL`] ago.
     pub fn expire(&mut self, now: Timestamp) {
         self.workers.retain(|_, sends| {
             sends.retain(|send| send.may_run(now));
@@ -79,6 +79,7 @@
 
 impl OpenSend {
     fn may_run(&self, now: Timestamp) -> bool {
-        self.given_up.is_none_or(|at| now.since(at) <= LINGER)
+        self.abandoned_at
+            .is_none_or(|at| now.since(at) <= ABANDONED_SEND_TTL)
     }
 }
--- a/crates/forwarding/src/quarantine/suspect.rs
+++ b/crates/forwarding/src/quarantine/suspect.rs
@@ -1,33 +1,34 @@
-//! One request under which workers have ended.
+//! A request that workers may have been running when they ended.
 
 use tansyhall_core::Timestamp;
 
 use super::{Fingerprint, Sighting, Unlisted, ENDS_TO_BAR, MEMORY};
 use crate::load_exchange::WorkerKey;
 
-/// Ends that are remembered of one request: more tell nothing new, and a message names them all.
+/// Maximum number of worker ends stored for one request. More would add no information, and each message lists
+/// all of them.
 const MAX_ENDS: usize = 8;
 
 #[derive(Debug)]
-struct End {
+struct WorkerEnd {
     worker: WorkerKey,
-    forgiven: bool,
+    is_cleared: bool,
 }
 
-/// Ends of workers under one request.
+/// Worker ends that are attributed to one request.
 #[derive(Debug)]
 pub(super) struct Suspect {
-    ends: Vec<End>,
+    ends: Vec<WorkerEnd>,
     last_end: Timestamp,
     barred_since: Option<Timestamp>,
-    /// Whether the store lists it as barred.
+    /// Whether the store lists the request as barred.
     is_listed: bool,
-    /// Whether an answer has lifted the bar that the store lists.
+    /// Whether an answer has lifted the bar that the store still lists.
     is_lifted: bool,
 }
 
 impl Suspect {
-    /// A request without ends.
+    /// Creates a request without worker ends.
     pub(super) fn new(now: Timestamp) -> Self {
         Self {
             ends: Vec::new(),
@@ -38,57 +39,57 @@
         }
     }
 
-    /// Takes in workers that ended under it. Whether it is barred by that.
-    pub(super) fn add(
+    /// Records workers that ended while running the request. Returns whether this bars the request.
+    pub(super) fn record_ends(
         &mut self,
         now: Timestamp,
         workers: impl IntoIterator<Item = WorkerKey>,
     ) -> bool {
         let was_barred = self.is_barred();
         for worker in workers {
-            self.add_one(now, worker);
+            self.record_end(now, worker);
         }
-        if self.counted() >= ENDS_TO_BAR {
+        if self.counted_ends() >= ENDS_TO_BAR {
             self.barred_since.get_or_insert(now);
             self.is_lifted = false;
         }
         self.is_barred() && !was_barred
     }
 
-    fn add_one(&mut self, now: Timestamp, worker: WorkerKey) {
+    fn record_end(&mut self, now: Timestamp, worker: WorkerKey) {
         if self.ends.iter().any(|end| end.worker == worker) {
             return;
         }
         self.last_end = now;
-        if self.ends.len() >= MAX_ENDS && !self.forget_forgiven() {
+        if self.ends.len() >= MAX_ENDS && !self.remove_oldest_cleared() {
             return;
         }
-        self.ends.push(End {
+        self.ends.push(WorkerEnd {
             worker,
-            forgiven: false,
+            is_cleared: false,
         });
     }
 
-    /// Makes room by the oldest end that does not count. Whether there was one.
-    fn forget_forgiven(&mut self) -> bool {
-        let oldest = self.ends.iter().position(|end| end.forgiven);
+    /// Removes the oldest end that no longer counts. Returns whether there was one.
+    fn remove_oldest_cleared(&mut self) -> bool {
+        let oldest = self.ends.iter().position(|end| end.is_cleared);
         oldest.map(|index| self.ends.remove(index)).is_some()
     }
 
-    /// Forgives all ends. Whether any counted.
-    pub(super) fn forgive(&mut self) -> bool {
-        let counted = self.counted() > 0 || self.is_barred();
+    /// Marks all ends as cleared and lifts the bar. Returns whether any end counted or the request was barred.
+    pub(super) fn clear(&mut self) -> bool {
+        let counted = self.counted_ends() > 0 || self.is_barred();
         for end in &mut self.ends {
-            end.forgiven = true;
+            end.is_cleared = true;
         }
         self.barred_since = None;
         self.is_lifted = self.is_listed;
         counted
     }
 
-    /// Ends that count against it.
-    pub(super) fn counted(&self) -> usize {
-        self.ends.iter().filter(|end| !end.forgiven).count()
+    /// Returns the number of ends that count against the request.
+    pub(super) fn counted_ends(&self) -> usize {
+        self.ends.iter().filter(|end| !end.is_cleared).count()
     }
 
     pub(super) fn is_barred(&self) -> bool {
@@ -99,9 +100,9 @@
         self.last_end
     }
 
-    /// The workers that count against it.
+    /// Returns the workers whose ends count against the request.
     pub(super) fn sighting(&self, fingerprint: Fingerprint) -> Sighting {
-        let counting = self.ends.iter().filter(|end| !end.forgiven);
+        let counting = self.ends.iter().filter(|end| !end.is_cleared);
         Sighting {
             fingerprint,
             workers: counting.map(|end| end.worker).collect(),
@@ -120,16 +121,16 @@
         Some(Unlisted {
             fingerprint,
             since,
-            ends: self.counted(),
+            ends: self.counted_ends(),
         })
     }
 
-    pub(super) fn is_listed_in_vain(&self) -> bool {
+    pub(super) fn is_listing_stale(&self) -> bool {
         self.is_listed && self.is_lifted
     }
 
-    /// Whether nothing of it is to be remembered.
-    pub(super) fn is_over(&self, now: Timestamp) -> bool {
+    /// Returns whether the request can be removed: the store does not list it, and its last end is too long ago.
+    pub(super) fn is_expired(&self, now: Timestamp) -> bool {
         !self.is_listed && now.since(self.last_end) > MEMORY
     }
 }
--- a/crates/forwarding/src/relay_plan.rs
+++ b/crates/forwarding/src/relay_plan.rs
@@ -1,23 +1,23 @@
-//! Where a gateway gets the store's changes from: the store itself, or another gateway of its zone
-//! that relays them. Calls to the store then grow with zones and not with gateways.
+//! Selection of the source from which a gateway gets changes of the store: the store itself, or another gateway of
+//! its zone that relays them. The number of calls to the store then grows with zones instead of gateways.
 //!
-//! Gateways of a zone rank each other by their processor time, and equal ones by rendezvous hashing of their names
-//! under the zone's name, so that they agree on the relays without talking. A relay tells all its subscribers what
-//! is new over one link: the weakest machines, a quarter of the processor time and a tenth of the link of the
-//! strongest, would be seconds late. Each passes over those that failed it lately.
+//! Gateways of a zone rank each other by processor time, and by rendezvous hashing of their names with the zone's name
+//! if that is equal, so they agree on the relays without messages. A relay sends changes to all its subscribers over
+//! one link: the weakest machines, with a quarter of the processor time and a tenth of the link capacity of the
+//! strongest, would be seconds late. Each gateway skips gateways that have recently failed to answer it.
 //!
-//! 1. The first gateways of the ranking, one for each [`GATEWAYS_PER_RELAY`], are relays. The first of all follows
-//!    the store and the other relays ask it, so that the store is called by zones and not by gateways. Every
-//!    other gateway asks one of the relays, chosen by hashing too.
-//! 2. What a relay tells comes with its age: the time since the store answered it. A gateway whose
-//!    knowledge becomes older than its patience asks the store itself. Patience grows with the
-//!    rank, so that the successor of a relay that is cut off goes first and serves the others.
-//! 3. A relay that does not answer, or tells old news, is passed over for a while. If it was the
-//!    first of the ranking, the next takes its place.
-//! 4. A gateway that the store does not answer asks another gateway in between.
+//! 1. The first gateways of the ranking, one for each [`GATEWAYS_PER_RELAY`], are relays. The first of them follows
+//!    the store, and the other relays request changes from it, so the store is called once per zone instead of once
+//!    per gateway. Every other gateway requests changes from one of the relays, also chosen by hashing.
+//! 2. A relay sends changes with their age: the time since the store answered it. A gateway whose copy becomes older
+//!    than its maximum age asks the store itself. This maximum grows with the rank, so that the successor of a relay
+//!    that is cut off asks first and serves the others.
+//! 3. A relay that does not answer, or sends outdated changes, is skipped for a while. If it was the first of the
+//!    ranking, the next gateway takes its place.
+//! 4. While the store does not answer a gateway, that gateway asks another gateway between its attempts.
 //!
-//! Nothing depends on gateways agreeing: two that both take themselves for the relay cost some
-//! calls, and one that finds no relay asks the store.
+//! Nothing depends on agreement between gateways: two gateways that both consider themselves the first relay cost some
+//! additional calls, and a gateway that finds no relay asks the store.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -27,58 +27,60 @@
 
 use crate::position::Position;
 
-/// Gateways of a zone for which one relay suffices: each asks a few times a second, and changes are rare. A
-/// long configuration is deflated once for all of them.
+/// Number of gateways of a zone that one relay serves. One relay is enough for them, because each sends a few requests
+/// per second and changes are rare. A long configuration is compressed (deflate) once for all of them.
 pub const GATEWAYS_PER_RELAY: usize = 64;
-/// Age of its knowledge at which the first successor of a relay asks the store itself.
+/// Age of its copy above which the first successor of a relay asks the store itself.
 pub const PATIENCE: Duration = Duration::from_millis(1_200);
-/// What each further rank waits longer: the first few little, as any of them may be cut off as well,
-const PATIENCE_STEP: Duration = Duration::from_millis(60);
-/// so many of them,
-const FIRST_SUCCESSORS: usize = 5;
-/// and the others more, one after the other, however many they are: where all had gone at once, a store that said
-/// nothing for a second was read whole by 986 gateways, and answered none of them in time.
-const LATER_PATIENCE_STEP: Duration = Duration::from_millis(400);
-/// How long a gateway that did not answer is passed over.
-const SILENCE_MEMORY: Duration = Duration::from_secs(3);
-/// How long a gateway that told old news is passed over.
-const STALENESS_MEMORY: Duration = Duration::from_secs(1);
-/// How long a relay that the store did not answer waits before it asks again.
-const RELAY_REST: Duration = Duration::from_millis(250);
-/// The same for other gateways: a relay notices first that the store is back.
-const SUBSCRIBER_REST: Duration = Duration::from_millis(800);
-
-/// Whom to ask next.
+/// Additional age for each of the first [`EARLY_SUCCESSORS`] further ranks. It is short, because any of them may be cut
+/// off as well.
+const EARLY_SUCCESSOR_STEP: Duration = Duration::from_millis(60);
+/// Number of ranks to which [`EARLY_SUCCESSOR_STEP`] applies.
+const EARLY_SUCCESSORS: usize = 5;
+/// Additional age for each later rank. It is longer, so that these gateways ask one after the other, however many
+/// there are. When all of them asked at once, a store that had not answered for a second was asked for a snapshot by
+/// 986 gateways, and answered none of them in time.
+const LATER_SUCCESSOR_STEP: Duration = Duration::from_millis(400);
+/// How long a gateway that did not answer is skipped.
+const UNRESPONSIVE_RELAY_BACKOFF: Duration = Duration::from_secs(3);
+/// How long a gateway that sent outdated changes is skipped.
+const STALE_RELAY_BACKOFF: Duration = Duration::from_secs(1);
+/// How long a gateway that follows the store waits to ask it again after the store did not answer.
+const FOLLOWER_STORE_BACKOFF: Duration = Duration::from_millis(250);
+/// The same for other gateways. It is longer, so that a relay is the first to detect that the store answers again.
+const SUBSCRIBER_STORE_BACKOFF: Duration = Duration::from_millis(800);
+
+/// Where to request changes from next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Upstream {
     /// The store.
     Store,
-    /// The gateway of that name.
+    /// The gateway with this name.
     Relay(String),
-    /// Nobody for now: the store has just failed, and no other gateway is left.
+    /// Nothing for now: the store has just failed, and no other gateway is usable.
     Nobody,
 }
 
-/// A gateway as far as the plan needs to know it.
+/// The properties of a gateway that the plan depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RelayCandidate<'a> {
-    /// Its name.
+    /// Name of the gateway.
     pub name: &'a str,
-    /// Its processor time, in cores; 0 if it does not tell it.
+    /// Processor time of the gateway, in cores; 0 if it does not report it.
     pub capacity: f64,
 }
 
-/// The plan of one gateway.
+/// Selects the source of changes for one gateway.
 #[derive(Debug)]
 pub struct RelayPlan {
     own: String,
     own_capacity: f64,
     zone: ZoneName,
-    passed_over: HashMap<String, Timestamp>,
-    store_failed: Option<Timestamp>,
+    skipped_until: HashMap<String, Timestamp>,
+    store_failed_at: Option<Timestamp>,
 }
 
-/// The gateways that are not passed over, as this one ranks them.
+/// The gateways that are not skipped, as ranked by this gateway.
 struct Ranking<'a> {
     ranked: Vec<&'a str>,
     own_rank: usize,
@@ -86,73 +88,75 @@
 }
 
 impl RelayPlan {
-    /// The plan of the gateway `own` in `zone`.
+    /// Creates the plan for the gateway `own` in `zone`.
     pub fn new(own: RelayCandidate<'_>, zone: &ZoneName) -> Self {
         Self {
             own: own.name.to_owned(),
             own_capacity: own.capacity,
             zone: zone.clone(),
-            passed_over: HashMap::new(),
-            store_failed: None,
+            skipped_until: HashMap::new(),
+            store_failed_at: None,
         }
     }
 
-    /// Whom to ask now. `members` are the zone's gateways, and `age` is the time since
-    /// the store gave the answer that this gateway's knowledge rests on.
+    /// Returns where to request changes from now. `members` are the gateways of the zone, and `age` is the time since
+    /// the store sent the answer that this gateway's copy is based on.
     pub fn upstream(
         &mut self,
         now: Timestamp,
         members: &[RelayCandidate<'_>],
         age: Duration,
     ) -> Upstream {
-        self.passed_over.retain(|_, until| *until > now);
+        self.skipped_until.retain(|_, until| *until > now);
         let ranking = self.rank(members);
         let follows_store = ranking.own_rank == 0;
-        let asks_store = follows_store || age > patience(&ranking);
-        let rest = match follows_store {
-            true => RELAY_REST,
-            false => SUBSCRIBER_REST,
+        let asks_store = follows_store || age > max_copy_age(&ranking);
+        let backoff = match follows_store {
+            true => FOLLOWER_STORE_BACKOFF,
+            false => SUBSCRIBER_STORE_BACKOFF,
         };
-        let store_rests = self.store_failed.is_some_and(|at| now.since(at) < rest);
-        if asks_store && !store_rests {
+        let is_backing_off = self
+            .store_failed_at
+            .is_some_and(|at| now.since(at) < backoff);
+        if asks_store && !is_backing_off {
             return Upstream::Store;
         }
         match self.relay(&ranking) {
             Some(relay) => Upstream::Relay(relay.to_owned()),
-            None if store_rests => Upstream::Nobody,
+            None if is_backing_off => Upstream::Nobody,
             None => Upstream::Store,
         }
     }
 
-    /// The store has answered.
+    /// Records that the store has answered.
     pub fn store_answered(&mut self) {
-        self.store_failed = None;
+        self.store_failed_at = None;
     }
 
-    /// The store has not answered, or has refused.
+    /// Records that the store has not answered or has refused the request.
     pub fn store_failed(&mut self, now: Timestamp) {
-        self.store_failed = Some(now);
+        self.store_failed_at = Some(now);
     }
 
-    /// A relay has answered, and its knowledge has this age.
+    /// Records that a relay has answered, and the age of its copy.
     pub fn relay_answered(&mut self, now: Timestamp, relay: &str, age: Duration) {
         if age > PATIENCE {
-            self.pass_over(relay, now + STALENESS_MEMORY);
+            self.skip_until(relay, now + STALE_RELAY_BACKOFF);
         }
     }
 
-    /// A relay has not answered.
+    /// Records that a relay has not answered.
     pub fn relay_failed(&mut self, now: Timestamp, relay: &str) {
-        self.pass_over(relay, now + SILENCE_MEMORY);
+        self.skip_until(relay, now + UNRESPONSIVE_RELAY_BACKOFF);
     }
 
-    fn pass_over(&mut self, relay: &str, until: Timestamp) {
-        self.passed_over.insert(relay.to_owned(), until);
+    fn skip_until(&mut self, relay: &str, until: Timestamp) {
+        self.skipped_until.insert(relay.to_owned(), until);
     }
 
     fn rank<'a>(&'a self, members: &[RelayCandidate<'a>]) -> Ranking<'a> {
         let usable = |member: &RelayCandidate<'_>| {
-            member.name != self.own && !self.passed_over.contains_key(member.name)
+            member.name != self.own && !self.skipped_until.contains_key(member.name)
         };
         let mut candidates: Vec<RelayCandidate<'a>> =
             members.iter().copied().filter(usable).collect();
@@ -167,7 +171,7 @@
                 .then_with(|| weight(right.name).cmp(&weight(left.name)))
                 .then_with(|| left.name.cmp(right.name))
         });
-        let ranked: Vec<&str> = candidates.iter().map(|one| one.name).collect();
+        let ranked: Vec<&str> = candidates.iter().map(|candidate| candidate.name).collect();
         let own_rank = ranked.iter().position(|name| *name == self.own);
         Ranking {
             own_rank: own_rank.unwrap_or_default(),
@@ -176,62 +180,62 @@
         }
     }
 
-    /// The relay to ask: the first one for the other relays; for all others, one of the first of the ranking, by
-    /// hashing.
+    /// Returns the relay to ask. For a relay, this is the first of the other gateways in the ranking. For all other
+    /// gateways, it is one of the relays, chosen by hashing.
     fn relay<'a>(&self, ranking: &Ranking<'a>) -> Option<&'a str> {
         let others = ranking.ranked.iter().filter(|name| **name != self.own);
         let is_relay = ranking.own_rank < ranking.relays;
-        let asked = if is_relay { 1 } else { ranking.relays };
+        let candidate_count = if is_relay { 1 } else { ranking.relays };
         others
-            .take(asked)
+            .take(candidate_count)
             .max_by_key(|name| rendezvous_weight(self.own.as_bytes(), name.as_bytes()))
             .copied()
     }
 }
 
-fn patience(ranking: &Ranking<'_>) -> Duration {
+fn max_copy_age(ranking: &Ranking<'_>) -> Duration {
     let successors_before = ranking.own_rank.saturating_sub(ranking.relays);
-    let first = successors_before.min(FIRST_SUCCESSORS);
-    let later = successors_before - first;
-    PATIENCE + PATIENCE_STEP * first as u32 + LATER_PATIENCE_STEP * later as u32
+    let early = successors_before.min(EARLY_SUCCESSORS);
+    let later = successors_before - early;
+    PATIENCE + EARLY_SUCCESSOR_STEP * early as u32 + LATER_SUCCESSOR_STEP * later as u32
 }
 
-/// How the store is to be asked next: for what is newer than the copy, or for everything it holds.
+/// Decides whether the next request to the store asks for changes since the copy or for a snapshot.
 ///
-/// A store that failed may have forgotten the history after the copy's revision. Others that are as far
-/// behind can't help: until one of them tells something newer, or the store has been read whole, asking for
-/// changes would fail again. Where four gateways have all lost the history, a test that puts three
-/// configurations in force took 7.2 s while any answer of another let them ask for changes again, and 2.5 s
-/// since, their start included (one run each).
+/// A store that failed may have lost the history after the copy's revision. Other gateways with a copy of the same
+/// revision can't help: until one of them sends something newer, or a snapshot of the store has been read, requests
+/// for changes would fail again. In a test in which four gateways have all lost the history and three configurations
+/// are applied, this took 7.2 s when any answer of another gateway let them request changes again, and 2.5 s with this
+/// rule, including the start of the gateways (one run each).
 #[derive(Debug)]
 pub struct Continuation {
     reads_whole: bool,
 }
 
 impl Default for Continuation {
-    /// Nothing has been read yet.
+    /// Creates the initial state: nothing has been read yet.
     fn default() -> Self {
         Self { reads_whole: true }
     }
 }
 
 impl Continuation {
-    /// Whether everything must be read.
+    /// Returns whether a snapshot must be read.
     pub fn reads_whole(&self) -> bool {
         self.reads_whole
     }
 
-    /// The store did not answer, or not what was asked.
+    /// Records that the store did not answer, or did not answer the request.
     pub fn store_failed(&mut self) {
         self.reads_whole = true;
     }
 
-    /// Everything has been read.
+    /// Records that a snapshot has been read.
     pub fn was_read_whole(&mut self) {
         self.reads_whole = false;
     }
 
-    /// A relay answered: the positions of the copy before and after.
+    /// Records the answer of a relay, with the positions of the copy before and after it was applied.
     pub fn relay_answered(&mut self, before: Position, after: Position) {
         if after > before {
             self.reads_whole = false;
--- a/crates/forwarding/src/request/mod.rs
+++ b/crates/forwarding/src/request/mod.rs
@@ -1,22 +1,24 @@
-//! The life of one request as a state machine: `step(event) -> action`.
+//! State machine for one request: `step(event) -> action`.
 //!
-//! The wiring performs one action at a time and reports what came of it. The machine alone decides
-//! whether another worker may get the request and what the caller is told:
+//! The caller of the machine performs one action at a time and reports the result as the next event.
+//! The machine alone decides whether another worker may get the request and what the client of the
+//! gateway receives:
 //!
-//! - A send that reached no worker is repeated on another; nothing was received, so that it costs no
-//!   retry.
+//! - A send that reached no worker is repeated on another worker. It does not count as a retry,
+//!   because no worker received anything.
 //! - A send that provably did not run is repeated on another worker, a few times.
 //! - A send that may have run is repeated only if the request allows a second run, and only on as
 //!   many workers as its route allows.
-//! - Every send past the first that may reach a worker asks the retry budget; the reading of a prompt
-//!   is free if a worker took it up.
-//! - The caller is told "not run" only while no send may have run.
-//! - A request under which workers end is sent to no other one.
+//! - Every send after the first that may reach a worker needs permission from the retry budget.
+//!   Reading a prompt needs none if a worker started to read it.
+//! - The client receives "not run" only if no send may have run.
+//! - A request that crashes workers is not sent to any further worker.
 //!
-//! A model request may have its prompt read apart first. Reading runs nothing, so that its failure
-//! leaves the request as it was; the worker that runs it then reads the prompt itself. A reading
-//! that was left in its worker's queue was one more arrival there, so that going on without it asks
-//! the retry budget; one that its worker took up is free, whether it succeeded or not.
+//! The prompt of a model request may be read by a separate worker first (disaggregated prefill).
+//! Reading a prompt does not run the request, so a failed read changes nothing: the worker that runs
+//! the request reads the prompt itself. A read that stayed in a worker's queue was an additional
+//! arrival at that worker, so continuing without it needs permission from the retry budget. A read
+//! that a worker started needs none, whether it succeeded or not.
 
 mod step;
 
@@ -29,141 +31,141 @@
     SendFailure,
 };
 
-/// Sends that a request may lose to refusals before it is refused itself.
+/// Maximum number of refused sends of a request; one more refuses the request itself.
 const MAX_REFUSED_SENDS: u32 = 2;
-/// Sends of a request that may fail to reach a worker before it is refused itself.
-const MAX_UNSENT: u32 = 8;
+/// Maximum number of sends of a request that reach no worker; one more refuses the request itself.
+const MAX_UNSENT_SENDS: u32 = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     New,
-    SelectingReader,
-    Reading,
-    AskingBudget,
+    SelectingPromptReader,
+    ReadingPrompt,
+    CheckingRetryBudget,
     Selecting,
     Running,
-    Over,
+    Finished,
 }
 
-/// One request.
+/// State of one request.
 #[derive(Debug)]
 pub struct RequestMachine {
     policy: AttemptPolicy,
     phase: Phase,
     sends: u32,
-    refused: u32,
-    unsent: u32,
+    refused_sends: u32,
+    unsent_sends: u32,
     runs: u32,
     may_have_run: bool,
     error_answer: bool,
-    begun: bool,
+    answer_started: bool,
     last_event: Option<EventId>,
     source: Option<PromptHandle>,
-    source_of_current: Option<PromptHandle>,
+    current_source: Option<PromptHandle>,
     avoid: Vec<WorkerId>,
-    current: Option<WorkerId>,
+    current_worker: Option<WorkerId>,
 }
 
 impl RequestMachine {
-    /// A request that has not arrived yet.
+    /// Creates the machine for a request that has not arrived yet.
     pub fn new(policy: AttemptPolicy) -> Self {
         Self {
             policy,
             phase: Phase::New,
             sends: 0,
-            refused: 0,
-            unsent: 0,
+            refused_sends: 0,
+            unsent_sends: 0,
             runs: 0,
             may_have_run: false,
             error_answer: false,
-            begun: false,
+            answer_started: false,
             last_event: None,
             source: None,
-            source_of_current: None,
+            current_source: None,
             avoid: Vec::new(),
-            current: None,
+            current_worker: None,
         }
     }
 
-    /// Takes what happened and says what to do next. Events that do not fit the phase change
-    /// nothing and end nothing twice: a request that is over stays over.
+    /// Handles an event and returns the next action. Events that do not fit the phase must not occur;
+    /// a finished request stays finished: every further event returns [`Action::Finish`] again.
     pub fn step(&mut self, event: RequestEvent) -> Action {
-        if self.phase == Phase::Over {
-            return Action::Finish(self.give_up());
+        if self.phase == Phase::Finished {
+            return Action::Finish(self.failure_conclusion());
         }
         match event {
-            RequestEvent::Arrived => self.arrived(),
-            RequestEvent::Selected(worker) => self.selected(worker),
-            RequestEvent::BudgetAnswered(true) => self.select(),
-            RequestEvent::BudgetAnswered(false) => self.finish(self.give_up()),
+            RequestEvent::Arrived => self.handle_arrival(),
+            RequestEvent::Selected(worker) => self.handle_selection(worker),
+            RequestEvent::BudgetAnswered(true) => self.select_worker(),
+            RequestEvent::BudgetAnswered(false) => self.finish(self.failure_conclusion()),
             RequestEvent::PromptRead(handle) => {
                 self.source = Some(handle);
-                self.select()
+                self.select_worker()
             }
-            RequestEvent::PromptNotRead(failure) => self.prompt_not_read(failure),
+            RequestEvent::PromptNotRead(failure) => self.handle_prompt_not_read(failure),
             RequestEvent::Completed => self.finish(Conclusion::Delivered),
-            RequestEvent::Failed(failure) => self.failed(failure),
-            RequestEvent::BrokenOff(last_event) => self.broken_off(last_event),
-            RequestEvent::DeadlinePassed => self.deadline_passed(),
-            RequestEvent::Barred => self.barred(),
+            RequestEvent::Failed(failure) => self.handle_failure(failure),
+            RequestEvent::BrokenOff(last_event) => self.handle_interruption(last_event),
+            RequestEvent::DeadlinePassed => self.handle_deadline(),
+            RequestEvent::Barred => self.handle_barred(),
         }
     }
 
-    /// Whether a part of the answer has been delivered.
+    /// Returns whether a part of the answer has been delivered.
     pub fn has_begun(&self) -> bool {
-        self.begun
+        self.answer_started
     }
 
-    /// Sends so far, reading of the prompt left out.
+    /// Returns the number of sends so far, without reads of the prompt and sends that reached no worker.
     pub fn sends(&self) -> u32 {
         self.sends
     }
 
-    /// Whether a worker may have run the request.
+    /// Returns whether a worker may have run the request.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Whether a further worker may get the request if the present one fails.
+    /// Returns whether another worker may get the request if the current one fails.
     pub fn may_try_elsewhere(&self) -> bool {
         self.policy.repeatability.allows_second_run() && self.runs < self.policy.max_attempts
     }
 
-    fn arrived(&mut self) -> Action {
+    fn handle_arrival(&mut self) -> Action {
         if !self.policy.read_apart {
-            return self.select();
+            return self.select_worker();
         }
-        self.select_reader()
+        self.select_prompt_reader()
     }
 
-    fn select_reader(&mut self) -> Action {
-        self.phase = Phase::SelectingReader;
+    fn select_prompt_reader(&mut self) -> Action {
+        self.phase = Phase::SelectingPromptReader;
         Action::Select {
             need: Need::ReadPrompt,
             avoid: self.avoid.clone(),
         }
     }
 
-    fn prompt_not_read(&mut self, failure: ReadingFailure) -> Action {
-        let reader = self.current.take();
+    fn handle_prompt_not_read(&mut self, failure: ReadingFailure) -> Action {
+        let reader = self.current_worker.take();
         match failure {
             ReadingFailure::NotSent => {
                 self.avoid.extend(reader);
-                self.unsent += 1;
-                match self.unsent > MAX_UNSENT {
-                    true => self.select(),
-                    false => self.select_reader(),
+                self.unsent_sends += 1;
+                match self.unsent_sends > MAX_UNSENT_SENDS {
+                    true => self.select_worker(),
+                    false => self.select_prompt_reader(),
                 }
             }
             ReadingFailure::Left => {
-                self.phase = Phase::AskingBudget;
+                self.phase = Phase::CheckingRetryBudget;
                 Action::AskBudget
             }
-            ReadingFailure::TakenUp => self.select(),
+            ReadingFailure::TakenUp => self.select_worker(),
         }
     }
 
-    fn select(&mut self) -> Action {
+    fn select_worker(&mut self) -> Action {
         self.phase = Phase::Selecting;
         let need = match &self.source {
             Some(source) => Need::Continue {
@@ -177,41 +179,41 @@
         }
     }
 
-    fn selected(&mut self, worker: Option<WorkerId>) -> Action {
+    fn handle_selection(&mut self, worker: Option<WorkerId>) -> Action {
         match (self.phase, worker) {
-            (Phase::SelectingReader, Some(worker)) => {
-                self.phase = Phase::Reading;
-                self.current = Some(worker.clone());
+            (Phase::SelectingPromptReader, Some(worker)) => {
+                self.phase = Phase::ReadingPrompt;
+                self.current_worker = Some(worker.clone());
                 Action::ReadPrompt { worker }
             }
-            (Phase::SelectingReader, None) => self.select(),
-            (_, Some(worker)) => self.run(worker),
-            (_, None) => self.finish(self.give_up()),
+            (Phase::SelectingPromptReader, None) => self.select_worker(),
+            (_, Some(worker)) => self.run_on(worker),
+            (_, None) => self.finish(self.failure_conclusion()),
         }
     }
 
-    fn run(&mut self, worker: WorkerId) -> Action {
+    fn run_on(&mut self, worker: WorkerId) -> Action {
         self.phase = Phase::Running;
         self.sends += 1;
         self.runs += 1;
-        self.current = Some(worker.clone());
-        self.source_of_current = self.source.take();
+        self.current_worker = Some(worker.clone());
+        self.current_source = self.source.take();
         Action::Run {
             worker,
-            source: self.source_of_current.clone(),
+            source: self.current_source.clone(),
             resume_after: self.last_event.clone(),
         }
     }
 
-    fn failed(&mut self, failure: SendFailure) -> Action {
-        self.avoid.extend(self.current.take());
+    fn handle_failure(&mut self, failure: SendFailure) -> Action {
+        self.avoid.extend(self.current_worker.take());
         match failure {
-            SendFailure::NotSent => return self.not_sent(),
+            SendFailure::NotSent => return self.handle_unsent(),
             SendFailure::NotRun => {
                 self.runs = self.runs.saturating_sub(1);
-                self.refused += 1;
-                if self.refused > MAX_REFUSED_SENDS {
-                    return self.finish(self.give_up());
+                self.refused_sends += 1;
+                if self.refused_sends > MAX_REFUSED_SENDS {
+                    return self.finish(self.failure_conclusion());
                 }
             }
             SendFailure::MayHaveRun => self.may_have_run = true,
@@ -220,25 +222,26 @@
                 self.error_answer = true;
             }
         }
-        self.try_again()
+        self.retry_if_allowed()
     }
 
-    /// Nothing was received: the next worker gets the same, with the KV cache that still waits.
-    fn not_sent(&mut self) -> Action {
+    /// Selects another worker after a send that no worker received. The KV cache of the prompt is
+    /// still available, so the next worker gets it.
+    fn handle_unsent(&mut self) -> Action {
         self.runs = self.runs.saturating_sub(1);
         self.sends = self.sends.saturating_sub(1);
-        self.source = self.source_of_current.take();
-        self.unsent += 1;
-        match self.unsent > MAX_UNSENT {
-            true => self.finish(self.give_up()),
-            false => self.select(),
+        self.source = self.current_source.take();
+        self.unsent_sends += 1;
+        match self.unsent_sends > MAX_UNSENT_SENDS {
+            true => self.finish(self.failure_conclusion()),
+            false => self.select_worker(),
         }
     }
 
-    fn broken_off(&mut self, last_event: Option<EventId>) -> Action {
-        self.avoid.extend(self.current.take());
+    fn handle_interruption(&mut self, last_event: Option<EventId>) -> Action {
+        self.avoid.extend(self.current_worker.take());
         self.may_have_run = true;
-        self.begun = true;
+        self.answer_started = true;
         if last_event.is_some() {
             self.last_event = last_event;
         }
@@ -246,40 +249,40 @@
         if !resumable || self.last_event.is_none() {
             return self.finish(Conclusion::Broken);
         }
-        self.try_again()
+        self.retry_if_allowed()
     }
 
-    fn try_again(&mut self) -> Action {
+    fn retry_if_allowed(&mut self) -> Action {
         let second_run_allowed = self.policy.repeatability.allows_second_run();
         let may_send = !self.may_have_run || second_run_allowed;
         if !may_send || self.runs >= self.policy.max_attempts {
-            return self.finish(self.give_up());
+            return self.finish(self.failure_conclusion());
         }
-        self.phase = Phase::AskingBudget;
+        self.phase = Phase::CheckingRetryBudget;
         Action::AskBudget
     }
 
-    fn deadline_passed(&mut self) -> Action {
+    fn handle_deadline(&mut self) -> Action {
         if matches!(self.phase, Phase::Running) {
             self.may_have_run = true;
         }
-        let conclusion = match self.give_up() {
+        let conclusion = match self.failure_conclusion() {
             Conclusion::Lost => Conclusion::TimedOut,
             other => other,
         };
         self.finish(conclusion)
     }
 
-    fn barred(&mut self) -> Action {
-        let conclusion = match self.begun {
+    fn handle_barred(&mut self) -> Action {
+        let conclusion = match self.answer_started {
             true => Conclusion::Broken,
             false => Conclusion::Barred,
         };
         self.finish(conclusion)
     }
 
-    fn give_up(&self) -> Conclusion {
-        if self.begun {
+    fn failure_conclusion(&self) -> Conclusion {
+        if self.answer_started {
             return Conclusion::Broken;
         }
         if self.error_answer {
@@ -292,7 +295,7 @@
     }
 
     fn finish(&mut self, conclusion: Conclusion) -> Action {
-        self.phase = Phase::Over;
+        self.phase = Phase::Finished;
         Action::Finish(conclusion)
     }
 }
--- a/crates/forwarding/src/request/step.rs
+++ b/crates/forwarding/src/request/step.rs
@@ -1,128 +1,128 @@
-//! What the life of a request is told, and what it answers.
+//! Events that the request state machine receives, and actions that it returns.
 
 use crate::configuration::Repeatability;
 use crate::selection::Need;
 use crate::worker::WorkerId;
 
-/// The id of an event of a stream.
+/// The id of a server-sent event in a stream.
 pub type EventId = String;
 
-/// Where the KV cache of a prompt that was read apart lies.
+/// Location of the KV cache of a prompt that a separate worker has read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptHandle {
-    /// The worker that read it.
+    /// The worker that read the prompt and holds its KV cache.
     pub worker: WorkerId,
-    /// That worker's address, as its protocol names it.
+    /// That worker's address, as written in the worker protocol.
     pub address: String,
-    /// That worker's name for it.
+    /// The identifier that this worker gave to the KV cache.
     pub handle: String,
 }
 
-/// What a request's route allows.
+/// Attempts that the route of a request allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptPolicy {
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub repeatability: Repeatability,
-    /// The most workers that may run it.
+    /// Maximum number of workers that may run the request.
     pub max_attempts: u32,
-    /// Whether its prompt is to be read apart.
+    /// Whether a separate worker reads the prompt first.
     pub read_apart: bool,
 }
 
-/// Why a send brought no whole answer.
+/// Why a send did not return a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendFailure {
-    /// Nothing of it reached a worker.
+    /// No part of the request reached a worker.
     NotSent,
-    /// The worker says, or the connection proves, that the request did not run.
+    /// The worker reports, or the connection proves, that the request did not run.
     NotRun,
-    /// It may have run: broken, silent, or an answer that is none.
+    /// The request may have run: the connection broke, the worker sent nothing, or its answer was invalid.
     MayHaveRun,
-    /// The worker ran it and answered with a failure of its own, which is kept for the caller.
+    /// The worker ran the request and answered with an error, which is kept for the caller.
     ErrorAnswer,
 }
 
-/// Why a prompt was not read.
+/// Why a separate worker did not read a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadingFailure {
-    /// Nothing of the request for it reached a worker.
+    /// No part of the request to read it reached a worker.
     NotSent,
-    /// A worker refused it or left it in its queue, or nothing is known of it.
+    /// A worker refused the read or left it in its queue, or it is unknown what the worker did.
     Left,
-    /// A worker took it up and failed.
+    /// A worker started the read and failed.
     TakenUp,
 }
 
-/// What happened.
+/// An event that the state machine handles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestEvent {
-    /// The request is whole and has a route.
+    /// The request has been received completely and matches a route.
     Arrived,
-    /// The answer to [`Action::Select`].
+    /// The result of [`Action::Select`]; `None` if no worker is available.
     Selected(Option<WorkerId>),
-    /// The answer to [`Action::AskBudget`].
+    /// The result of [`Action::AskBudget`]: whether one more send is allowed.
     BudgetAnswered(bool),
-    /// The prompt has been read.
+    /// A separate worker has read the prompt.
     PromptRead(PromptHandle),
-    /// The prompt has not been read.
+    /// The separate worker has not read the prompt.
     PromptNotRead(ReadingFailure),
-    /// The whole answer was delivered, or is ready to be.
+    /// The complete answer was delivered or is ready to be delivered.
     Completed,
     /// The send failed before any part of its answer was delivered.
     Failed(SendFailure),
-    /// The answer broke off after a part of it was delivered, up to and including this event.
+    /// The answer was cut off after a part of it was delivered, up to and including the event with this id.
     BrokenOff(Option<EventId>),
-    /// The time is over.
+    /// The deadline of the request has passed.
     DeadlinePassed,
-    /// Workers end under the request, so that none may get it any more.
+    /// The request crashes workers, so no worker may get it any more.
     Barred,
 }
 
-/// What to do next.
+/// The next action that the caller of the state machine has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Choose a worker.
+    /// Select a worker.
     Select {
-        /// What it has to do.
+        /// The work that the worker has to do.
         need: Need,
-        /// Workers that failed.
+        /// Workers that failed this request and must not be selected.
         avoid: Vec<WorkerId>,
     },
-    /// Ask the retry budget for one more send.
+    /// Ask the retry budget whether one more send is allowed.
     AskBudget,
-    /// Have the prompt read.
+    /// Let a separate worker read the prompt.
     ReadPrompt {
-        /// Where.
+        /// The worker that reads the prompt.
         worker: WorkerId,
     },
-    /// Send the request to run.
+    /// Send the request to a worker that runs it.
     Run {
-        /// Where.
+        /// The worker that runs the request.
         worker: WorkerId,
-        /// The prompt's KV cache, if it was read apart.
+        /// Location of the prompt's KV cache, if a separate worker has read the prompt.
         source: Option<PromptHandle>,
-        /// The last event that the caller has, if the stream goes on.
+        /// The id of the last event that the caller has received, if a stream is resumed.
         resume_after: Option<EventId>,
     },
-    /// The request is over.
+    /// The request is finished.
     Finish(Conclusion),
 }
 
-/// What the caller gets in the end.
+/// The final result of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Conclusion {
-    /// The whole answer.
+    /// The complete answer was delivered.
     Delivered,
-    /// A worker's own failure, unchanged.
+    /// The error that a worker answered with, unchanged.
     WorkerError,
-    /// The request did not run and will not: come back soon.
+    /// The request did not run and will not run. The caller may try again soon.
     Refused,
-    /// The request may have run and its answer is lost.
+    /// The request may have run, and its answer is lost.
     Lost,
-    /// The time is over and the request may have run.
+    /// The deadline has passed, and the request may have run.
     TimedOut,
-    /// Workers end under the request: it may have run, and will not be sent again.
+    /// The request crashes workers: it may have run and is not sent again.
     Barred,
-    /// The answer has begun and cannot be completed: break the connection.
+    /// The answer has started and cannot be completed: the caller's connection must be closed.
     Broken,
 }
--- a/crates/forwarding/src/retry_share.rs
+++ b/crates/forwarding/src/retry_share.rs
@@ -1,28 +1,29 @@
-//! One gateway's share of the fleet's retry budgets, one for each service.
+//! One gateway's shares of the fleet's retry budgets. Each service has its own budget.
 //!
-//! A budget bounds, over any window, the sends to a service past the first of each request: a fixed
-//! number for the whole fleet plus a ratio of the requests for that service. Each gateway keeps within the ratio of its own
-//! requests plus its part of the fixed number, so that the sum holds without any message between
-//! gateways, also while they are cut off from each other. Only half of the fixed number is handed
-//! out: the other half covers gateways that start again with an empty window or join unnoticed.
+//! A budget bounds the retries to a service in any window, which are all sends after the first one of each request.
+//! The bound is a fixed number for the whole fleet plus a ratio of the requests for that service. Each gateway stays
+//! within the ratio of its own requests plus its share of the fixed number, so the bound holds for the fleet without
+//! messages between gateways, even while they are partitioned from each other. Only half of the fixed number is
+//! divided among gateways: the other half covers gateways that restart with an empty window or join unnoticed.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use tansyhall_core::{ServiceName, Timestamp};
 
-/// Buckets that a window is counted in.
-const BUCKETS: u32 = 10;
-/// The part of the fixed number that is divided between gateways.
-const DIVIDED_PART: f64 = 0.5;
-/// The part of the ratio that is used; the rest absorbs windows that start between buckets.
-const RATIO_PART: f64 = 0.8;
-
-/// How many gateways share the fleet's budgets, as a gateway that knew of `known` has to believe when `announced` are
-/// announced. One that stops is not announced any more, but serves on what it has, and spends: it keeps to its part.
-/// Several that stop at once would each take the part of the others, and spend the fixed number several times over. So
-/// would all of them where announcements `may_be_missing`: a restored store has lost some, and those of gateways that start
-/// together are not made yet.
+/// Number of buckets that a window is divided into.
+const BUCKETS_PER_WINDOW: u32 = 10;
+/// Fraction of the fixed number that is divided among gateways.
+const DIVIDED_FRACTION: f64 = 0.5;
+/// Fraction of the ratio that is used. The remainder covers windows that start in the middle of a bucket.
+const USED_RATIO_FRACTION: f64 = 0.8;
+
+/// Returns the number of gateways that a gateway must assume to share the fleet's budgets, when it knew of `known`
+/// gateways before and `announced` are announced now. A gateway that stops is no longer announced, but still serves the
+/// requests that it has and spends retries, so it keeps its share. Otherwise, several gateways that stop at once would
+/// each take the shares of the others and spend the fixed number several times over. The same would happen to all
+/// gateways while announcements `may_be_missing`: a restored store has lost some of them, and gateways that start
+/// together have not made theirs yet.
 pub fn sharing_gateways(announced: u64, known: u64, may_be_missing: bool) -> u64 {
     match may_be_missing {
         true => announced.max(known),
@@ -30,18 +31,18 @@
     }
 }
 
-/// The fleet's budget.
+/// Settings of the fleet's retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryShareSettings {
-    /// Retries for each request.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Retries beyond the ratio, for the whole fleet in one window.
+    /// Allowed retries beyond the ratio, for the whole fleet in one window.
     pub fleet_extra: f64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// One gateway's share for every service.
+/// One gateway's shares of the budgets of all services.
 #[derive(Debug)]
 pub struct RetryShares {
     settings: RetryShareSettings,
@@ -50,7 +51,7 @@
 }
 
 impl RetryShares {
-    /// Empty windows. Until told otherwise, `gateways` share the fixed number.
+    /// Creates shares with empty windows. Initially, `gateways` gateways share the fixed number.
     pub fn new(settings: RetryShareSettings, gateways: u32) -> Self {
         Self {
             settings,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Takes in budgets that were changed; what was spent in the window stays counted.
+    /// Changes the settings of the budgets. Retries already spent in the window still count.
     pub fn set_settings(&mut self, settings: RetryShareSettings) {
         self.settings = settings;
         for share in self.services.values_mut() {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Takes in how many gateways share the budgets.
+    /// Sets the number of gateways that share the budgets.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = gateways;
         for share in self.services.values_mut() {
@@ -80,17 +81,17 @@
         self.share(service).record_request(now);
     }
 
-    /// Asks for one more send to a service; counts it if it is allowed.
+    /// Returns whether one more send to a service is allowed, and counts it if so.
     pub fn try_retry(&mut self, now: Timestamp, service: &ServiceName) -> bool {
         self.share(service).try_retry(now)
     }
 
-    /// Sends past the first that are still allowed to a service in the current window.
+    /// Returns the number of retries to a service that are still allowed in the current window.
     pub fn left(&mut self, now: Timestamp, service: &ServiceName) -> f64 {
         self.share(service).left(now)
     }
 
-    /// Sends past the first that are still allowed to each service.
+    /// Returns the number of retries that are still allowed, for each service.
     pub fn all_left(&mut self, now: Timestamp) -> Vec<(ServiceName, f64)> {
         let services = self.services.iter_mut();
         services
@@ -106,7 +107,7 @@
     }
 }
 
-/// A sliding count of requests and retries.
+/// Sliding-window counts of requests and retries, and the share that follows from them.
 #[derive(Debug)]
 pub struct RetryShare {
     settings: RetryShareSettings,
@@ -122,7 +123,7 @@
 }
 
 impl RetryShare {
-    /// An empty window. Until told otherwise, `gateways` share the fixed number.
+    /// Creates a share with an empty window. Initially, `gateways` gateways share the fixed number.
     pub fn new(settings: RetryShareSettings, gateways: u32) -> Self {
         Self {
             settings,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Takes in how many gateways share the budget.
+    /// Sets the number of gateways that share the budget.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
     }
@@ -141,7 +142,7 @@
         self.bucket(now).requests += 1;
     }
 
-    /// Asks for one more send; counts it if it is allowed.
+    /// Returns whether one more send is allowed, and counts it if so.
     pub fn try_retry(&mut self, now: Timestamp) -> bool {
         let allowed = self.left(now) >= 1.0;
         if allowed {
@@ -150,27 +151,28 @@
         allowed
     }
 
-    /// Sends past the first that are still allowed in the current window.
+    /// Returns the number of retries that are still allowed in the current window.
     pub fn left(&mut self, now: Timestamp) -> f64 {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
-        let earned = self.settings.ratio * RATIO_PART * f64::from(requests);
-        let own_extra = self.settings.fleet_extra * DIVIDED_PART / f64::from(self.gateways);
-        earned + own_extra - f64::from(retries)
+        let from_requests = self.settings.ratio * USED_RATIO_FRACTION * f64::from(requests);
+        let from_fleet_extra =
+            self.settings.fleet_extra * DIVIDED_FRACTION / f64::from(self.gateways);
+        from_requests + from_fleet_extra - f64::from(retries)
     }
 
     fn bucket(&mut self, now: Timestamp) -> &mut Bucket {
-        let width = self.settings.window / BUCKETS;
+        let width = self.settings.window / BUCKETS_PER_WINDOW;
         let expired = |bucket: &Bucket| now.since(bucket.start) > self.settings.window + width;
         while self.buckets.front().is_some_and(expired) {
             self.buckets.pop_front();
         }
-        let fresh = self
+        let is_current = self
             .buckets
             .back()
             .is_some_and(|bucket| now.since(bucket.start) < width);
-        if !fresh {
+        if !is_current {
             self.buckets.push_back(Bucket {
                 start: now,
                 requests: 0,
--- a/crates/forwarding/src/scheduler_plan.rs
+++ b/crates/forwarding/src/scheduler_plan.rs
@@ -1,48 +1,48 @@
-//! Which gateways place requests on workers, and for which others.
+//! Selection of the gateways that place requests on workers, and of the gateways that they serve.
 //!
-//! A gateway that places its own requests must know what all others have under way: with hundreds of
-//! them, each knows ever less of an engine's queue, and what they tell each other grows with the square
-//! of their number. So a bounded number of gateways, the schedulers, place requests for all:
+//! A gateway that places its own requests must know the requests in progress at all other gateways. With hundreds of
+//! gateways, each of them knows less and less of an engine's queue, and the messages between them grow with the square
+//! of their number. Therefore a bounded number of gateways, the schedulers, place requests for all:
 //!
-//! 1. A fleet of up to [`FULL_EXCHANGE`] gateways needs none: each places its own requests.
-//! 2. In a larger one each zone has its part of [`FULL_EXCHANGE`] schedulers, and at least one for each
-//!    [`GATEWAYS_PER_SCHEDULER`] of its gateways. They are the first of the zone's ranking: those with
-//!    the most processor time, rendezvous hashing among equals, so that gateways agree without messages.
-//! 3. Every other gateway asks one scheduler of its zone, chosen by hashing too. One that doesn't answer
-//!    is passed over, and the next of the ranking takes its place.
-//! 4. Schedulers report the load they have placed to each other, and to [`SPARES`] more gateways of
-//!    each zone, which are the next to become schedulers.
+//! 1. A fleet of up to [`FULL_EXCHANGE`] gateways needs no separate schedulers: each gateway places its own requests.
+//! 2. In a larger fleet each zone has an equal share of [`FULL_EXCHANGE`] schedulers, and at least one for each
+//!    [`GATEWAYS_PER_SCHEDULER`] of its gateways. The schedulers are the first gateways of the zone's ranking, which
+//!    orders them by processor time, and by rendezvous hashing if that is equal, so gateways agree without messages.
+//! 3. Every other gateway sends its requests for placement to one scheduler of its zone, also chosen by hashing. A
+//!    scheduler that doesn't answer is skipped, and the next gateway of the ranking takes its place.
+//! 4. Schedulers report the load that they have placed to each other, and to [`STANDBY_SCHEDULERS_PER_ZONE`] more
+//!    gateways of each zone, which are the next to become schedulers.
 //!
-//! Nothing depends on gateways agreeing: any gateway places requests for those that ask it, and one that
-//! finds no scheduler places its own by what it knows.
+//! Nothing depends on agreement between gateways: any gateway places requests for those that ask it, and a gateway
+//! that finds no scheduler places its own requests by what it knows.
 
 use std::collections::BTreeMap;
 
 use tansyhall_core::hash::rendezvous_weight;
 use tansyhall_core::ZoneName;
 
-/// Gateways that exchange reports of load at their full pace: each sends up to 50 a second to each,
-/// which is what the slowest links that were played (10 Mbit/s) carry beside callers' requests.
+/// Maximum number of gateways that exchange load reports at the full rate. Each sends up to 50 reports per second to
+/// each other one, which the slowest tested links (10 Mbit/s) can carry in addition to callers' requests.
 pub const FULL_EXCHANGE: usize = 12;
-/// Gateways for which one scheduler places requests. At some five requests a second from each, a scheduler
-/// answers a few hundred questions a second, of which each takes a fraction of a millisecond.
+/// Number of gateways that one scheduler places requests for. At about five requests per second from each, a
+/// scheduler answers a few hundred placement requests per second, each of which takes a fraction of a millisecond.
 pub const GATEWAYS_PER_SCHEDULER: usize = 64;
-/// Gateways whose counts one gateway collects: a few hundred messages a second, about 2% of half a core (worked out,
-/// not measured).
+/// Number of gateways whose usage counts one gateway collects: a few hundred messages per second, an estimated 2% of
+/// half a core.
 pub const GATEWAYS_PER_COLLECTOR: usize = 64;
-/// What the ranking of collectors is hashed with.
-const COLLECTING: &[u8] = b"collecting";
-/// Gateways of each zone beside the schedulers that hear reports of load.
-const SPARES: usize = 1;
+/// Key with which the ranking of collectors is hashed.
+const COLLECTOR_HASH_KEY: &[u8] = b"collecting";
+/// Number of gateways in each zone that receive load reports in addition to the schedulers.
+const STANDBY_SCHEDULERS_PER_ZONE: usize = 1;
 
-/// A gateway as far as the plan needs to know it.
+/// The properties of a gateway that the plan depends on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SchedulerCandidate {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// Its zone.
+    /// Zone of the gateway.
     pub zone: ZoneName,
-    /// Its processor time, in cores.
+    /// Processor time of the gateway, in cores.
     pub capacity: f64,
 }
 
@@ -52,7 +52,7 @@
     zones: BTreeMap<ZoneName, ZoneRanking>,
 }
 
-/// The gateways of a zone, those that come first for scheduling first.
+/// The gateways of a zone in the order in which they become schedulers.
 #[derive(Debug, Clone, PartialEq)]
 struct ZoneRanking {
     names: Vec<String>,
@@ -77,24 +77,24 @@
     }
 
     fn listeners(&self) -> &[String] {
-        let count = (self.schedulers + SPARES).min(self.names.len());
+        let count = (self.schedulers + STANDBY_SCHEDULERS_PER_ZONE).min(self.names.len());
         &self.names[..count]
     }
 }
 
 impl SchedulerPlan {
-    /// The plan of a fleet.
+    /// Creates the plan for a fleet.
     pub fn new(members: Vec<SchedulerCandidate>) -> Self {
         let total = members.len();
         let mut by_zone: BTreeMap<ZoneName, Vec<SchedulerCandidate>> = BTreeMap::new();
         for member in members {
             by_zone.entry(member.zone.clone()).or_default().push(member);
         }
-        let part = (FULL_EXCHANGE / by_zone.len().max(1)).max(1);
+        let schedulers_per_zone = (FULL_EXCHANGE / by_zone.len().max(1)).max(1);
         let ranked = by_zone.into_iter().map(|(zone, members)| {
             let schedulers = match total <= FULL_EXCHANGE {
                 true => members.len(),
-                false => part.max(members.len().div_ceil(GATEWAYS_PER_SCHEDULER)),
+                false => schedulers_per_zone.max(members.len().div_ceil(GATEWAYS_PER_SCHEDULER)),
             };
             let ranking = ZoneRanking::new(&zone, members, schedulers);
             (zone, ranking)
@@ -104,65 +104,66 @@
         }
     }
 
-    /// How many zones have gateways.
+    /// Returns the number of zones that have gateways.
     pub fn zones(&self) -> usize {
         self.zones.len()
     }
 
-    /// How many schedulers the fleet has.
+    /// Returns the number of schedulers in the fleet.
     pub fn schedulers(&self) -> usize {
         self.zones.values().map(|zone| zone.schedulers).sum()
     }
 
-    /// The schedulers.
+    /// Returns the names of all schedulers.
     pub fn scheduling(&self) -> impl Iterator<Item = &str> {
         let schedulers = self.zones.values().flat_map(ZoneRanking::scheduling);
         schedulers.map(String::as_str)
     }
 
-    /// Whether a gateway is a scheduler.
+    /// Returns whether a gateway is a scheduler.
     pub fn is_scheduler(&self, name: &str) -> bool {
         self.scheduling().any(|scheduler| scheduler == name)
     }
 
-    /// Whether a gateway hears the schedulers' reports.
+    /// Returns whether a gateway receives the schedulers' load reports.
     pub fn is_listener(&self, name: &str) -> bool {
         self.listeners().any(|listener| listener == name)
     }
 
-    /// The gateways that hear the schedulers' reports.
+    /// Returns the names of the gateways that receive the schedulers' load reports.
     pub fn listeners(&self) -> impl Iterator<Item = &str> {
         let listeners = self.zones.values().flat_map(ZoneRanking::listeners);
         listeners.map(String::as_str)
     }
 
-    /// How many gateways collect what the others have to tell.
+    /// Returns the number of gateways that collect the usage counts of the others.
     pub fn collectors(&self) -> usize {
         let gateways: usize = self.zones.values().map(|zone| zone.names.len()).sum();
         let collectors = gateways.div_ceil(GATEWAYS_PER_COLLECTOR);
         collectors.min(self.zones.len())
     }
 
-    /// The gateway that collects what `own` has to tell, of those that are usable (`own` always is): the
-    /// first of a zone's ranking, so that it has processor time; one for each [`GATEWAYS_PER_COLLECTOR`] of
-    /// the fleet, spread by rendezvous hashing, the zones ranked by it too.
+    /// Returns the gateway that collects the usage counts of the gateway `own`, among the usable gateways (`own` is
+    /// always usable). A collector is the first usable gateway of a zone's ranking, so that it has processor time. The
+    /// fleet has one collector for each [`GATEWAYS_PER_COLLECTOR`] gateways. Rendezvous hashing selects the zones that
+    /// provide a collector, and distributes the gateways among the collectors.
     pub fn collector_of(&self, own: &str, is_usable: impl Fn(&str) -> bool) -> Option<&str> {
         let collectors = self.collectors();
         let usable = |name: &&str| *name == own || is_usable(name);
-        let firsts = self.zones.values().filter_map(|zone| {
+        let candidates = self.zones.values().filter_map(|zone| {
             let mut names = zone.names.iter().map(String::as_str);
             names.find(usable)
         });
-        let of_fleet = |name: &str| rendezvous_weight(COLLECTING, name.as_bytes());
-        let mut firsts: Vec<&str> = firsts.collect();
-        firsts.sort_by_key(|name| std::cmp::Reverse(of_fleet(name)));
-        firsts.truncate(collectors);
-        let of_own = |name: &str| rendezvous_weight(own.as_bytes(), name.as_bytes());
-        firsts.into_iter().max_by_key(|name| of_own(name))
+        let zone_weight = |name: &str| rendezvous_weight(COLLECTOR_HASH_KEY, name.as_bytes());
+        let mut candidates: Vec<&str> = candidates.collect();
+        candidates.sort_by_key(|name| std::cmp::Reverse(zone_weight(name)));
+        candidates.truncate(collectors);
+        let own_weight = |name: &str| rendezvous_weight(own.as_bytes(), name.as_bytes());
+        candidates.into_iter().max_by_key(|name| own_weight(name))
     }
 
-    /// The scheduler that places the requests of the gateway `own` in `zone`, if one is usable. It may
-    /// be that gateway itself.
+    /// Returns the scheduler that places the requests of the gateway `own` in `zone`, if one is usable. It may be
+    /// that gateway itself.
     pub fn scheduler_of(
         &self,
         own: &str,
--- a/crates/forwarding/src/stop_plan.rs
+++ b/crates/forwarding/src/stop_plan.rs
@@ -1,41 +1,41 @@
-//! A planned stop: what a gateway still accepts after SIGTERM, and when its process may end.
+//! Planned stop of a gateway: which requests it still accepts after SIGTERM, and when its process may exit.
 //!
-//! Whoever distributes callers needs some seconds to notice that a gateway leaves, so new requests
-//! are served for a while. After that a request is refused at once, since it might not end before
-//! the process is killed: it has not run, and another gateway can serve it.
+//! A load balancer needs some seconds to detect that a gateway is shutting down, so new requests are still served for a
+//! while. After that, a request is refused immediately, because it might not end before the process is killed. A
+//! refused request has not run, and another gateway can serve it.
 
 use std::time::Duration;
 
-/// Time in which new callers may still be sent to a gateway that leaves.
-const LEAVING: Duration = Duration::from_millis(3_300);
-/// Time in which new requests are still served.
-const ACCEPTING: Duration = Duration::from_millis(2_900);
-/// The largest part of the grace in which new requests are still served.
-const ACCEPTING_PART: f64 = 0.4;
-/// How long before it would be killed the process ends by itself.
-const END_MARGIN: Duration = Duration::from_millis(300);
+/// Time after SIGTERM during which a load balancer may still send new callers to the gateway.
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(3_300);
+/// Maximum time after SIGTERM during which new requests are served.
+const MAX_ACCEPT_TIME: Duration = Duration::from_millis(2_900);
+/// Maximum fraction of the grace period during which new requests are served.
+const MAX_ACCEPT_FRACTION: f64 = 0.4;
+/// Time before the end of the grace period at which the process exits by itself, so that it is not killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// The plan of a stop.
+/// Rules for a planned stop with a given grace period.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopPlan {
     grace: Duration,
 }
 
 impl StopPlan {
-    /// A stop whose process is killed after `grace`.
+    /// Creates the plan for a process that is killed after the grace period `grace`.
     pub fn new(grace: Duration) -> Self {
         Self { grace }
     }
 
-    /// Whether a request that arrives this long after SIGTERM is served.
+    /// Returns whether a request that arrives `elapsed` after SIGTERM is served.
     pub fn accepts(&self, elapsed: Duration) -> bool {
-        elapsed < ACCEPTING.min(self.grace.mul_f64(ACCEPTING_PART))
+        elapsed < MAX_ACCEPT_TIME.min(self.grace.mul_f64(MAX_ACCEPT_FRACTION))
     }
 
-    /// Whether the process may end this long after SIGTERM.
+    /// Returns whether the process may exit `elapsed` after SIGTERM, with `in_flight` requests in progress.
     pub fn may_end(&self, elapsed: Duration, in_flight: u64) -> bool {
-        let last_moment = self.grace.saturating_sub(END_MARGIN);
-        let first_moment = LEAVING.min(last_moment);
-        elapsed >= last_moment || (elapsed >= first_moment && in_flight == 0)
+        let latest_exit = self.grace.saturating_sub(EXIT_MARGIN);
+        let earliest_exit = LOAD_BALANCER_DELAY.min(latest_exit);
+        elapsed >= latest_exit || (elapsed >= earliest_exit && in_flight == 0)
     }
 }
--- a/crates/forwarding/tests/placements.rs
+++ b/crates/forwarding/tests/placements.rs
@@ -1,5 +1,5 @@
-//! Requests that a scheduler places for other gateways: what its directory counts, what lost messages and
-//! lost gateways leave behind, and how evenly engines are loaded in a large fleet.
+//! Placement of requests by a scheduler for other gateways: counts in its directory, recovery after lost messages and
+//! crashed gateways, and even load of engines in a large fleet.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
@@ -77,8 +77,8 @@
     directory.engine_loads().iter().map(|load| load.sends).sum()
 }
 
-/// A scheduler with one gateway that asks it.
-struct Pair {
+/// A scheduler and one gateway that requests placements from it.
+struct SchedulerAndGateway {
     directory: Directory,
     ledger: PlacementLedger,
     book: PlacementBook,
@@ -93,7 +93,7 @@
     }
 }
 
-impl Pair {
+impl SchedulerAndGateway {
     fn new() -> Self {
         Self {
             directory: directory(1, 4, 1),
@@ -102,7 +102,7 @@
         }
     }
 
-    fn question(&mut self) -> PlacementMessage {
+    fn request_message(&mut self) -> PlacementMessage {
         let id = self.book.next_id();
         self.book
             .ask(SCHEDULER, request(id, PlacementNeed::Admission))
@@ -114,10 +114,10 @@
     }
 
     fn place(&mut self) -> PlacementId {
-        let message = self.question();
+        let message = self.request_message();
         match self.take(NOW, message) {
             Some(PlacementAnswer::Placed(placement)) => placement.id,
-            other => panic!("not placed: {other:?}"),
+            other => panic!("the request was not placed: {other:?}"),
         }
     }
 
@@ -134,139 +134,143 @@
 
 #[test]
 fn a_placement_counts_like_a_send_until_it_has_ended() {
-    let mut pair = Pair::new();
-    let id = pair.place();
-    assert_eq!(sends(&pair.directory), 1);
+    let mut fleet = SchedulerAndGateway::new();
+    let id = fleet.place();
+    assert_eq!(sends(&fleet.directory), 1);
     let latency = LATENCY;
-    pair.book
+    fleet
+        .book
         .tell(SCHEDULER, PlacementNotice::PromptRead { id, latency });
-    pair.end(id, SendResult::Answered { latency });
-    pair.deliver_notices();
-    assert_eq!(sends(&pair.directory), 0);
+    fleet.end(id, SendResult::Answered { latency });
+    fleet.deliver_notices();
+    assert_eq!(sends(&fleet.directory), 0);
 }
 
 #[test]
-fn an_end_that_was_lost_is_made_good_by_the_next_message() {
-    let mut pair = Pair::new();
-    let first = pair.place();
-    pair.end(first, SendResult::Answered { latency: LATENCY });
-    let lost = pair.book.flush();
-    assert_eq!(lost.len(), 1);
-    assert_eq!(sends(&pair.directory), 1);
-    pair.place();
-    assert_eq!(sends(&pair.directory), 1);
+fn a_placement_whose_end_notice_was_lost_is_closed_by_the_next_message() {
+    let mut fleet = SchedulerAndGateway::new();
+    let first = fleet.place();
+    fleet.end(first, SendResult::Answered { latency: LATENCY });
+    let lost_messages = fleet.book.flush();
+    assert_eq!(lost_messages.len(), 1);
+    assert_eq!(sends(&fleet.directory), 1);
+    fleet.place();
+    assert_eq!(sends(&fleet.directory), 1);
 }
 
 #[test]
-fn a_message_that_was_overtaken_closes_nothing() {
-    let mut pair = Pair::new();
-    let slow = pair.question();
-    pair.place();
-    assert!(pair.take(NOW, slow).is_some());
-    assert_eq!(sends(&pair.directory), 2);
+fn a_delayed_message_closes_no_newer_placement() {
+    let mut fleet = SchedulerAndGateway::new();
+    let delayed = fleet.request_message();
+    fleet.place();
+    assert!(fleet.take(NOW, delayed).is_some());
+    assert_eq!(sends(&fleet.directory), 2);
 }
 
 #[test]
-fn what_a_lost_gateway_held_open_ends_with_its_requests_time() {
-    let mut pair = Pair::new();
-    pair.place();
+fn placements_of_a_crashed_gateway_are_closed_after_the_deadlines_of_their_requests() {
+    let mut fleet = SchedulerAndGateway::new();
+    fleet.place();
     let before = NOW + TIME_LEFT;
-    pair.ledger.expire(before, &mut pair.directory);
-    assert_eq!(sends(&pair.directory), 1);
+    fleet.ledger.expire(before, &mut fleet.directory);
+    assert_eq!(sends(&fleet.directory), 1);
     let after = before + Duration::from_secs(2);
-    pair.ledger.expire(after, &mut pair.directory);
-    assert_eq!(sends(&pair.directory), 0);
-    assert!(pair.ledger.is_asked());
-    pair.ledger
-        .expire(after + Duration::from_secs(60), &mut pair.directory);
-    assert!(!pair.ledger.is_asked());
+    fleet.ledger.expire(after, &mut fleet.directory);
+    assert_eq!(sends(&fleet.directory), 0);
+    assert!(fleet.ledger.is_asked());
+    fleet
+        .ledger
+        .expire(after + Duration::from_secs(60), &mut fleet.directory);
+    assert!(!fleet.ledger.is_asked());
 }
 
 #[test]
-fn a_worker_that_proved_absent_is_passed_over_for_all() {
-    let mut pair = Pair::new();
-    let message = pair.question();
-    let Some(PlacementAnswer::Placed(first)) = pair.take(NOW, message) else {
-        panic!("not placed");
+fn an_absent_worker_is_skipped_for_all_gateways() {
+    let mut fleet = SchedulerAndGateway::new();
+    let message = fleet.request_message();
+    let Some(PlacementAnswer::Placed(first)) = fleet.take(NOW, message) else {
+        panic!("the request was not placed");
     };
-    pair.end(first.id, SendResult::Absent);
-    pair.deliver_notices();
+    fleet.end(first.id, SendResult::Absent);
+    fleet.deliver_notices();
     for _ in 0..8 {
-        let message = pair.question();
-        let Some(PlacementAnswer::Placed(next)) = pair.take(NOW, message) else {
-            panic!("not placed");
+        let message = fleet.request_message();
+        let Some(PlacementAnswer::Placed(next)) = fleet.take(NOW, message) else {
+            panic!("the request was not placed");
         };
         assert_ne!(next.worker, first.worker);
     }
 }
 
 #[test]
-fn a_scheduler_that_knows_no_worker_says_so() {
-    let mut pair = Pair::new();
-    pair.directory = directory(1, 0, 1);
-    let message = pair.question();
-    assert_eq!(pair.take(NOW, message), Some(PlacementAnswer::NoWorker));
-    assert_eq!(sends(&pair.directory), 0);
+fn a_scheduler_that_knows_no_worker_answers_so() {
+    let mut fleet = SchedulerAndGateway::new();
+    fleet.directory = directory(1, 0, 1);
+    let message = fleet.request_message();
+    assert_eq!(fleet.take(NOW, message), Some(PlacementAnswer::NoWorker));
+    assert_eq!(sends(&fleet.directory), 0);
 }
 
-/// Questions that one life of a gateway may have open, or answers to which may still be under way.
-const RECENT_QUESTIONS: usize = 10_000;
+/// Maximum number of requests of one gateway incarnation that may be open, or whose answers may still arrive.
+const MAX_RECENT_REQUESTS: usize = 10_000;
 
 #[test]
-fn an_answer_to_an_earlier_life_of_a_gateway_answers_no_question_of_the_next() {
-    let ids_of = |life: u64| {
-        let mut book = PlacementBook::new(GatewayKey::of("g-1", life));
-        std::iter::repeat_with(move || book.next_id()).take(RECENT_QUESTIONS)
+fn placement_ids_of_two_incarnations_of_a_gateway_do_not_overlap() {
+    let first_ids = |incarnation: u64| {
+        let mut book = PlacementBook::new(GatewayKey::of("g-1", incarnation));
+        std::iter::repeat_with(move || book.next_id()).take(MAX_RECENT_REQUESTS)
     };
-    let earlier: BTreeSet<PlacementId> = ids_of(0x5eed_0001_77aa_90c3).collect();
-    assert_eq!(earlier.len(), RECENT_QUESTIONS);
-    let both = ids_of(0xd00d_1234_0bad_cafe).filter(|id| earlier.contains(id));
+    let earlier: BTreeSet<PlacementId> = first_ids(0x5eed_0001_77aa_90c3).collect();
+    assert_eq!(earlier.len(), MAX_RECENT_REQUESTS);
+    let both = first_ids(0xd00d_1234_0bad_cafe).filter(|id| earlier.contains(id));
     assert_eq!(both.count(), 0);
 }
 
 #[test]
-fn a_worker_that_was_tried_is_not_chosen_again() {
-    let mut pair = Pair::new();
+fn a_worker_that_was_tried_is_not_selected_again() {
+    let mut fleet = SchedulerAndGateway::new();
     let avoid: Vec<WorkerId> = (0..3).map(|number| engine(number, 1).id).collect();
-    let id = pair.book.next_id();
+    let id = fleet.book.next_id();
     let need = PlacementNeed::Worker { need: Need::Run };
     let request = PlacementRequest {
         avoid,
         ..request(id, need)
     };
-    let message = pair.book.ask(SCHEDULER, request);
-    let Some(PlacementAnswer::Placed(placement)) = pair.take(NOW, message) else {
-        panic!("not placed");
+    let message = fleet.book.ask(SCHEDULER, request);
+    let Some(PlacementAnswer::Placed(placement)) = fleet.take(NOW, message) else {
+        panic!("the request was not placed");
     };
     assert_eq!(placement.worker, engine(3, 1).id);
 }
 
 #[test]
-fn a_silent_scheduler_is_passed_over_for_a_while() {
-    let mut pair = Pair::new();
-    let patience = pair.book.patience(SCHEDULER);
-    let id = pair.place();
-    pair.book.answered(SCHEDULER, Duration::from_millis(1));
-    assert!(pair.book.patience(SCHEDULER) < patience);
-    assert!(pair.book.is_usable(NOW, SCHEDULER));
-    pair.book.silent(NOW, SCHEDULER, id);
-    assert!(!pair.book.is_usable(NOW, SCHEDULER));
-    assert!(pair.book.is_usable(NOW + Duration::from_secs(5), SCHEDULER));
-    assert_eq!(pair.book.patience(SCHEDULER), patience);
+fn an_unresponsive_scheduler_is_skipped_for_a_while() {
+    let mut fleet = SchedulerAndGateway::new();
+    let timeout = fleet.book.patience(SCHEDULER);
+    let id = fleet.place();
+    fleet.book.answered(SCHEDULER, Duration::from_millis(1));
+    assert!(fleet.book.patience(SCHEDULER) < timeout);
+    assert!(fleet.book.is_usable(NOW, SCHEDULER));
+    fleet.book.silent(NOW, SCHEDULER, id);
+    assert!(!fleet.book.is_usable(NOW, SCHEDULER));
+    assert!(fleet
+        .book
+        .is_usable(NOW + Duration::from_secs(5), SCHEDULER));
+    assert_eq!(fleet.book.patience(SCHEDULER), timeout);
 }
 
 const LARGE_FLEET: usize = 1_000;
 const MANY_ENGINES: usize = 600;
 const ZONES: usize = 6;
 const REQUESTS: usize = 6_000;
-/// Requests under way at once.
-const UNDER_WAY: usize = 1_500;
-/// Requests of all gateways between two reports of a scheduler.
+/// Maximum number of requests in progress.
+const MAX_IN_PROGRESS: usize = 1_500;
+/// Number of requests of all gateways between two load reports of a scheduler.
 const REQUESTS_BETWEEN_REPORTS: usize = 30;
-/// Pause between two reports of a scheduler.
-const REPORT_PAUSE: Duration = Duration::from_millis(20);
-/// What the busiest engine gets over the mean.
-const MOST_UNEVEN: f64 = 1.5;
+/// Interval between two load reports of a scheduler.
+const REPORT_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum ratio between the requests of the busiest engine and the mean.
+const MAX_BUSIEST_OVER_MEAN: f64 = 1.5;
 
 fn busiest_over_mean(placed: &BTreeMap<WorkerId, u32>) -> f64 {
     let total: u32 = placed.values().sum();
@@ -274,20 +278,20 @@
     f64::from(busiest) / (f64::from(total) / MANY_ENGINES as f64)
 }
 
-/// A placement under way: at which scheduler, and for which gateway.
-struct UnderWay {
+/// An open placement, with its scheduler and its gateway.
+struct OpenPlacement {
     scheduler: String,
     sender: GatewayKey,
     id: PlacementId,
 }
 
-/// A large fleet whose schedulers report to each other.
+/// A large fleet whose schedulers send each other load reports.
 struct LargeFleet {
     gateways: Vec<SchedulerCandidate>,
     plan: SchedulerPlan,
     schedulers: BTreeMap<String, (Directory, PlacementLedger)>,
     placed: BTreeMap<WorkerId, u32>,
-    under_way: VecDeque<UnderWay>,
+    open: VecDeque<OpenPlacement>,
 }
 
 impl LargeFleet {
@@ -300,18 +304,23 @@
             })
             .collect();
         let plan = SchedulerPlan::new(gateways.clone());
-        let schedulers = gateways.iter().filter(|one| plan.is_scheduler(&one.name));
-        let schedulers = schedulers.enumerate().map(|(number, one)| {
+        let schedulers = gateways
+            .iter()
+            .filter(|candidate| plan.is_scheduler(&candidate.name));
+        let schedulers = schedulers.enumerate().map(|(number, candidate)| {
             let mut directory = directory(number as u64, MANY_ENGINES, ZONES);
-            directory.set_exchange(plan.schedulers() - 1, REPORT_PAUSE);
-            (one.name.clone(), (directory, PlacementLedger::default()))
+            directory.set_exchange(plan.schedulers() - 1, REPORT_INTERVAL);
+            (
+                candidate.name.clone(),
+                (directory, PlacementLedger::default()),
+            )
         });
         Self {
             schedulers: schedulers.collect(),
             gateways,
             plan,
             placed: BTreeMap::new(),
-            under_way: VecDeque::new(),
+            open: VecDeque::new(),
         }
     }
 
@@ -334,10 +343,10 @@
         };
         let answer = ledger.take(now, directory, &gateway.zone, message);
         let Some(PlacementAnswer::Placed(placement)) = answer else {
-            panic!("not placed: {answer:?}");
+            panic!("the request was not placed: {answer:?}");
         };
         *self.placed.entry(placement.worker).or_default() += 1;
-        self.under_way.push_back(UnderWay {
+        self.open.push_back(OpenPlacement {
             scheduler: name,
             sender,
             id,
@@ -345,7 +354,7 @@
     }
 
     fn end_oldest(&mut self, now: Timestamp) {
-        let Some(oldest) = self.under_way.pop_front() else {
+        let Some(oldest) = self.open.pop_front() else {
             return;
         };
         let (directory, ledger) = self
@@ -382,22 +391,25 @@
     let mut now = NOW;
     for number in 0..REQUESTS {
         fleet.place(now, number);
-        if fleet.under_way.len() > UNDER_WAY {
+        if fleet.open.len() > MAX_IN_PROGRESS {
             fleet.end_oldest(now);
         }
         if number % REQUESTS_BETWEEN_REPORTS == 0 {
-            now = now + REPORT_PAUSE;
+            now = now + REPORT_INTERVAL;
             fleet.exchange_reports(now);
         }
     }
-    let uneven = busiest_over_mean(&fleet.placed);
-    assert!(uneven <= MOST_UNEVEN, "busiest over mean: {uneven}");
+    let busiest_over_mean = busiest_over_mean(&fleet.placed);
+    assert!(
+        busiest_over_mean <= MAX_BUSIEST_OVER_MEAN,
+        "busiest over mean: {busiest_over_mean}"
+    );
 }
 
-/// What the schedulers are for: gateways that place their own requests and know nothing of the others'
-/// load are beyond the bound that the test above holds.
+/// Shows why schedulers are needed: gateways that place their own requests and do not know the load of the others
+/// exceed the bound of the test above.
 #[test]
-fn a_thousand_gateways_by_themselves_load_engines_unevenly() {
+fn a_thousand_gateways_without_schedulers_load_engines_unevenly() {
     let mut placed: BTreeMap<WorkerId, u32> = BTreeMap::new();
     let directory = directory(1, MANY_ENGINES, ZONES);
     for number in 0..REQUESTS {
@@ -416,5 +428,5 @@
         let worker = worker.expect("a worker").id.clone();
         *placed.entry(worker).or_default() += 1;
     }
-    assert!(busiest_over_mean(&placed) > MOST_UNEVEN);
+    assert!(busiest_over_mean(&placed) > MAX_BUSIEST_OVER_MEAN);
 }
--- a/crates/forwarding/tests/quarantine_together.rs
+++ b/crates/forwarding/tests/quarantine_together.rs
@@ -1,4 +1,4 @@
-//! Gateways count together the workers that end under a request.
+//! Gateways jointly count the workers that end while running a request.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,17 +10,17 @@
 use tansyhall_forwarding::{Audience, Fingerprint, Quarantine, QuarantineNews, WorkerKey};
 
 const SEED: u64 = 34;
-const DEADLY: Fingerprint = Fingerprint(1);
-const BESIDE: Fingerprint = Fingerprint(2);
-/// The time in which gateways must know.
-const CONTACT: Duration = Duration::from_secs(3);
+const CRASHING: Fingerprint = Fingerprint(1);
+const HARMLESS: Fingerprint = Fingerprint(2);
+/// Time within which gateways must learn of each other's changes.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(3);
 const STEP: Duration = Duration::from_millis(50);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
 }
 
-/// Gateways that hear each other, the first `listeners` of them the reports.
+/// Gateways that send each other updates. The first `listeners` of them also receive load reports.
 struct Fleet {
     gateways: Vec<Quarantine>,
     listeners: usize,
@@ -36,33 +36,33 @@
         }
     }
 
-    fn end(&mut self, gateway: usize, worker: u64, requests: &[Fingerprint]) {
+    fn record_worker_end(&mut self, gateway: usize, worker: u64, requests: &[Fingerprint]) {
         let requests = requests.iter().copied();
         self.gateways[gateway].worker_ended(self.now, WorkerKey(worker), requests);
     }
 
-    /// Lets gateways tell each other for a while; `arrives` says which messages do.
+    /// Lets gateways exchange updates for `time`. `arrives` decides for each message whether it arrives.
     fn exchange_for(&mut self, time: Duration, arrives: &mut dyn FnMut() -> bool) {
         let until = self.now + time;
         while self.now < until {
             for sender in 0..self.gateways.len() {
-                self.tell(sender, arrives);
+                self.send_updates(sender, arrives);
             }
             self.now = self.now + STEP;
         }
     }
 
     fn exchange(&mut self) {
-        self.exchange_for(CONTACT, &mut || true);
+        self.exchange_for(PROPAGATION_LIMIT, &mut || true);
     }
 
-    fn tell(&mut self, sender: usize, arrives: &mut dyn FnMut() -> bool) {
+    fn send_updates(&mut self, sender: usize, arrives: &mut dyn FnMut() -> bool) {
         for outgoing in self.gateways[sender].due(self.now) {
-            let told = match outgoing.audience {
+            let receivers = match outgoing.audience {
                 Audience::Listeners => self.listeners,
                 Audience::All => self.gateways.len(),
             };
-            for receiver in (0..told).filter(|receiver| *receiver != sender) {
+            for receiver in (0..receivers).filter(|receiver| *receiver != sender) {
                 if arrives() {
                     self.hear(receiver, sender, &outgoing.news);
                 }
@@ -77,7 +77,7 @@
         self.gateways[sender].hear(self.now, &heard.reply, relays);
     }
 
-    fn barring(&self, fingerprint: Fingerprint) -> usize {
+    fn gateways_barring(&self, fingerprint: Fingerprint) -> usize {
         let gateways = self.gateways.iter();
         gateways
             .filter(|gateway| gateway.is_barred(fingerprint))
@@ -86,178 +86,190 @@
 }
 
 #[test]
-fn ends_that_different_gateways_saw_add_up() {
+fn worker_ends_observed_by_different_gateways_add_up() {
     let mut fleet = Fleet::new(5, 5);
     for gateway in 0..ENDS_TO_BAR {
-        assert_eq!(fleet.barring(DEADLY), 0);
-        fleet.end(gateway, gateway as u64, &[DEADLY]);
+        assert_eq!(fleet.gateways_barring(CRASHING), 0);
+        fleet.record_worker_end(gateway, gateway as u64, &[CRASHING]);
         fleet.exchange_for(STEP, &mut || true);
     }
-    assert_eq!(fleet.barring(DEADLY), 5);
+    assert_eq!(fleet.gateways_barring(CRASHING), 5);
 }
 
 #[test]
-fn in_a_large_fleet_those_that_listen_put_it_together_for_all() {
+fn in_a_large_fleet_listeners_combine_worker_ends_for_all_gateways() {
     let mut fleet = Fleet::new(200, 6);
     for number in 0..ENDS_TO_BAR {
-        fleet.end(100 + number, number as u64, &[DEADLY]);
+        fleet.record_worker_end(100 + number, number as u64, &[CRASHING]);
     }
     fleet.exchange();
-    assert_eq!(fleet.barring(DEADLY), 200);
+    assert_eq!(fleet.gateways_barring(CRASHING), 200);
 }
 
 #[test]
-fn one_worker_that_several_gateways_saw_end_counts_once() {
+fn a_worker_end_observed_by_several_gateways_counts_once() {
     let mut fleet = Fleet::new(5, 5);
     for gateway in 0..5 {
-        fleet.end(gateway, 7, &[DEADLY, BESIDE]);
-        fleet.end(gateway, 8, &[DEADLY]);
+        fleet.record_worker_end(gateway, 7, &[CRASHING, HARMLESS]);
+        fleet.record_worker_end(gateway, 8, &[CRASHING]);
     }
     fleet.exchange();
-    assert_eq!(fleet.barring(DEADLY), 0);
+    assert_eq!(fleet.gateways_barring(CRASHING), 0);
 }
 
 #[test]
-fn a_request_that_was_answered_after_its_ends_starts_again_everywhere() {
+fn an_answer_resets_the_count_of_a_request_on_all_gateways() {
     let mut fleet = Fleet::new(5, 5);
     for gateway in 0..2 {
-        fleet.end(gateway, gateway as u64, &[DEADLY, BESIDE]);
+        fleet.record_worker_end(gateway, gateway as u64, &[CRASHING, HARMLESS]);
     }
     fleet.exchange();
     let now = fleet.now;
-    fleet.gateways[4].answered(now, BESIDE);
+    fleet.gateways[4].answered(now, HARMLESS);
     fleet.exchange();
-    fleet.end(3, 3, &[DEADLY, BESIDE]);
+    fleet.record_worker_end(3, 3, &[CRASHING, HARMLESS]);
     fleet.exchange();
-    assert_eq!((fleet.barring(DEADLY), fleet.barring(BESIDE)), (5, 0));
+    assert_eq!(
+        (
+            fleet.gateways_barring(CRASHING),
+            fleet.gateways_barring(HARMLESS)
+        ),
+        (5, 0)
+    );
 }
 
 #[test]
-fn a_request_that_another_gateway_saw_answered_lately_is_not_barred() {
+fn a_request_that_another_gateway_saw_answered_recently_is_not_barred() {
     let mut fleet = Fleet::new(5, 5);
     let now = fleet.now;
-    fleet.gateways[4].answered(now, BESIDE);
+    fleet.gateways[4].answered(now, HARMLESS);
     for worker in 0..3 {
-        fleet.end(0, worker, &[DEADLY, BESIDE]);
+        fleet.record_worker_end(0, worker, &[CRASHING, HARMLESS]);
     }
     fleet.exchange();
-    assert_eq!((fleet.barring(DEADLY), fleet.barring(BESIDE)), (5, 0));
+    assert_eq!(
+        (
+            fleet.gateways_barring(CRASHING),
+            fleet.gateways_barring(HARMLESS)
+        ),
+        (5, 0)
+    );
 }
 
 #[test]
-fn an_answer_of_before_speaks_for_a_request_once() {
+fn an_earlier_answer_clears_a_request_only_once() {
     let mut fleet = Fleet::new(5, 5);
     let now = fleet.now;
-    fleet.gateways[4].answered(now, DEADLY);
+    fleet.gateways[4].answered(now, CRASHING);
     for worker in 0..6 {
-        fleet.end(0, worker, &[DEADLY]);
+        fleet.record_worker_end(0, worker, &[CRASHING]);
         fleet.exchange_for(STEP, &mut || true);
     }
-    assert_eq!(fleet.barring(DEADLY), 5);
+    assert_eq!(fleet.gateways_barring(CRASHING), 5);
 }
 
 #[test]
-fn an_answer_that_is_still_under_way_lifts_the_bar() {
+fn an_answer_that_arrives_after_the_bar_lifts_it() {
     let mut fleet = Fleet::new(5, 5);
     for worker in 0..3 {
-        fleet.end(0, worker, &[BESIDE]);
+        fleet.record_worker_end(0, worker, &[HARMLESS]);
     }
     fleet.exchange();
-    assert_eq!(fleet.barring(BESIDE), 5);
+    assert_eq!(fleet.gateways_barring(HARMLESS), 5);
     let now = fleet.now;
-    fleet.gateways[2].answered(now, BESIDE);
+    fleet.gateways[2].answered(now, HARMLESS);
     fleet.exchange();
-    assert_eq!(fleet.barring(BESIDE), 0);
+    assert_eq!(fleet.gateways_barring(HARMLESS), 0);
 }
 
 #[test]
-fn a_gateway_that_starts_learns_of_a_bar_with_its_first_end() {
+fn a_restarted_gateway_learns_of_a_bar_after_its_first_worker_end() {
     let mut fleet = Fleet::new(3, 3);
     for worker in 0..3 {
-        fleet.end(0, worker, &[DEADLY]);
+        fleet.record_worker_end(0, worker, &[CRASHING]);
     }
     fleet.exchange();
     fleet.gateways[2] = Quarantine::default();
-    fleet.end(2, 9, &[DEADLY]);
+    fleet.record_worker_end(2, 9, &[CRASHING]);
     fleet.exchange_for(STEP, &mut || true);
-    assert!(fleet.gateways[2].is_barred(DEADLY));
+    assert!(fleet.gateways[2].is_barred(CRASHING));
 }
 
 #[test]
-fn what_the_store_lists_is_barred_until_it_lists_it_no_more() {
+fn a_request_that_the_store_lists_is_barred_until_it_is_no_longer_listed() {
     let mut gateway = Quarantine::default();
-    let listed = BTreeSet::from([DEADLY]);
-    assert_eq!(gateway.set_listed(at(0), &listed), [DEADLY]);
+    let listed = BTreeSet::from([CRASHING]);
+    assert_eq!(gateway.set_listed(at(0), &listed), [CRASHING]);
     assert!(gateway.set_listed(at(1), &listed).is_empty());
-    assert!(gateway.is_barred(DEADLY));
+    assert!(gateway.is_barred(CRASHING));
     gateway.set_listed(at(2), &BTreeSet::new());
-    assert!(!gateway.is_barred(DEADLY));
+    assert!(!gateway.is_barred(CRASHING));
 }
 
 #[test]
-fn a_bar_that_is_lifted_is_taken_off_the_list_unless_it_comes_back() {
+fn a_lifted_bar_is_to_be_removed_from_the_list_unless_it_returns() {
     let mut gateway = Quarantine::default();
-    let listed = BTreeSet::from([DEADLY]);
+    let listed = BTreeSet::from([CRASHING]);
     gateway.set_listed(at(0), &listed);
-    gateway.answered(at(1), DEADLY);
+    gateway.answered(at(1), CRASHING);
     gateway.set_listed(at(2), &listed);
-    assert!(!gateway.is_barred(DEADLY));
-    assert_eq!(gateway.listed_in_vain().collect::<Vec<_>>(), [DEADLY]);
+    assert!(!gateway.is_barred(CRASHING));
+    assert_eq!(gateway.listed_in_vain().collect::<Vec<_>>(), [CRASHING]);
     for worker in 0..3 {
-        gateway.worker_ended(at(3), WorkerKey(worker), [DEADLY]);
+        gateway.worker_ended(at(3), WorkerKey(worker), [CRASHING]);
     }
-    assert!(gateway.is_barred(DEADLY));
+    assert!(gateway.is_barred(CRASHING));
     assert_eq!(gateway.listed_in_vain().count(), 0);
 }
 
 #[test]
-fn what_is_barred_is_to_be_listed_until_it_is() {
+fn a_barred_request_is_reported_as_unlisted_until_it_is_listed() {
     let mut gateway = Quarantine::default();
     for worker in 0..3 {
         assert_eq!(gateway.unlisted().count(), 0);
-        gateway.worker_ended(at(worker), WorkerKey(worker), [DEADLY]);
+        gateway.worker_ended(at(worker), WorkerKey(worker), [CRASHING]);
     }
     let unlisted: Vec<_> = gateway.unlisted().collect();
     assert_eq!(unlisted.len(), 1);
     assert_eq!((unlisted[0].since, unlisted[0].ends), (at(2), 3));
-    gateway.set_listed(at(4), &BTreeSet::from([DEADLY]));
+    gateway.set_listed(at(4), &BTreeSet::from([CRASHING]));
     assert_eq!(gateway.unlisted().count(), 0);
 }
 
 #[test]
-fn ends_are_forgotten_long_after_the_last() {
+fn worker_ends_expire_after_the_last_one() {
     let mut gateway = Quarantine::default();
     for worker in 0..3 {
-        gateway.worker_ended(at(0), WorkerKey(worker), [DEADLY]);
+        gateway.worker_ended(at(0), WorkerKey(worker), [CRASHING]);
     }
     gateway.expire(at(0) + MEMORY);
-    assert!(gateway.is_barred(DEADLY));
+    assert!(gateway.is_barred(CRASHING));
     gateway.expire(at(1) + MEMORY);
-    assert!(!gateway.is_barred(DEADLY));
+    assert!(!gateway.is_barred(CRASHING));
 }
 
 #[test]
-fn callers_who_vary_their_bodies_push_out_no_bar() {
+fn callers_that_vary_their_bodies_do_not_evict_a_barred_request() {
     let mut gateway = Quarantine::default();
     for worker in 0..3 {
-        gateway.worker_ended(at(0), WorkerKey(worker), [DEADLY]);
+        gateway.worker_ended(at(0), WorkerKey(worker), [CRASHING]);
     }
     for number in 0..20_000 {
         let varied = Fingerprint(1_000 + number);
         gateway.worker_ended(at(1 + number), WorkerKey(number), [varied]);
         gateway.answered(at(1 + number), Fingerprint(1_000_000 + number));
     }
-    assert!(gateway.is_barred(DEADLY));
+    assert!(gateway.is_barred(CRASHING));
     assert_eq!(gateway.barred(), 1);
 }
 
 proptest! {
     #![proptest_config(fixed_cases(SEED))]
 
-    /// One message in three is lost: within the time for contact all bar it all the same.
+    /// One message in three is lost: all gateways still bar the request within the time limit.
     #[test]
-    fn lost_messages_are_made_good(
-        saw in prop::collection::vec(0_usize..6, ENDS_TO_BAR),
+    fn repeated_messages_make_up_for_lost_ones(
+        observers in prop::collection::vec(0_usize..6, ENDS_TO_BAR),
         lost in prop::collection::vec(prop::bool::weighted(0.33), 64),
     ) {
         let mut fleet = Fleet::new(6, 6);
@@ -266,23 +278,23 @@
             number += 1;
             !lost[number % lost.len()]
         };
-        for (worker, gateway) in saw.into_iter().enumerate() {
-            fleet.end(gateway, worker as u64, &[DEADLY]);
+        for (worker, gateway) in observers.into_iter().enumerate() {
+            fleet.record_worker_end(gateway, worker as u64, &[CRASHING]);
             fleet.exchange_for(STEP, &mut arrives);
         }
-        fleet.exchange_for(CONTACT, &mut arrives);
-        prop_assert_eq!(fleet.barring(DEADLY), 6);
+        fleet.exchange_for(PROPAGATION_LIMIT, &mut arrives);
+        prop_assert_eq!(fleet.gateways_barring(CRASHING), 6);
     }
 
-    /// Whatever is told in whatever order, as often as it is: fewer ends than needed bar nothing.
+    /// Updates that are repeated and reordered do not bar a request with fewer worker ends than needed.
     #[test]
-    fn repeated_and_reordered_news_add_nothing(
+    fn repeated_and_reordered_updates_add_nothing(
         order in prop::collection::vec((0_usize..6, 0_usize..4), 1..60),
     ) {
         let mut fleet = Fleet::new(6, 6);
         let mut messages = Vec::new();
         for worker in 0..(ENDS_TO_BAR - 1) {
-            fleet.end(worker, worker as u64, &[DEADLY]);
+            fleet.record_worker_end(worker, worker as u64, &[CRASHING]);
             let now = fleet.now;
             let due = fleet.gateways[worker].due(now);
             messages.extend(due.into_iter().map(|outgoing| outgoing.news));
@@ -291,16 +303,16 @@
             let news = messages[message % messages.len()].clone();
             fleet.hear(receiver, 0, &news);
         }
-        prop_assert_eq!(fleet.barring(DEADLY), 0);
+        prop_assert_eq!(fleet.gateways_barring(CRASHING), 0);
     }
 }
 
 #[test]
-fn gateways_that_know_many_ends_of_different_workers_do_not_answer_each_other_for_ever() {
+fn gateways_that_know_many_ends_of_different_workers_stop_answering_each_other() {
     let mut fleet = Fleet::new(2, 2);
     for worker in 0..20 {
-        fleet.end(0, worker, &[DEADLY]);
-        fleet.end(1, 100 + worker, &[DEADLY]);
+        fleet.record_worker_end(0, worker, &[CRASHING]);
+        fleet.record_worker_end(1, 100 + worker, &[CRASHING]);
     }
     let mut news = fleet.gateways[0].due(fleet.now).remove(0).news;
     for answers in 0..3 {
@@ -310,5 +322,5 @@
         }
         news = heard.reply;
     }
-    panic!("they go on");
+    panic!("the gateways still answer each other after three messages");
 }
--- a/crates/forwarding/tests/relay_plan.rs
+++ b/crates/forwarding/tests/relay_plan.rs
@@ -1,4 +1,4 @@
-//! Who relays the store's changes in a zone, and what follows when a relay or the store fails.
+//! Selection of the gateways that relay the store's changes in a zone, and fallbacks when a relay or the store fails.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,13 +11,13 @@
 
 /// Seed of the property tests.
 const SEED: u64 = 20_261_203;
-const FRESH: Duration = Duration::from_millis(300);
-const STALE: Duration = Duration::from_millis(2_000);
-const SECOND: u64 = 1_000;
-/// Gateways of a zone that ask the store when their knowledge is two seconds old,
-const FIRST: usize = 7;
-/// and how much older it is for each other one.
-const LATER_STEP: Duration = Duration::from_millis(400);
+const FRESH_AGE: Duration = Duration::from_millis(300);
+const STALE_AGE: Duration = Duration::from_millis(2_000);
+const SECOND_MS: u64 = 1_000;
+/// Maximum number of gateways of a zone that ask the store when their copy is two seconds old.
+const MAX_EARLY_ASKERS: usize = 7;
+/// Additional age of the copy at which each further gateway asks the store.
+const LATER_SUCCESSOR_STEP: Duration = Duration::from_millis(400);
 
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|number| format!("g-{number}")).collect()
@@ -30,7 +30,7 @@
     }
 }
 
-fn borrowed(names: &[String]) -> Vec<RelayCandidate<'_>> {
+fn candidates(names: &[String]) -> Vec<RelayCandidate<'_>> {
     names.iter().map(|name| candidate(name)).collect()
 }
 
@@ -46,13 +46,13 @@
     Timestamp::from_millis(millis)
 }
 
-/// The relay that the others ask, and the index of one that asks it.
+/// Returns the relay that the other gateways ask, and the index of a gateway that asks it.
 fn relay_and_subscriber(
     plans: &mut [RelayPlan],
     members: &[RelayCandidate<'_>],
 ) -> (String, usize) {
     let asked = plans.iter_mut().enumerate().find_map(|(index, plan)| {
-        match plan.upstream(at(0), members, FRESH) {
+        match plan.upstream(at(0), members, FRESH_AGE) {
             Upstream::Relay(relay) => Some((relay, index)),
             _ => None,
         }
@@ -63,19 +63,19 @@
 proptest! {
     #![proptest_config(fixed_cases(SEED))]
 
-    /// Gateways that know the same members agree: one follows the store, and every other asks it, or one of
-    /// as many relays as the zone needs, which ask it themselves.
+    /// Gateways that know the same members agree: one gateway follows the store, and every other one asks it or another
+    /// relay, which asks it in turn. There are no more relays than the zone needs.
     #[test]
     fn a_zone_agrees_on_its_relays(count in 1_usize..100) {
         let names = names(count);
-        let members = borrowed(&names);
+        let members = candidates(&names);
         let mut followers = BTreeSet::new();
         let mut asked = BTreeMap::new();
         for (name, plan) in names.iter().zip(&mut plans(&names)) {
-            match plan.upstream(at(0), &members, FRESH) {
+            match plan.upstream(at(0), &members, FRESH_AGE) {
                 Upstream::Store => { followers.insert(name.clone()); }
                 Upstream::Relay(relay) => { asked.insert(name.clone(), relay); }
-                Upstream::Nobody => prop_assert!(false, "somebody can be asked"),
+                Upstream::Nobody => prop_assert!(false, "the store or a gateway can be asked"),
             }
         }
         prop_assert_eq!(followers.len(), 1);
@@ -87,101 +87,107 @@
         }
     }
 
-    /// Whatever has failed, a gateway with old knowledge comes to ask the store within a second: with knowledge
-    /// of two seconds the first few of a zone, later the others one after the other.
+    /// After any failures, a gateway with an old copy asks the store within a second. With a copy that is two seconds
+    /// old, the first few gateways of a zone do so; the others follow one after the other as their copies get older.
     #[test]
-    fn old_knowledge_leads_to_the_store(
+    fn a_gateway_with_an_old_copy_asks_the_store(
         count in 1_usize..40,
         failures in prop::collection::vec((0_usize..40, any::<bool>()), 0..60),
     ) {
         let names = names(count);
-        let members = borrowed(&names);
+        let members = candidates(&names);
         let mut plan = plans(&names).remove(0);
         plan.store_failed(at(0));
         for (index, silent) in failures {
             let name = &names[index % count];
             match silent {
                 true => plan.relay_failed(at(0), name),
-                false => plan.relay_answered(at(0), name, STALE),
+                false => plan.relay_answered(at(0), name, STALE_AGE),
             }
         }
-        let age = STALE + LATER_STEP * count.saturating_sub(FIRST) as u32;
+        let age = STALE_AGE + LATER_SUCCESSOR_STEP * count.saturating_sub(MAX_EARLY_ASKERS) as u32;
         let asked = (0..10).map(|step| plan.upstream(at(step * 100), &members, age));
         prop_assert!(asked.into_iter().any(|upstream| upstream == Upstream::Store));
     }
 }
 
 #[test]
-fn a_gateway_that_knows_nobody_asks_the_store() {
+fn a_gateway_that_knows_no_other_one_asks_the_store() {
     let mut plan = RelayPlan::new(candidate("a"), &ZoneName::new("z"));
-    assert_eq!(plan.upstream(at(0), &[], FRESH), Upstream::Store);
+    assert_eq!(plan.upstream(at(0), &[], FRESH_AGE), Upstream::Store);
 }
 
 #[test]
-fn the_next_of_the_ranking_replaces_a_silent_relay() {
+fn the_next_gateway_of_the_ranking_replaces_an_unresponsive_relay() {
     let names = names(5);
-    let members = borrowed(&names);
+    let members = candidates(&names);
     let mut plans = plans(&names);
     let (relay, _) = relay_and_subscriber(&mut plans, &members);
-    let mut following = Vec::new();
+    let mut successors = Vec::new();
     for (name, plan) in names.iter().zip(&mut plans) {
         if *name == relay {
             continue;
         }
         plan.relay_failed(at(0), &relay);
-        if plan.upstream(at(1), &members, FRESH) == Upstream::Store {
-            following.push(name);
+        if plan.upstream(at(1), &members, FRESH_AGE) == Upstream::Store {
+            successors.push(name);
         }
     }
-    assert_eq!(following.len(), 1, "one successor");
+    assert_eq!(successors.len(), 1, "one successor");
 }
 
 #[test]
-fn a_relay_that_tells_old_news_is_passed_over_for_a_while() {
+fn a_relay_that_sends_outdated_changes_is_skipped_for_a_while() {
     let names = names(6);
-    let members = borrowed(&names);
+    let members = candidates(&names);
     let mut plans = plans(&names);
     let (relay, subscriber) = relay_and_subscriber(&mut plans, &members);
     let plan = &mut plans[subscriber];
-    plan.relay_answered(at(0), &relay, PATIENCE + FRESH);
+    plan.relay_answered(at(0), &relay, PATIENCE + FRESH_AGE);
     assert_ne!(
-        plan.upstream(at(1), &members, FRESH),
+        plan.upstream(at(1), &members, FRESH_AGE),
         Upstream::Relay(relay.clone())
     );
     assert_eq!(
-        plan.upstream(at(5 * SECOND), &members, FRESH),
+        plan.upstream(at(5 * SECOND_MS), &members, FRESH_AGE),
         Upstream::Relay(relay)
     );
 }
 
 #[test]
-fn a_relay_that_the_store_refuses_asks_another_gateway_in_between() {
+fn a_relay_that_the_store_refuses_asks_another_gateway_between_its_attempts() {
     let names = names(4);
-    let members = borrowed(&names);
+    let members = candidates(&names);
     let mut plans = plans(&names);
     let (relay, _) = relay_and_subscriber(&mut plans, &members);
     let index = names.iter().position(|name| *name == relay);
     let plan = &mut plans[index.expect("a member")];
-    assert_eq!(plan.upstream(at(0), &members, STALE), Upstream::Store);
+    assert_eq!(plan.upstream(at(0), &members, STALE_AGE), Upstream::Store);
     plan.store_failed(at(0));
-    let asked = plan.upstream(at(10), &members, STALE);
+    let asked = plan.upstream(at(10), &members, STALE_AGE);
     assert!(matches!(asked, Upstream::Relay(other) if other != relay));
-    assert_eq!(plan.upstream(at(SECOND), &members, FRESH), Upstream::Store);
+    assert_eq!(
+        plan.upstream(at(SECOND_MS), &members, FRESH_AGE),
+        Upstream::Store
+    );
 }
 
 #[test]
-fn nobody_is_asked_while_everything_has_just_failed() {
+fn no_source_is_asked_while_all_have_just_failed() {
     let names = names(2);
-    let members = borrowed(&names);
+    let members = candidates(&names);
     let mut plan = plans(&names).remove(0);
     plan.store_failed(at(0));
     plan.relay_failed(at(0), "g-1");
-    assert_eq!(plan.upstream(at(10), &members, STALE), Upstream::Nobody);
-    assert_eq!(plan.upstream(at(SECOND), &members, STALE), Upstream::Store);
+    assert_eq!(plan.upstream(at(10), &members, STALE_AGE), Upstream::Nobody);
+    assert_eq!(
+        plan.upstream(at(SECOND_MS), &members, STALE_AGE),
+        Upstream::Store
+    );
 }
 
 #[test]
-fn relays_that_are_as_far_behind_do_not_keep_a_gateway_from_reading_everything() {
+fn answers_of_relays_with_an_equally_old_copy_do_not_prevent_reading_a_snapshot() {
     let mut continuation = Continuation::default();
     continuation.was_read_whole();
     assert!(!continuation.reads_whole());
@@ -191,7 +197,7 @@
 }
 
 #[test]
-fn a_relay_that_is_ahead_says_from_where_to_go_on() {
+fn after_the_answer_of_a_relay_with_a_newer_copy_changes_are_requested() {
     let mut continuation = Continuation::default();
     continuation.store_failed();
     continuation.relay_answered(Position::new(0, 7), Position::new(0, 9));
@@ -199,7 +205,7 @@
 }
 
 #[test]
-fn the_strongest_gateways_relay() {
+fn the_gateways_with_the_most_processor_time_relay() {
     let names = names(100);
     let zone = ZoneName::new("z");
     let capacity = |number: usize| if number % 10 == 3 { 0.5 } else { 0.12 };
@@ -212,26 +218,27 @@
         })
         .collect();
     for (number, own) in members.iter().enumerate() {
-        let asked = RelayPlan::new(*own, &zone).upstream(at(0), &members, FRESH);
+        let asked = RelayPlan::new(*own, &zone).upstream(at(0), &members, FRESH_AGE);
         if asked == Upstream::Store {
             assert_eq!(capacity(number), 0.5, "{}", own.name);
         }
     }
 }
 
-/// A store that says nothing for two seconds is not asked by all gateways at once.
+/// Guards against requests of all gateways at once to a store that has not answered for two seconds.
 #[test]
-fn old_knowledge_leads_few_gateways_of_a_zone_to_the_store_however_many_they_are() {
+fn few_gateways_of_a_zone_with_old_copies_ask_the_store_at_once() {
     for count in [20, 164, 328] {
         let names = names(count);
-        let members = borrowed(&names);
+        let members = candidates(&names);
         let mut plans = plans(&names);
-        let asks = |plan: &mut RelayPlan| plan.upstream(at(0), &members, STALE) == Upstream::Store;
+        let asks =
+            |plan: &mut RelayPlan| plan.upstream(at(0), &members, STALE_AGE) == Upstream::Store;
         let asking = plans
             .iter_mut()
             .filter_map(|plan| asks(plan).then_some(()))
             .count();
-        let most = FIRST + count.div_ceil(GATEWAYS_PER_RELAY);
-        assert!((2..=most).contains(&asking), "{asking} of {count}");
+        let max_asking = MAX_EARLY_ASKERS + count.div_ceil(GATEWAYS_PER_RELAY);
+        assert!((2..=max_asking).contains(&asking), "{asking} of {count}");
     }
 }
--- a/crates/forwarding/tests/request_machine.rs
+++ b/crates/forwarding/tests/request_machine.rs
@@ -1,4 +1,4 @@
-//! One request's life: what each failure leads to, and what its caller is told.
+//! State machine of a request: the action that follows each failure, and the result for the caller.
 
 use proptest::prelude::*;
 use tansyhall_fixed_cases::fixed_cases;
@@ -8,7 +8,7 @@
 };
 
 const RESUMABLE: Repeatability = Repeatability::Stream { resumable: true };
-const FINAL_STREAM: Repeatability = Repeatability::Stream { resumable: false };
+const NON_RESUMABLE_STREAM: Repeatability = Repeatability::Stream { resumable: false };
 
 fn machine(repeatability: Repeatability, max_attempts: u32, read_apart: bool) -> RequestMachine {
     RequestMachine::new(AttemptPolicy {
@@ -26,8 +26,8 @@
     RequestEvent::Selected(Some(worker(name)))
 }
 
-/// A machine whose request runs on worker `a`.
-fn running(repeatability: Repeatability, max_attempts: u32) -> RequestMachine {
+/// Returns a machine whose request runs on worker `a`.
+fn running_machine(repeatability: Repeatability, max_attempts: u32) -> RequestMachine {
     let mut machine = machine(repeatability, max_attempts, false);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("a"));
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_request_that_did_not_run_goes_to_another_worker() {
-    let mut machine = running(Repeatability::AtMostOnce, 1);
+    let mut machine = running_machine(Repeatability::AtMostOnce, 1);
     let action = machine.step(RequestEvent::Failed(SendFailure::NotRun));
     assert_eq!(action, Action::AskBudget);
     let avoid = vec![worker("a")];
@@ -47,22 +47,22 @@
 
 #[test]
 fn a_request_that_may_have_run_at_most_once_is_lost_not_refused() {
-    let mut machine = running(Repeatability::AtMostOnce, 3);
+    let mut machine = running_machine(Repeatability::AtMostOnce, 3);
     let action = machine.step(RequestEvent::Failed(SendFailure::MayHaveRun));
     assert_eq!(action, Action::Finish(Conclusion::Lost));
 }
 
 #[test]
-fn a_spent_budget_refuses_what_did_not_run() {
-    let mut machine = running(Repeatability::AtMostOnce, 1);
+fn a_request_that_did_not_run_is_refused_when_the_budget_is_spent() {
+    let mut machine = running_machine(Repeatability::AtMostOnce, 1);
     machine.step(RequestEvent::Failed(SendFailure::NotRun));
     let action = machine.step(RequestEvent::BudgetAnswered(false));
     assert_eq!(action, Action::Finish(Conclusion::Refused));
 }
 
 #[test]
-fn a_workers_own_failure_reaches_the_caller_when_nothing_better_comes() {
-    let mut machine = running(Repeatability::Repeatable, 2);
+fn the_error_of_a_worker_reaches_the_caller_when_all_workers_fail() {
+    let mut machine = running_machine(Repeatability::Repeatable, 2);
     machine.step(RequestEvent::Failed(SendFailure::ErrorAnswer));
     machine.step(RequestEvent::BudgetAnswered(true));
     machine.step(selected("b"));
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn a_resumable_stream_goes_on_after_the_last_whole_event() {
-    let mut machine = running(RESUMABLE, 2);
+fn a_resumable_stream_is_resumed_after_the_last_complete_event() {
+    let mut machine = running_machine(RESUMABLE, 2);
     let broken = RequestEvent::BrokenOff(Some("3".into()));
     assert_eq!(machine.step(broken), Action::AskBudget);
     machine.step(RequestEvent::BudgetAnswered(true));
@@ -86,24 +86,24 @@
 }
 
 #[test]
-fn a_stream_that_cannot_be_resumed_breaks() {
-    let mut machine = running(FINAL_STREAM, 2);
+fn a_stream_that_cannot_be_resumed_ends_as_broken() {
+    let mut machine = running_machine(NON_RESUMABLE_STREAM, 2);
     let action = machine.step(RequestEvent::BrokenOff(Some("3".into())));
     assert_eq!(action, Action::Finish(Conclusion::Broken));
 }
 
 #[test]
-fn a_prompt_read_apart_is_handed_to_the_worker_that_runs_it() {
-    let mut machine = machine(FINAL_STREAM, 1, true);
+fn the_worker_that_runs_a_request_gets_the_kv_cache_of_a_separately_read_prompt() {
+    let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     let reader = Action::Select {
         need: Need::ReadPrompt,
         avoid: Vec::new(),
     };
     assert_eq!(machine.step(RequestEvent::Arrived), reader);
-    let read = Action::ReadPrompt {
+    let read_prompt = Action::ReadPrompt {
         worker: worker("p"),
     };
-    assert_eq!(machine.step(selected("p")), read);
+    assert_eq!(machine.step(selected("p")), read_prompt);
     let handle = PromptHandle {
         worker: worker("p"),
         address: "10.0.0.1:1".into(),
@@ -118,11 +118,11 @@
     assert_eq!(machine.step(selected("d")), run);
 }
 
-/// Found by reading: the worker that is chosen after a refused hand-over reads the prompt itself,
-/// so that it must not be chosen as one that need not.
+/// Guards against selecting a worker that does not have to read the prompt, after another worker has refused to take
+/// over the KV cache: the worker that is selected next reads the prompt itself.
 #[test]
-fn after_a_refused_hand_over_a_worker_is_chosen_that_reads_the_prompt() {
-    let mut machine = machine(FINAL_STREAM, 2, true);
+fn after_a_refused_kv_transfer_a_worker_that_reads_the_prompt_is_selected() {
+    let mut machine = machine(NON_RESUMABLE_STREAM, 2, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
     let reader = worker("p");
@@ -131,51 +131,58 @@
         address: "10.0.0.1:1".into(),
         handle: "h".into(),
     };
-    let handed_over = Action::Select {
+    let select_decoder = Action::Select {
         need: Need::Continue { reader },
         avoid: Vec::new(),
     };
-    assert_eq!(machine.step(RequestEvent::PromptRead(handle)), handed_over);
+    assert_eq!(
+        machine.step(RequestEvent::PromptRead(handle)),
+        select_decoder
+    );
     machine.step(selected("d"));
     machine.step(RequestEvent::Failed(SendFailure::NotRun));
-    let read_there = Action::Select {
+    let select_worker = Action::Select {
         need: Need::Run,
         avoid: vec![worker("d")],
     };
-    assert_eq!(machine.step(RequestEvent::BudgetAnswered(true)), read_there);
+    assert_eq!(
+        machine.step(RequestEvent::BudgetAnswered(true)),
+        select_worker
+    );
 }
 
-/// The fault: connections to workers that had crashed spent the budget, although no worker had received
+/// Guards against failed connections to crashed workers that spend the retry budget, although no worker has received
 /// anything.
 #[test]
 fn a_send_that_reached_no_worker_costs_no_retry() {
-    let mut machine = running(Repeatability::AtMostOnce, 1);
-    let unsent = RequestEvent::Failed(SendFailure::NotSent);
-    let elsewhere = Action::Select {
+    let mut machine = running_machine(Repeatability::AtMostOnce, 1);
+    let not_sent = RequestEvent::Failed(SendFailure::NotSent);
+    let select_another = Action::Select {
         need: Need::Run,
         avoid: vec![worker("a")],
     };
-    assert_eq!(machine.step(unsent), elsewhere);
+    assert_eq!(machine.step(not_sent), select_another);
     assert!(!machine.may_have_run());
 }
 
 #[test]
-fn a_request_that_reaches_no_worker_at_all_is_refused() {
-    let mut machine = running(Repeatability::Repeatable, 2);
+fn a_request_that_reaches_no_worker_is_refused() {
+    let mut machine = running_machine(Repeatability::Repeatable, 2);
     let refused = Action::Finish(Conclusion::Refused);
-    let ends = (0..20).any(|number| {
-        let unsent = RequestEvent::Failed(SendFailure::NotSent);
-        let action = machine.step(unsent);
+    let was_refused = (0..20).any(|number| {
+        let not_sent = RequestEvent::Failed(SendFailure::NotSent);
+        let action = machine.step(not_sent);
         machine.step(selected(&format!("w-{number}")));
         action == refused
     });
-    assert!(ends);
+    assert!(was_refused);
 }
 
-/// The KV cache of a prompt still waits if the worker that should take it over was not reached.
+/// Guards against losing the KV cache of a prompt when the worker that should fetch it was not reached: the KV cache is
+/// still available to the next worker.
 #[test]
-fn a_worker_that_was_not_reached_takes_no_kv_cache() {
-    let mut machine = machine(FINAL_STREAM, 1, true);
+fn the_kv_cache_goes_to_the_next_worker_if_one_was_not_reached() {
+    let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
     let handle = PromptHandle {
@@ -195,36 +202,37 @@
 }
 
 #[test]
-fn a_reader_that_was_not_reached_is_replaced_by_another() {
-    let mut machine = machine(FINAL_STREAM, 1, true);
+fn a_prompt_reader_that_was_not_reached_is_replaced() {
+    let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
-    let unsent = RequestEvent::PromptNotRead(ReadingFailure::NotSent);
+    let not_sent = RequestEvent::PromptNotRead(ReadingFailure::NotSent);
     let other = Action::Select {
         need: Need::ReadPrompt,
         avoid: vec![worker("p")],
     };
-    assert_eq!(machine.step(unsent), other);
+    assert_eq!(machine.step(not_sent), other);
 }
 
-/// The fault: a reading that is given up may wait in its worker's queue and counts as a rejected arrival
-/// there, beyond what retries may add.
+/// Guards against continuing without permission from the retry budget after a prompt read was abandoned: the read may
+/// still wait in its worker's queue, and counts there as a rejected arrival beyond those that retries may add.
 #[test]
-fn going_on_without_a_reading_that_failed_asks_the_budget() {
-    let mut machine = machine(FINAL_STREAM, 1, true);
+fn continuing_without_an_abandoned_prompt_read_needs_the_retry_budget() {
+    let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
-    let left_waiting = RequestEvent::PromptNotRead(ReadingFailure::Left);
-    assert_eq!(machine.step(left_waiting), Action::AskBudget);
+    let not_started = RequestEvent::PromptNotRead(ReadingFailure::Left);
+    assert_eq!(machine.step(not_started), Action::AskBudget);
     let action = machine.step(RequestEvent::BudgetAnswered(false));
     assert_eq!(action, Action::Finish(Conclusion::Refused));
 }
 
-/// Found in both recorded incidents: engines failed a third of everything, readings too, and the
-/// budget that these did not owe was missing for what could have run.
+/// Guards against prompt reads that spend the retry budget after their worker has started them. In both recorded
+/// incidents, engines failed a third of all requests, including prompt reads, and the budget spent on these reads was
+/// missing for requests that could have run.
 #[test]
-fn a_reading_that_its_worker_took_up_and_failed_costs_no_budget() {
-    let mut machine = machine(FINAL_STREAM, 1, true);
+fn a_prompt_read_that_failed_after_its_start_needs_no_retry_budget() {
+    let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
     let failed = RequestEvent::PromptNotRead(ReadingFailure::TakenUp);
@@ -234,14 +242,14 @@
 }
 
 #[test]
-fn a_deadline_while_a_worker_runs_it_promises_nothing() {
-    let mut machine = running(Repeatability::Repeatable, 1);
+fn a_request_that_misses_its_deadline_while_it_runs_times_out() {
+    let mut machine = running_machine(Repeatability::Repeatable, 1);
     let action = machine.step(RequestEvent::DeadlinePassed);
     assert_eq!(action, Action::Finish(Conclusion::TimedOut));
 }
 
 #[derive(Debug, Clone)]
-enum Fate {
+enum SendOutcome {
     NotSent,
     NotRun,
     MayHaveRun,
@@ -251,15 +259,15 @@
     Deadline,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn send_outcome() -> impl Strategy<Value = SendOutcome> {
     prop_oneof![
-        Just(Fate::NotSent),
-        Just(Fate::NotRun),
-        Just(Fate::MayHaveRun),
-        Just(Fate::ErrorAnswer),
-        any::<bool>().prop_map(Fate::BrokenOff),
-        Just(Fate::Completed),
-        Just(Fate::Deadline),
+        Just(SendOutcome::NotSent),
+        Just(SendOutcome::NotRun),
+        Just(SendOutcome::MayHaveRun),
+        Just(SendOutcome::ErrorAnswer),
+        any::<bool>().prop_map(SendOutcome::BrokenOff),
+        Just(SendOutcome::Completed),
+        Just(SendOutcome::Deadline),
     ]
 }
 
@@ -268,19 +276,21 @@
         Just(Repeatability::Repeatable),
         Just(Repeatability::AtMostOnce),
         Just(RESUMABLE),
-        Just(FINAL_STREAM),
+        Just(NON_RESUMABLE_STREAM),
     ]
 }
 
-fn event_of(fate: &Fate) -> RequestEvent {
-    match fate {
-        Fate::NotSent => RequestEvent::Failed(SendFailure::NotSent),
-        Fate::NotRun => RequestEvent::Failed(SendFailure::NotRun),
-        Fate::MayHaveRun => RequestEvent::Failed(SendFailure::MayHaveRun),
-        Fate::ErrorAnswer => RequestEvent::Failed(SendFailure::ErrorAnswer),
-        Fate::BrokenOff(with_event) => RequestEvent::BrokenOff(with_event.then(|| "7".to_owned())),
-        Fate::Completed => RequestEvent::Completed,
-        Fate::Deadline => RequestEvent::DeadlinePassed,
+fn event_of(send_outcome: &SendOutcome) -> RequestEvent {
+    match send_outcome {
+        SendOutcome::NotSent => RequestEvent::Failed(SendFailure::NotSent),
+        SendOutcome::NotRun => RequestEvent::Failed(SendFailure::NotRun),
+        SendOutcome::MayHaveRun => RequestEvent::Failed(SendFailure::MayHaveRun),
+        SendOutcome::ErrorAnswer => RequestEvent::Failed(SendFailure::ErrorAnswer),
+        SendOutcome::BrokenOff(with_event) => {
+            RequestEvent::BrokenOff(with_event.then(|| "7".to_owned()))
+        }
+        SendOutcome::Completed => RequestEvent::Completed,
+        SendOutcome::Deadline => RequestEvent::DeadlinePassed,
     }
 }
 
@@ -290,18 +300,18 @@
 proptest! {
     #![proptest_config(fixed_cases(SEED))]
 
-    /// Whatever happens to the sends: the request ends; no more workers may have run it than its
-    /// route allows; one that runs at most once is not sent again after it may have run; and "not
-    /// run" is said only if no send may have run.
+    /// For any outcomes of the sends: the request finishes; no more workers may have run it than its route allows; a
+    /// request that runs at most once is not sent again after it may have run; and the caller receives "not run" only
+    /// if no send may have run.
     #[test]
-    fn promises_hold_whatever_happens(
+    fn guarantees_hold_for_any_outcomes_of_sends(
         repeatability in repeatability(),
         max_attempts in 1_u32..4,
-        fates in prop::collection::vec(fate(), 12),
+        send_outcomes in prop::collection::vec(send_outcome(), 12),
         budget in prop::collection::vec(any::<bool>(), 12),
     ) {
         let mut machine = machine(repeatability, max_attempts, false);
-        let mut fates = fates.iter();
+        let mut send_outcomes = send_outcomes.iter();
         let mut budget = budget.iter();
         let mut may_have_run = 0;
         let mut action = machine.step(RequestEvent::Arrived);
@@ -310,12 +320,12 @@
                 Action::Select { .. } => selected("w"),
                 Action::AskBudget => RequestEvent::BudgetAnswered(*budget.next().unwrap_or(&false)),
                 Action::Run { .. } => {
-                    let once = !repeatability.allows_second_run();
-                    prop_assert!(!(once && may_have_run > 0));
+                    let runs_at_most_once = !repeatability.allows_second_run();
+                    prop_assert!(!(runs_at_most_once && may_have_run > 0));
                     prop_assert!(may_have_run < max_attempts);
-                    let fate = fates.next().unwrap_or(&Fate::Completed);
-                    may_have_run += u32::from(!matches!(fate, Fate::NotSent | Fate::NotRun));
-                    event_of(fate)
+                    let send_outcome = send_outcomes.next().unwrap_or(&SendOutcome::Completed);
+                    may_have_run += u32::from(!matches!(send_outcome, SendOutcome::NotSent | SendOutcome::NotRun));
+                    event_of(send_outcome)
                 }
                 Action::Finish(conclusion) => {
                     if *conclusion == Conclusion::Refused {
@@ -323,10 +333,10 @@
                     }
                     return Ok(());
                 }
-                other => panic!("no prompt is read apart here: {other:?}"),
+                other => panic!("unexpected action without a separate prompt read: {other:?}"),
             };
             action = machine.step(event);
         }
-        prop_assert!(false, "the request does not end");
+        prop_assert!(false, "the request has not finished after 64 steps");
     }
 }
--- a/crates/forwarding/tests/scheduler_plan.rs
+++ b/crates/forwarding/tests/scheduler_plan.rs
@@ -1,4 +1,4 @@
-//! Which gateways place requests, and for which others.
+//! Selection of the gateways that place requests, and of the gateways that they serve.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,8 @@
     ZoneName::new(format!("z-{number}"))
 }
 
-/// So many gateways, spread evenly over the zones; each tenth has four times the processor time.
+/// Returns a fleet with this number of gateways, distributed evenly over the zones. Every tenth gateway of a zone has
+/// four times the processor time of the others.
 fn fleet(gateways: usize, zones: usize) -> Vec<SchedulerCandidate> {
     let candidate = |number: usize| SchedulerCandidate {
         name: format!("g-{number}"),
@@ -41,7 +42,7 @@
         let fleet = fleet(gateways, zones);
         let plan = SchedulerPlan::new(fleet.clone());
         let zone_of: BTreeMap<&str, &ZoneName> =
-            fleet.iter().map(|one| (one.name.as_str(), &one.zone)).collect();
+            fleet.iter().map(|gateway| (gateway.name.as_str(), &gateway.zone)).collect();
         let mut asked: BTreeMap<&str, usize> = BTreeMap::new();
         for gateway in &fleet {
             let name = scheduler(&plan, gateway).expect("a scheduler");
@@ -53,19 +54,19 @@
         if gateways <= FULL_EXCHANGE {
             prop_assert_eq!(plan.schedulers(), gateways);
         }
-        let most = FULL_EXCHANGE.max(zones) + gateways / GATEWAYS_PER_SCHEDULER + zones;
-        prop_assert!(plan.schedulers() <= most);
+        let max_schedulers = FULL_EXCHANGE.max(zones) + gateways / GATEWAYS_PER_SCHEDULER + zones;
+        prop_assert!(plan.schedulers() <= max_schedulers);
     }
 
     #[test]
-    fn one_that_is_passed_over_is_replaced_and_the_others_stay(gateways in 13_usize..600) {
+    fn a_skipped_scheduler_is_replaced_and_the_others_stay(gateways in 13_usize..600) {
         let fleet = fleet(gateways, 4);
         let plan = SchedulerPlan::new(fleet.clone());
-        let lost = scheduler(&plan, &fleet[gateways - 1]).expect("a scheduler").to_owned();
-        for gateway in fleet.iter().filter(|one| one.name != lost) {
+        let skipped = scheduler(&plan, &fleet[gateways - 1]).expect("a scheduler").to_owned();
+        for gateway in fleet.iter().filter(|gateway| gateway.name != skipped) {
             let before = scheduler(&plan, gateway);
-            let after = plan.scheduler_of(&gateway.name, &gateway.zone, |name| name != lost);
-            match before == Some(lost.as_str()) {
+            let after = plan.scheduler_of(&gateway.name, &gateway.zone, |name| name != skipped);
+            match before == Some(skipped.as_str()) {
                 true => prop_assert!(after.is_some_and(|name| plan.is_listener(name))),
                 false if before == Some(gateway.name.as_str()) => prop_assert_eq!(after, before),
                 false => prop_assert!(after.is_some()),
@@ -75,13 +76,13 @@
 }
 
 #[test]
-fn those_with_the_most_processor_time_come_first() {
+fn gateways_with_the_most_processor_time_become_schedulers_first() {
     let fleet = fleet(300, 6);
     let plan = SchedulerPlan::new(fleet.clone());
     let weak: BTreeSet<&str> = fleet
         .iter()
-        .filter(|one| one.capacity < 0.5)
-        .map(|one| one.name.as_str())
+        .filter(|gateway| gateway.capacity < 0.5)
+        .map(|gateway| gateway.name.as_str())
         .collect();
     assert_eq!(plan.schedulers(), FULL_EXCHANGE);
     assert!(plan.listeners().all(|name| !weak.contains(name)));
@@ -91,13 +92,13 @@
 fn a_zone_without_a_usable_gateway_has_no_scheduler() {
     let fleet = fleet(60, 4);
     let plan = SchedulerPlan::new(fleet.clone());
-    let nobody = plan.scheduler_of("g-new", &zone(1), |_| false);
-    assert_eq!(nobody, None);
+    let scheduler = plan.scheduler_of("g-new", &zone(1), |_| false);
+    assert_eq!(scheduler, None);
     assert_eq!(plan.scheduler_of("g-new", &zone(9), |_| true), None);
 }
 
 #[test]
-fn a_fleet_has_one_collector_for_several_dozen_gateways_and_another_when_it_is_silent() {
+fn a_fleet_has_one_collector_for_several_dozen_gateways_and_replaces_an_unusable_one() {
     let plan = SchedulerPlan::new(fleet(40, 4));
     let collector = |own: &str| plan.collector_of(own, |_| true).expect("a collector");
     let first = collector("g-0").to_owned();
--- a/crates/forwarding/tests/streams.rs
+++ b/crates/forwarding/tests/streams.rs
@@ -1,18 +1,22 @@
-//! Streams of events are cut at the boundaries of events, however their bytes arrive.
+//! Event streams are split at event boundaries, independent of how their bytes arrive.
 
 use proptest::prelude::*;
 use tansyhall_fixed_cases::fixed_cases;
 use tansyhall_forwarding::EventFramer;
 
 #[test]
-fn the_incomplete_end_is_held_back() {
+fn an_incomplete_event_is_held_back() {
     let mut framer = EventFramer::default();
-    let events = framer.push(b"id: 1\ndata: a\n\nid: 2\nda").expect("short");
+    let events = framer
+        .push(b"id: 1\ndata: a\n\nid: 2\nda")
+        .expect("an event below the maximum size");
     assert_eq!(events.bytes, b"id: 1\ndata: a\n\n");
     assert_eq!(events.last_id.as_deref(), Some("1"));
     assert_eq!(events.count, 1);
     assert_eq!(framer.pending_bytes(), 8);
-    let events = framer.push(b"ta: b\n\n").expect("short");
+    let events = framer
+        .push(b"ta: b\n\n")
+        .expect("an event below the maximum size");
     assert_eq!(events.bytes, b"id: 2\ndata: b\n\n");
     assert_eq!(events.last_id.as_deref(), Some("2"));
 }
@@ -23,28 +27,31 @@
 proptest! {
     #![proptest_config(fixed_cases(SEED))]
 
-    /// However a stream is cut into parts, its events come out whole, once and in order.
+    /// For any split of a stream into chunks, each event is returned complete, once and in order.
     #[test]
-    fn cuts_do_not_matter(count in 1_usize..20, cuts in prop::collection::vec(1_usize..40, 1..60)) {
-        let whole: String = (0..count).map(|n| format!("id: {n}\ndata: {n}\n\n")).collect();
+    fn events_do_not_depend_on_how_the_stream_is_split(
+        count in 1_usize..20,
+        chunk_sizes in prop::collection::vec(1_usize..40, 1..60),
+    ) {
+        let stream: String = (0..count).map(|n| format!("id: {n}\ndata: {n}\n\n")).collect();
         let mut framer = EventFramer::default();
         let mut delivered = Vec::new();
-        let mut seen = 0;
-        let mut last = None;
-        let mut rest = whole.as_bytes();
-        let mut cuts = cuts.iter().cycle();
-        while !rest.is_empty() {
-            let length = (*cuts.next().expect("a cycle")).min(rest.len());
-            let (part, after) = rest.split_at(length);
-            rest = after;
-            let events = framer.push(part).expect("short");
+        let mut event_count = 0;
+        let mut last_id = None;
+        let mut remaining = stream.as_bytes();
+        let mut chunk_sizes = chunk_sizes.iter().cycle();
+        while !remaining.is_empty() {
+            let length = (*chunk_sizes.next().expect("a cycle")).min(remaining.len());
+            let (chunk, after) = remaining.split_at(length);
+            remaining = after;
+            let events = framer.push(chunk).expect("an event below the maximum size");
             prop_assert!(events.bytes.is_empty() || events.bytes.ends_with(b"\n\n"));
             delivered.extend_from_slice(&events.bytes);
-            seen += events.count;
-            last = events.last_id.or(last);
+            event_count += events.count;
+            last_id = events.last_id.or(last_id);
         }
-        prop_assert_eq!(delivered, whole.into_bytes());
-        prop_assert_eq!(seen as usize, count);
-        prop_assert_eq!(last, Some((count - 1).to_string()));
+        prop_assert_eq!(delivered, stream.into_bytes());
+        prop_assert_eq!(event_count as usize, count);
+        prop_assert_eq!(last_id, Some((count - 1).to_string()));
     }
 }
