--- a/crates/forwarding/tests/tenant_placements.rs
+++ b/crates/forwarding/tests/tenant_placements.rs
@@ -1,4 +1,4 @@
-//! A scheduler that places requests of several gateways holds tenants to their shares over all of them.
+//! A scheduler that places requests of several gateways enforces tenant shares across all of them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,8 +15,8 @@
 const SLOTS: u32 = 16;
 const LARGE: Option<TenantKey> = Some(TenantKey(1));
 const SMALL: Option<TenantKey> = Some(TenantKey(2));
-/// The pause between two requests.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Interval between two requests.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(10);
 
 fn engine() -> Worker {
     Worker {
@@ -31,7 +31,7 @@
     }
 }
 
-/// A scheduler, and two gateways that ask it.
+/// A scheduler and two gateways that request placements from it.
 struct Fleet {
     now: Timestamp,
     directory: Directory,
@@ -58,9 +58,9 @@
         }
     }
 
-    /// A tenant's request comes to a gateway, which asks the scheduler.
-    fn ask(&mut self, gateway: usize, tenant: Option<TenantKey>) -> PlacementAnswer {
-        self.now = self.now + PAUSE;
+    /// Lets a gateway request a placement for a request of a tenant.
+    fn request_placement(&mut self, gateway: usize, tenant: Option<TenantKey>) -> PlacementAnswer {
+        self.now = self.now + REQUEST_INTERVAL;
         let book = &mut self.gateways[gateway];
         let request = request(gateway, book.next_id(), tenant);
         let message = book.ask(SCHEDULER, request);
@@ -71,12 +71,14 @@
         answer.expect("an answer")
     }
 
-    /// Whether it is placed, and if not, why.
+    /// Requests a placement. Returns why it was refused, or `None` if it was placed.
     fn refusal(&mut self, gateway: usize, tenant: Option<TenantKey>) -> Option<RefusalCause> {
-        match self.ask(gateway, tenant) {
+        match self.request_placement(gateway, tenant) {
             PlacementAnswer::Refused { cause, .. } => Some(cause),
             PlacementAnswer::Placed(_) => None,
-            PlacementAnswer::NoWorker => panic!("there is an engine"),
+            PlacementAnswer::NoWorker => {
+                panic!("the scheduler knows no worker, although there is an engine")
+            }
         }
     }
 
@@ -120,12 +122,13 @@
     }
 }
 
-/// A large tenant fills the engine's queue over one gateway and is refused; a small one asks over the other.
-fn overloaded() -> (Fleet, Vec<PlacementId>) {
+/// Returns a fleet in which a large tenant has filled the engine's queue through one gateway, and a request of a small
+/// tenant was refused at the other gateway. Also returns the placements of the large tenant.
+fn overloaded_fleet() -> (Fleet, Vec<PlacementId>) {
     let mut fleet = Fleet::new();
     let mut placed = Vec::new();
     for _ in 0..20 {
-        if let PlacementAnswer::Placed(placement) = fleet.ask(0, LARGE) {
+        if let PlacementAnswer::Placed(placement) = fleet.request_placement(0, LARGE) {
             placed.push(placement.id);
         }
     }
@@ -135,8 +138,8 @@
 }
 
 #[test]
-fn in_overload_a_place_goes_to_the_tenant_below_its_share() {
-    let (mut fleet, placed) = overloaded();
+fn in_overload_a_free_slot_goes_to_the_tenant_below_its_share() {
+    let (mut fleet, placed) = overloaded_fleet();
     let last = placed.last().expect("something was placed");
     fleet.end(0, *last);
     assert_eq!(fleet.refusal(0, LARGE), Some(RefusalCause::TenantShare));
@@ -145,16 +148,16 @@
 }
 
 #[test]
-fn requests_of_gateways_that_tell_no_tenant_are_placed_as_before() {
-    let (mut fleet, placed) = overloaded();
+fn requests_of_gateways_that_send_no_tenant_are_placed_regardless_of_shares() {
+    let (mut fleet, placed) = overloaded_fleet();
     let last = placed.last().expect("something was placed");
     fleet.end(0, *last);
     assert_eq!(fleet.refusal(0, None), None);
 }
 
 #[test]
-fn an_idle_service_is_for_whoever_asks() {
-    let (mut fleet, placed) = overloaded();
+fn an_idle_service_accepts_requests_of_any_tenant() {
+    let (mut fleet, placed) = overloaded_fleet();
     for id in placed {
         fleet.end(0, id);
     }
