--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions on requests that a gateway passes to workers byte for byte: which route a request
-//! takes, which worker gets it, what follows when an attempt fails, and how many retries the whole
-//! fleet may spend. Everything here is deterministic: time comes with each call, and nothing reads
-//! a clock, a socket or a random source.
+//! Routing decisions for requests that a gateway forwards to workers byte for byte: which route a
+//! request matches, which worker receives it, what happens when an attempt fails, and how many
+//! retries the whole fleet may use. The crate is deterministic: each call is given the time, and no
+//! function reads a clock, a socket or a source of randomness.
 
 #![forbid(unsafe_code)]
 
@@ -38,7 +38,7 @@
 };
 pub use decisions::Decisions;
 pub use directory::{
-    Admission, Demand, Directory, EngineLoad, FirstAvailable, NoticeNews, Objectives, RateToken,
+    Admission, Demand, Directory, EngineLoad, FirstAvailable, NoticeChanges, Objectives, RateToken,
     RefusalCause, SendResult, SendTicket, Unavailable,
 };
 pub use event_stream::{CompleteEvents, EventFramer};
@@ -47,7 +47,7 @@
     Absence, EngineDemand, GatewayKey, LimitStatement, Load, LoadEntry, LoadReport, LoadReporter,
     PartRead, ServiceKey, WorkerKey,
 };
-pub use mirror::{Item, Mirror, MirrorChange, Snapshot, Touched, Update};
+pub use mirror::{Item, Mirror, MirrorChange, MirrorUpdate, Snapshot, Touched};
 pub use placement::{
     Placement, PlacementAnswer, PlacementBook, PlacementId, PlacementLedger, PlacementMessage,
     PlacementNeed, PlacementNotice, PlacementRequest,
@@ -69,6 +69,6 @@
 pub use selection::{affinity_part, prompt_tokens, Need, PromptPart};
 pub use stop_plan::StopPlan;
 pub use tenant_shares::{TenantKey, TenantShares, WorkOutcome};
-pub use tenants::{ApiKey, KnownTenant, Tenant, TenantError, TenantTable};
+pub use tenants::{ApiKey, AuthenticatedTenant, Tenant, TenantError, TenantTable};
 pub use worker::{Worker, WorkerId, WorkerKind, WorkerState};
-pub use worker_notice::{WorkerNotice, MAX_REST};
+pub use worker_notice::{WorkerNotice, MAX_BACKOFF};
--- a/crates/forwarding/tests/mirror_updates.rs
+++ b/crates/forwarding/tests/mirror_updates.rs
@@ -1,8 +1,8 @@
-//! A peer that takes updates in holds the same copy as the one that gives them.
+//! A mirror that applies a peer's updates has the same contents as the peer's mirror.
 
 use proptest::prelude::*;
 use tansyhall_fixed_cases::fixed_cases;
-use tansyhall_forwarding::{Item, Mirror, MirrorChange, Position, Snapshot, Update};
+use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
 
 /// Seed of the property test.
 const SEED: u64 = 20_261_204;
@@ -42,22 +42,22 @@
     #![proptest_config(fixed_cases(SEED))]
 
     #[test]
-    fn a_peer_that_asks_now_and_then_has_the_same_copy(
+    fn a_peer_that_updates_occasionally_has_the_same_contents(
         steps in prop::collection::vec((0_u8..12, any::<bool>(), 0_u8..4), 1..900),
     ) {
         let mut source = read_mirror();
         let mut peer = Mirror::default();
         let mut revision = 1;
-        for (key, is_written, asks) in steps {
+        for (key, is_written, draw) in steps {
             revision += 1;
             let change = match is_written {
                 true => written(key, revision),
                 false => removed(key, revision),
             };
             source.apply(vec![change], at(revision));
-            if asks == 0 {
+            if draw == 0 {
                 let update = source.update_after(peer.position());
-                peer.take_in(update.expect("something new"));
+                peer.apply_update(update.expect("something new"));
                 prop_assert_eq!(peer.snapshot(), source.snapshot());
             }
         }
@@ -65,33 +65,36 @@
 }
 
 #[test]
-fn a_peer_that_is_up_to_date_lacks_nothing() {
+fn a_peer_that_is_up_to_date_gets_no_update() {
     assert_eq!(read_mirror().update_after(at(1)), None);
 }
 
 #[test]
-fn a_peer_that_has_nearly_all_gets_just_the_changes() {
+fn a_peer_that_lacks_few_changes_gets_only_those() {
     let mut source = read_mirror();
     source.apply(vec![written(1, 2), written(2, 3)], at(3));
-    let update = Update::Changes {
+    let update = MirrorUpdate::Changes {
         changes: vec![written(2, 3)],
         position: at(3),
-        skips: false,
+        spans_gap: false,
     };
     assert_eq!(source.update_after(at(2)), Some(update));
 }
 
 #[test]
-fn a_peer_whose_changes_are_forgotten_gets_everything() {
+fn a_peer_beyond_the_history_gets_a_snapshot() {
     let mut source = read_mirror();
     for revision in 2..2_000 {
         source.apply(vec![written(1, revision)], at(revision));
     }
-    assert!(matches!(source.update_after(at(1)), Some(Update::Whole(_))));
+    assert!(matches!(
+        source.update_after(at(1)),
+        Some(MirrorUpdate::Snapshot(_))
+    ));
 }
 
 #[test]
-fn large_changes_are_forgotten_sooner() {
+fn large_changes_are_dropped_from_the_history_sooner() {
     let mut source = read_mirror();
     for revision in 2..6 {
         let item = Item {
@@ -102,16 +105,20 @@
         };
         source.apply(vec![MirrorChange::Written(item)], at(revision));
     }
-    assert!(matches!(source.update_after(at(1)), Some(Update::Whole(_))));
+    assert!(matches!(
+        source.update_after(at(1)),
+        Some(MirrorUpdate::Snapshot(_))
+    ));
     assert!(matches!(
         source.update_after(at(4)),
-        Some(Update::Changes { .. })
+        Some(MirrorUpdate::Changes { .. })
     ));
 }
 
-/// A copy that was read whole again, as the store had forgotten its history, tells its followers the difference.
+/// A mirror that was filled from a snapshot again, because the store had compacted its history, sends its followers the
+/// difference.
 #[test]
-fn a_copy_that_was_replaced_tells_its_followers_the_difference() {
+fn a_mirror_that_was_replaced_sends_its_followers_the_difference() {
     const ITEMS: usize = 1_000;
     let item = |number: usize, revision: u64| Item {
         key: format!("key-{number}"),
@@ -137,11 +144,11 @@
     let touched = source.replace(after.clone());
     assert!(touched.covers("key-0") && touched.covers("key-6") && !touched.covers("key-1"));
     let update = source.update_after(peer.position()).expect("something new");
-    let Update::Changes { changes, .. } = &update else {
-        panic!("the whole copy");
+    let MirrorUpdate::Changes { changes, .. } = &update else {
+        panic!("got a snapshot");
     };
     assert_eq!(changes.len(), 3);
-    peer.take_in(update);
+    peer.apply_update(update);
     assert_eq!(peer.snapshot(), source.snapshot());
     let mut fresh = Mirror::default();
     fresh.replace(after);
--- a/crates/forwarding/tests/placements.rs
+++ b/crates/forwarding/tests/placements.rs
@@ -309,7 +309,7 @@
             .filter(|candidate| plan.is_scheduler(&candidate.name));
         let schedulers = schedulers.enumerate().map(|(number, candidate)| {
             let mut directory = directory(number as u64, MANY_ENGINES, ZONES);
-            directory.set_exchange(plan.schedulers() - 1, REPORT_INTERVAL);
+            directory.set_other_gateways(plan.schedulers() - 1, REPORT_INTERVAL);
             (
                 candidate.name.clone(),
                 (directory, PlacementLedger::default()),
@@ -379,7 +379,7 @@
             .collect();
         for (directory, _) in self.schedulers.values_mut() {
             for report in &reports {
-                directory.hear(now, report);
+                directory.receive_report(now, report);
             }
         }
     }
