--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -49,18 +49,18 @@
 };
 pub use mirror::{Item, Mirror, MirrorChange, MirrorUpdate, Snapshot, Touched};
 pub use placement::{
-    Placement, PlacementAnswer, PlacementBook, PlacementId, PlacementLedger, PlacementMessage,
-    PlacementNeed, PlacementNotice, PlacementRequest,
+    GrantedPlacements, Placement, PlacementAnswer, PlacementId, PlacementMessage, PlacementNeed,
+    PlacementNotice, PlacementRequest, RequestedPlacements,
 };
 pub use position::Position;
 pub use quarantine::{
-    Audience, Fingerprint, Heard, Outgoing, Quarantine, QuarantineNews, RequestContent, SendLedger,
-    SendNumber, Sighting, Unlisted,
+    AppliedUpdate, Audience, Fingerprint, OutgoingUpdate, Quarantine, QuarantineUpdate,
+    RequestContent, SendId, SendTracker, UnlistedRequest, WorkerEnds,
 };
 pub use rate_limit::{LimitSharers, RateLimit, StatedLimit};
-pub use relay_plan::{Continuation, RelayCandidate, RelayPlan, Upstream};
+pub use relay_plan::{RelayCandidate, RelayPlan, StoreReadState, Upstream};
 pub use request::{
-    Action, AttemptPolicy, Conclusion, EventId, PromptHandle, ReadingFailure, RequestEvent,
+    Action, AttemptPolicy, Conclusion, EventId, PromptHandle, PromptReadFailure, RequestEvent,
     RequestMachine, SendFailure,
 };
 pub use retry_share::{sharing_gateways, RetryShare, RetryShareSettings, RetryShares};
--- a/crates/forwarding/src/placement/ledger.rs
+++ b/crates/forwarding/src/placement/granted.rs
@@ -43,14 +43,14 @@
 
 /// Placements made for all gateways that request them from this one.
 #[derive(Debug, Default)]
-pub struct PlacementLedger {
+pub struct GrantedPlacements {
     gateways: HashMap<GatewayKey, RequestingGateway>,
 }
 
-impl PlacementLedger {
+impl GrantedPlacements {
     /// Applies a message and answers its request, if it contains one. `zone` is the zone of both the
     /// scheduler and the sending gateway.
-    pub fn take(
+    pub fn handle_message(
         &mut self,
         now: Timestamp,
         directory: &mut Directory,
@@ -77,7 +77,7 @@
     }
 
     /// Returns whether any gateway has sent a message recently or has an open placement.
-    pub fn is_asked(&self) -> bool {
+    pub fn has_requesting_gateways(&self) -> bool {
         !self.gateways.is_empty()
     }
 
@@ -183,7 +183,7 @@
             fetch_from: ticket.fetch_from(),
             reading_tokens: ticket.reading_tokens(),
             short_reading: ticket.is_short_reading(),
-            expected: ticket.expected_latency(),
+            expected_latency: ticket.expected_latency(),
             has_rate_token,
             rate_limit: directory.stated_rate_limit(now, &worker),
         };
--- a/crates/forwarding/src/placement/mod.rs
+++ b/crates/forwarding/src/placement/mod.rs
@@ -1,16 +1,16 @@
 //! Placement of requests on workers by one gateway, a scheduler, for other gateways (see `scheduler_plan`).
 //!
-//! - [`PlacementBook`] is the state of the requesting gateway: its open placements at each scheduler, and the
+//! - [`RequestedPlacements`] is the state of the requesting gateway: its open placements at each scheduler, and the
 //!   notices about them that have not been sent yet.
-//! - [`PlacementLedger`] is the state of the scheduler. Its directory counts each open placement like a send
+//! - [`GrantedPlacements`] is the state of the scheduler. Its directory counts each open placement like a send
 //!   of the scheduler itself, until the gateway reports its end.
 //!
 //! Messages may be lost. Each message therefore lists all open placements of its sender, so that the scheduler
 //! can close those whose end it missed when it receives the next message. Open placements of a gateway that
 //! has crashed are closed when the deadlines of their requests have passed.
 
-mod book;
-mod ledger;
+mod granted;
+mod requested;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,8 +25,8 @@
 use crate::worker::WorkerId;
 use crate::worker_notice::WorkerNotice;
 
-pub use book::PlacementBook;
-pub use ledger::PlacementLedger;
+pub use granted::GrantedPlacements;
+pub use requested::RequestedPlacements;
 
 /// Identifies a placement among all placements of the requesting gateway, across its incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -86,7 +86,7 @@
     /// Whether reading these tokens costs an engine hardly more than the fixed cost of any prompt.
     pub short_reading: bool,
     /// Expected time until the answer starts.
-    pub expected: Duration,
+    pub expected_latency: Duration,
     /// Whether the scheduler has taken a token from the worker's rate limit for this request.
     pub has_rate_token: bool,
     /// The rate limit that the worker has stated, if the scheduler knows it.
@@ -128,7 +128,7 @@
         /// Result of the send.
         result: SendResult,
         /// The notice about itself that the worker has sent to the gateway, as far as it is still valid.
-        said: WorkerNotice,
+        worker_notice: WorkerNotice,
         /// The rate limit that the worker has stated, if known.
         rate_limit: Option<StatedLimit>,
     },
--- a/crates/forwarding/src/placement/book.rs
+++ b/crates/forwarding/src/placement/requested.rs
@@ -44,14 +44,14 @@
 
 /// Placements that one gateway has requested from schedulers.
 #[derive(Debug)]
-pub struct PlacementBook {
+pub struct RequestedPlacements {
     sender: GatewayKey,
     sequence: u64,
     last_id: u64,
     schedulers: HashMap<String, Scheduler>,
 }
 
-impl PlacementBook {
+impl RequestedPlacements {
     /// Creates an empty record. Each incarnation of a gateway uses different placement ids, because an
     /// answer contains only the id and may arrive after a restart.
     pub fn new(sender: GatewayKey) -> Self {
@@ -70,14 +70,18 @@
     }
 
     /// Returns the message that asks a scheduler to place a request, with all notices that wait for that scheduler.
-    pub fn ask(&mut self, scheduler: &str, request: PlacementRequest) -> PlacementMessage {
+    pub fn request_message(
+        &mut self,
+        scheduler: &str,
+        request: PlacementRequest,
+    ) -> PlacementMessage {
         let entry = self.schedulers.entry(scheduler.to_owned()).or_default();
         entry.open.insert(request.id);
         self.message(scheduler, Some(request))
     }
 
     /// Records that the scheduler has answered after `elapsed`.
-    pub fn answered(&mut self, scheduler: &str, elapsed: Duration) {
+    pub fn record_answer(&mut self, scheduler: &str, elapsed: Duration) {
         let Some(entry) = self.schedulers.get_mut(scheduler) else {
             return;
         };
@@ -92,7 +96,7 @@
     }
 
     /// Records that the scheduler has not answered in time, and skips it for a while.
-    pub fn silent(&mut self, now: Timestamp, scheduler: &str, id: PlacementId) {
+    pub fn record_timeout(&mut self, now: Timestamp, scheduler: &str, id: PlacementId) {
         let Some(entry) = self.schedulers.get_mut(scheduler) else {
             return;
         };
@@ -102,14 +106,14 @@
     }
 
     /// Removes a placement that the scheduler has not made.
-    pub fn not_placed(&mut self, scheduler: &str, id: PlacementId) {
+    pub fn remove_unplaced(&mut self, scheduler: &str, id: PlacementId) {
         if let Some(entry) = self.schedulers.get_mut(scheduler) {
             entry.open.remove(&id);
         }
     }
 
     /// Queues a notice about a placement for the scheduler that has made it.
-    pub fn tell(&mut self, scheduler: &str, notice: PlacementNotice) {
+    pub fn queue_notice(&mut self, scheduler: &str, notice: PlacementNotice) {
         let Some(entry) = self.schedulers.get_mut(scheduler) else {
             return;
         };
@@ -120,7 +124,7 @@
     }
 
     /// Returns messages with all notices that were not sent along with a placement request.
-    pub fn flush(&mut self) -> Vec<(String, PlacementMessage)> {
+    pub fn take_notice_messages(&mut self) -> Vec<(String, PlacementMessage)> {
         let with_notices = self
             .schedulers
             .iter()
@@ -140,7 +144,7 @@
     }
 
     /// Returns how long to wait for a scheduler's answer.
-    pub fn patience(&self, scheduler: &str) -> Duration {
+    pub fn answer_timeout(&self, scheduler: &str) -> Duration {
         let entry = self.schedulers.get(scheduler);
         let Some(time) = entry.and_then(|entry| entry.answer_time) else {
             return MAX_ANSWER_TIMEOUT;
--- a/crates/forwarding/src/quarantine/mod.rs
+++ b/crates/forwarding/src/quarantine/mod.rs
@@ -4,15 +4,15 @@
 //! gateway, or repeated by its caller at any gateway. Its attempts have nothing in common except their content,
 //! which is identified by the [`Fingerprint`]. Gateways therefore count worker ends by fingerprint, together:
 //!
-//! 1. The [`SendLedger`] knows which requests a worker may have been running when it ended. One of them may be
+//! 1. The [`SendTracker`] knows which requests a worker may have been running when it ended. One of them may be
 //!    the cause; the others only ran at the same time.
 //! 2. Gateways send each other the pairs of request and ended worker. Each incarnation of a worker ends once,
 //!    so the knowledge of two gateways is merged as sets, in any order and with any number of repeats.
-//! 3. A request is barred on all gateways after [`ENDS_TO_BAR`] workers have ended while running it.
+//! 3. A request is barred on all gateways after [`WORKER_ENDS_TO_BAR`] workers have ended while running it.
 //! 4. A request that a worker has answered completely, even with an error, did not crash that worker: the ends
 //!    counted against the request are cleared, and its bar is lifted. This protects requests that many callers
 //!    send identically, and requests that only ran at the same time as the cause.
-//! 5. Everything is removed [`MEMORY`] after the last end, so that a repaired worker gets the request again.
+//! 5. Everything is removed [`SUSPECT_TTL`] after the last end, so that a repaired worker gets the request again.
 //!
 //! The store also lists barred requests, for gateways that start. Nothing depends on that list or on agreement
 //! between gateways: each gateway bars requests by what it knows.
@@ -31,8 +31,8 @@
 use crate::load_exchange::WorkerKey;
 
 pub use fingerprint::{Fingerprint, RequestContent};
-pub use outbox::{Audience, Outgoing};
-pub use send_ledger::{SendLedger, SendNumber};
+pub use outbox::{Audience, OutgoingUpdate};
+pub use send_ledger::{SendId, SendTracker};
 
 use answers::RecentAnswers;
 use outbox::{Outbox, Topic, FEW_REPEATS, MANY_REPEATS};
@@ -40,17 +40,17 @@
 
 /// Number of worker ends that bar a request. With two, a request would be barred if its first and second attempt
 /// met two crashes with other causes.
-pub const ENDS_TO_BAR: usize = 3;
+pub const WORKER_ENDS_TO_BAR: usize = 3;
 /// How long worker ends are kept after the last one. By then an operator has noticed the crashes and acted, and a
 /// request that still crashes workers costs three of them in each such period.
-pub const MEMORY: Duration = Duration::from_secs(600);
+pub const SUSPECT_TTL: Duration = Duration::from_secs(600);
 /// Maximum number of stored requests with worker ends, about 0.5 MB. Callers that vary their request bodies evict
 /// each other's requests; barred requests are evicted last.
 const MAX_SUSPECTS: usize = 4_096;
 
 /// Workers that ended while running a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sighting {
+pub struct WorkerEnds {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The ended workers.
@@ -59,32 +59,32 @@
 
 /// An update that gateways send each other.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Workers that ended while running requests.
-    pub sightings: Vec<Sighting>,
+    pub worker_ends: Vec<WorkerEnds>,
     /// Requests that workers have answered completely.
-    pub absolved: Vec<Fingerprint>,
+    pub cleared: Vec<Fingerprint>,
 }
 
-impl QuarantineNews {
+impl QuarantineUpdate {
     /// Returns whether the update has no content.
     pub fn is_empty(&self) -> bool {
-        self.sightings.is_empty() && self.absolved.is_empty()
+        self.worker_ends.is_empty() && self.cleared.is_empty()
     }
 }
 
 /// Result of applying an update from another gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Heard {
+pub struct AppliedUpdate {
     /// Requests that are newly barred.
     pub barred: Vec<Fingerprint>,
     /// Worker ends of barred requests that the other gateway does not know yet.
-    pub reply: QuarantineNews,
+    pub reply: QuarantineUpdate,
 }
 
 /// A barred request that the store does not list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unlisted {
+pub struct UnlistedRequest {
     /// The request.
     pub fingerprint: Fingerprint,
     /// When it was barred.
@@ -109,13 +109,13 @@
     }
 
     /// Returns the number of barred requests.
-    pub fn barred(&self) -> usize {
+    pub fn barred_count(&self) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|suspect| suspect.is_barred()).count()
     }
 
     /// Records that a worker ended while running these requests of this gateway. Returns those that are newly barred.
-    pub fn worker_ended(
+    pub fn record_worker_end(
         &mut self,
         now: Timestamp,
         worker: WorkerKey,
@@ -143,35 +143,40 @@
     }
 
     /// Records that a worker has answered a request completely.
-    pub fn answered(&mut self, now: Timestamp, fingerprint: Fingerprint) {
+    pub fn record_answer(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         self.answers.record(now, fingerprint);
         self.clear(now, fingerprint);
     }
 
     /// Applies an update from another gateway. If `relays` is set, new bars are passed on to all gateways.
-    pub fn hear(&mut self, now: Timestamp, news: &QuarantineNews, relays: bool) -> Heard {
-        let mut heard = Heard::default();
-        for sighting in &news.sightings {
-            self.apply_worker_ends(now, sighting, relays, &mut heard);
+    pub fn apply_update(
+        &mut self,
+        now: Timestamp,
+        update: &QuarantineUpdate,
+        relays: bool,
+    ) -> AppliedUpdate {
+        let mut applied = AppliedUpdate::default();
+        for worker_ends in &update.worker_ends {
+            self.apply_worker_ends(now, worker_ends, relays, &mut applied);
         }
-        for fingerprint in &news.absolved {
+        for fingerprint in &update.cleared {
             if let Some(suspect) = self.suspects.get_mut(fingerprint) {
                 suspect.clear();
             }
         }
-        heard
+        applied
     }
 
     fn apply_worker_ends(
         &mut self,
         now: Timestamp,
-        sighting: &Sighting,
+        worker_ends: &WorkerEnds,
         relays: bool,
-        heard: &mut Heard,
+        applied: &mut AppliedUpdate,
     ) {
-        let fingerprint = sighting.fingerprint;
+        let fingerprint = worker_ends.fingerprint;
         let suspect = self.suspect(now, fingerprint);
-        let is_barred_now = suspect.record_ends(now, sighting.workers.iter().copied());
+        let is_barred_now = suspect.record_ends(now, worker_ends.workers.iter().copied());
         // Each answer clears a request only once: a request that starts to crash workers must not be considered
         // harmless because of an earlier answer.
         if self.answers.take(now, fingerprint) {
@@ -179,14 +184,17 @@
             return;
         }
         let suspect = self.suspect(now, fingerprint);
-        let is_barred_at_sender = sighting.workers.len() >= ENDS_TO_BAR;
-        if suspect.counted_ends() >= ENDS_TO_BAR && !is_barred_at_sender {
-            heard.reply.sightings.push(suspect.sighting(fingerprint));
+        let is_barred_at_sender = worker_ends.workers.len() >= WORKER_ENDS_TO_BAR;
+        if suspect.counted_ends() >= WORKER_ENDS_TO_BAR && !is_barred_at_sender {
+            applied
+                .reply
+                .worker_ends
+                .push(suspect.worker_ends(fingerprint));
         }
         if !is_barred_now {
             return;
         }
-        heard.barred.push(fingerprint);
+        applied.barred.push(fingerprint);
         if relays {
             self.outbox.enqueue(
                 now,
@@ -222,24 +230,24 @@
     }
 
     /// Returns barred requests that are missing from the list in the store.
-    pub fn unlisted(&self) -> impl Iterator<Item = Unlisted> + '_ {
+    pub fn unlisted(&self) -> impl Iterator<Item = UnlistedRequest> + '_ {
         let suspects = self.suspects.iter();
         suspects.filter_map(|(fingerprint, suspect)| suspect.unlisted(*fingerprint))
     }
 
     /// Returns requests that the store still lists although their bar has been lifted.
-    pub fn listed_in_vain(&self) -> impl Iterator<Item = Fingerprint> + '_ {
+    pub fn stale_listings(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         let suspects = self.suspects.iter();
         let stale = suspects.filter(|(_, suspect)| suspect.is_listing_stale());
         stale.map(|(fingerprint, _)| *fingerprint)
     }
 
     /// Returns the messages to send now.
-    pub fn due(&mut self, now: Timestamp) -> Vec<Outgoing> {
+    pub fn take_due_updates(&mut self, now: Timestamp) -> Vec<OutgoingUpdate> {
         let suspects = &self.suspects;
         self.outbox.due(now, |fingerprint| {
             let suspect = suspects.get(&fingerprint)?;
-            Some(suspect.sighting(fingerprint))
+            Some(suspect.worker_ends(fingerprint))
         })
     }
 
--- a/crates/forwarding/src/quarantine/outbox.rs
+++ b/crates/forwarding/src/quarantine/outbox.rs
@@ -8,7 +8,7 @@
 
 use tansyhall_core::Timestamp;
 
-use super::{Fingerprint, QuarantineNews, Sighting};
+use super::{Fingerprint, QuarantineUpdate, WorkerEnds};
 
 /// Delays before a message is sent again. Only if all four copies are lost does a recipient receive nothing. All
 /// are sent within half of the shortest time (3 s) in which gateways must learn of each other's changes.
@@ -45,11 +45,11 @@
 
 /// A message to other gateways.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Outgoing {
+pub struct OutgoingUpdate {
     /// The gateways that receive it.
     pub audience: Audience,
     /// The content.
-    pub news: QuarantineNews,
+    pub update: QuarantineUpdate,
 }
 
 #[derive(Debug)]
@@ -91,8 +91,8 @@
     pub(super) fn due(
         &mut self,
         now: Timestamp,
-        worker_ends: impl Fn(Fingerprint) -> Option<Sighting>,
-    ) -> Vec<Outgoing> {
+        worker_ends: impl Fn(Fingerprint) -> Option<WorkerEnds>,
+    ) -> Vec<OutgoingUpdate> {
         let mut batches = [Batch::new(Audience::Listeners), Batch::new(Audience::All)];
         self.pending.retain(|fingerprint, pending| {
             if pending.due > now {
@@ -121,8 +121,8 @@
 #[derive(Debug)]
 struct Batch {
     audience: Audience,
-    finished: Vec<QuarantineNews>,
-    news: QuarantineNews,
+    finished: Vec<QuarantineUpdate>,
+    update: QuarantineUpdate,
 }
 
 impl Batch {
@@ -130,32 +130,32 @@
         Self {
             audience,
             finished: Vec::new(),
-            news: QuarantineNews::default(),
+            update: QuarantineUpdate::default(),
         }
     }
 
-    fn add_worker_ends(&mut self, worker_ends: Option<Sighting>) {
-        self.news.sightings.extend(worker_ends);
+    fn add_worker_ends(&mut self, worker_ends: Option<WorkerEnds>) {
+        self.update.worker_ends.extend(worker_ends);
         self.finish_message_if_full();
     }
 
     fn add_cleared(&mut self, fingerprint: Fingerprint) {
-        self.news.absolved.push(fingerprint);
+        self.update.cleared.push(fingerprint);
         self.finish_message_if_full();
     }
 
     fn finish_message_if_full(&mut self) {
-        if self.news.sightings.len() + self.news.absolved.len() >= MAX_REQUESTS_PER_MESSAGE {
-            self.finished.push(std::mem::take(&mut self.news));
+        if self.update.worker_ends.len() + self.update.cleared.len() >= MAX_REQUESTS_PER_MESSAGE {
+            self.finished.push(std::mem::take(&mut self.update));
         }
     }
 
-    fn into_messages(mut self) -> impl Iterator<Item = Outgoing> {
-        if !self.news.is_empty() {
-            self.finished.push(self.news);
+    fn into_messages(mut self) -> impl Iterator<Item = OutgoingUpdate> {
+        if !self.update.is_empty() {
+            self.finished.push(self.update);
         }
         let audience = self.audience;
         let messages = self.finished.into_iter();
-        messages.map(move |news| Outgoing { audience, news })
+        messages.map(move |update| OutgoingUpdate { audience, update })
     }
 }
--- a/crates/forwarding/src/quarantine/send_ledger.rs
+++ b/crates/forwarding/src/quarantine/send_ledger.rs
@@ -15,54 +15,58 @@
 
 /// Identifies a recorded send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SendNumber(u64);
+pub struct SendId(u64);
 
 #[derive(Debug)]
 struct OpenSend {
-    number: SendNumber,
+    id: SendId,
     fingerprint: Fingerprint,
     abandoned_at: Option<Timestamp>,
 }
 
 /// Sends that are in progress or have not returned a complete answer.
 #[derive(Debug, Default)]
-pub struct SendLedger {
-    last_number: u64,
+pub struct SendTracker {
+    last_id: u64,
     workers: HashMap<WorkerId, Vec<OpenSend>>,
 }
 
-impl SendLedger {
+impl SendTracker {
     /// Records the start of a send.
-    pub fn begin(&mut self, worker: &WorkerId, fingerprint: Fingerprint) -> SendNumber {
-        self.last_number += 1;
-        let number = SendNumber(self.last_number);
+    pub fn begin(&mut self, worker: &WorkerId, fingerprint: Fingerprint) -> SendId {
+        self.last_id += 1;
+        let id = SendId(self.last_id);
         let sends = self.workers.entry(worker.clone()).or_default();
         sends.push(OpenSend {
-            number,
+            id,
             fingerprint,
             abandoned_at: None,
         });
-        number
+        id
     }
 
     /// Removes a send that the worker no longer runs, because the worker has answered it completely or refused it.
-    pub fn settle(&mut self, worker: &WorkerId, number: SendNumber) {
+    pub fn finish(&mut self, worker: &WorkerId, id: SendId) {
         if let Some(sends) = self.workers.get_mut(worker) {
-            sends.retain(|send| send.number != number);
+            sends.retain(|send| send.id != id);
         }
     }
 
     /// Records that no complete answer has arrived and that the gateway no longer waits for one.
-    pub fn give_up(&mut self, now: Timestamp, worker: &WorkerId, number: SendNumber) {
+    pub fn abandon(&mut self, now: Timestamp, worker: &WorkerId, id: SendId) {
         let sends = self.workers.get_mut(worker);
         let mut sends = sends.into_iter().flatten();
-        if let Some(send) = sends.find(|send| send.number == number) {
+        if let Some(send) = sends.find(|send| send.id == id) {
             send.abandoned_at = Some(now);
         }
     }
 
     /// Removes a worker that has ended, and returns the requests that it may have been running, each once.
-    pub fn take_ended(&mut self, now: Timestamp, worker: &WorkerId) -> BTreeSet<Fingerprint> {
+    pub fn remove_ended_worker(
+        &mut self,
+        now: Timestamp,
+        worker: &WorkerId,
+    ) -> BTreeSet<Fingerprint> {
         let sends = self.workers.remove(worker).unwrap_or_default();
         let open = sends.iter().filter(|send| send.may_run(now));
         open.map(|send| send.fingerprint).collect()
--- a/crates/forwarding/src/quarantine/suspect.rs
+++ b/crates/forwarding/src/quarantine/suspect.rs
@@ -2,7 +2,7 @@
 
 use tansyhall_core::Timestamp;
 
-use super::{Fingerprint, Sighting, Unlisted, ENDS_TO_BAR, MEMORY};
+use super::{Fingerprint, UnlistedRequest, WorkerEnds, SUSPECT_TTL, WORKER_ENDS_TO_BAR};
 use crate::load_exchange::WorkerKey;
 
 /// Maximum number of worker ends stored for one request. More would add no information, and each message lists
@@ -49,7 +49,7 @@
         for worker in workers {
             self.record_end(now, worker);
         }
-        if self.counted_ends() >= ENDS_TO_BAR {
+        if self.counted_ends() >= WORKER_ENDS_TO_BAR {
             self.barred_since.get_or_insert(now);
             self.is_lifted = false;
         }
@@ -101,9 +101,9 @@
     }
 
     /// Returns the workers whose ends count against the request.
-    pub(super) fn sighting(&self, fingerprint: Fingerprint) -> Sighting {
+    pub(super) fn worker_ends(&self, fingerprint: Fingerprint) -> WorkerEnds {
         let counting = self.ends.iter().filter(|end| !end.is_cleared);
-        Sighting {
+        WorkerEnds {
             fingerprint,
             workers: counting.map(|end| end.worker).collect(),
         }
@@ -116,9 +116,9 @@
         }
     }
 
-    pub(super) fn unlisted(&self, fingerprint: Fingerprint) -> Option<Unlisted> {
+    pub(super) fn unlisted(&self, fingerprint: Fingerprint) -> Option<UnlistedRequest> {
         let since = self.barred_since.filter(|_| !self.is_listed)?;
-        Some(Unlisted {
+        Some(UnlistedRequest {
             fingerprint,
             since,
             ends: self.counted_ends(),
@@ -131,6 +131,6 @@
 
     /// Returns whether the request can be removed: the store does not list it, and its last end is too long ago.
     pub(super) fn is_expired(&self, now: Timestamp) -> bool {
-        !self.is_listed && now.since(self.last_end) > MEMORY
+        !self.is_listed && now.since(self.last_end) > SUSPECT_TTL
     }
 }
--- a/crates/forwarding/src/relay_plan.rs
+++ b/crates/forwarding/src/relay_plan.rs
@@ -31,7 +31,7 @@
 /// per second and changes are rare. A long configuration is compressed (deflate) once for all of them.
 pub const GATEWAYS_PER_RELAY: usize = 64;
 /// Age of its copy above which the first successor of a relay asks the store itself.
-pub const PATIENCE: Duration = Duration::from_millis(1_200);
+pub const MAX_COPY_AGE: Duration = Duration::from_millis(1_200);
 /// Additional age for each of the first [`EARLY_SUCCESSORS`] further ranks. It is short, because any of them may be cut
 /// off as well.
 const EARLY_SUCCESSOR_STEP: Duration = Duration::from_millis(60);
@@ -58,7 +58,7 @@
     /// The gateway with this name.
     Relay(String),
     /// Nothing for now: the store has just failed, and no other gateway is usable.
-    Nobody,
+    Unavailable,
 }
 
 /// The properties of a gateway that the plan depends on.
@@ -123,30 +123,30 @@
         }
         match self.relay(&ranking) {
             Some(relay) => Upstream::Relay(relay.to_owned()),
-            None if is_backing_off => Upstream::Nobody,
+            None if is_backing_off => Upstream::Unavailable,
             None => Upstream::Store,
         }
     }
 
     /// Records that the store has answered.
-    pub fn store_answered(&mut self) {
+    pub fn record_store_answer(&mut self) {
         self.store_failed_at = None;
     }
 
     /// Records that the store has not answered or has refused the request.
-    pub fn store_failed(&mut self, now: Timestamp) {
+    pub fn record_store_failure(&mut self, now: Timestamp) {
         self.store_failed_at = Some(now);
     }
 
     /// Records that a relay has answered, and the age of its copy.
-    pub fn relay_answered(&mut self, now: Timestamp, relay: &str, age: Duration) {
-        if age > PATIENCE {
+    pub fn record_relay_answer(&mut self, now: Timestamp, relay: &str, age: Duration) {
+        if age > MAX_COPY_AGE {
             self.skip_until(relay, now + STALE_RELAY_BACKOFF);
         }
     }
 
     /// Records that a relay has not answered.
-    pub fn relay_failed(&mut self, now: Timestamp, relay: &str) {
+    pub fn record_relay_failure(&mut self, now: Timestamp, relay: &str) {
         self.skip_until(relay, now + UNRESPONSIVE_RELAY_BACKOFF);
     }
 
@@ -197,7 +197,7 @@
     let successors_before = ranking.own_rank.saturating_sub(ranking.relays);
     let early = successors_before.min(EARLY_SUCCESSORS);
     let later = successors_before - early;
-    PATIENCE + EARLY_SUCCESSOR_STEP * early as u32 + LATER_SUCCESSOR_STEP * later as u32
+    MAX_COPY_AGE + EARLY_SUCCESSOR_STEP * early as u32 + LATER_SUCCESSOR_STEP * later as u32
 }
 
 /// Decides whether the next request to the store asks for changes since the copy or for a snapshot.
@@ -208,37 +208,39 @@
 /// are applied, this took 7.2 s when any answer of another gateway let them request changes again, and 2.5 s with this
 /// rule, including the start of the gateways (one run each).
 #[derive(Debug)]
-pub struct Continuation {
-    reads_whole: bool,
+pub struct StoreReadState {
+    needs_snapshot: bool,
 }
 
-impl Default for Continuation {
+impl Default for StoreReadState {
     /// Creates the initial state: nothing has been read yet.
     fn default() -> Self {
-        Self { reads_whole: true }
+        Self {
+            needs_snapshot: true,
+        }
     }
 }
 
-impl Continuation {
+impl StoreReadState {
     /// Returns whether a snapshot must be read.
-    pub fn reads_whole(&self) -> bool {
-        self.reads_whole
+    pub fn needs_snapshot(&self) -> bool {
+        self.needs_snapshot
     }
 
     /// Records that the store did not answer, or did not answer the request.
-    pub fn store_failed(&mut self) {
-        self.reads_whole = true;
+    pub fn record_store_failure(&mut self) {
+        self.needs_snapshot = true;
     }
 
     /// Records that a snapshot has been read.
-    pub fn was_read_whole(&mut self) {
-        self.reads_whole = false;
+    pub fn record_snapshot(&mut self) {
+        self.needs_snapshot = false;
     }
 
     /// Records the answer of a relay, with the positions of the copy before and after it was applied.
-    pub fn relay_answered(&mut self, before: Position, after: Position) {
+    pub fn record_relay_answer(&mut self, before: Position, after: Position) {
         if after > before {
-            self.reads_whole = false;
+            self.needs_snapshot = false;
         }
     }
 }
--- a/crates/forwarding/src/request/mod.rs
+++ b/crates/forwarding/src/request/mod.rs
@@ -27,7 +27,7 @@
 use crate::worker::WorkerId;
 
 pub use step::{
-    Action, AttemptPolicy, Conclusion, EventId, PromptHandle, ReadingFailure, RequestEvent,
+    Action, AttemptPolicy, Conclusion, EventId, PromptHandle, PromptReadFailure, RequestEvent,
     SendFailure,
 };
 
@@ -96,8 +96,8 @@
         match event {
             RequestEvent::Arrived => self.handle_arrival(),
             RequestEvent::Selected(worker) => self.handle_selection(worker),
-            RequestEvent::BudgetAnswered(true) => self.select_worker(),
-            RequestEvent::BudgetAnswered(false) => self.finish(self.failure_conclusion()),
+            RequestEvent::RetryAllowed(true) => self.select_worker(),
+            RequestEvent::RetryAllowed(false) => self.finish(self.failure_conclusion()),
             RequestEvent::PromptRead(handle) => {
                 self.source = Some(handle);
                 self.select_worker()
@@ -105,14 +105,14 @@
             RequestEvent::PromptNotRead(failure) => self.handle_prompt_not_read(failure),
             RequestEvent::Completed => self.finish(Conclusion::Delivered),
             RequestEvent::Failed(failure) => self.handle_failure(failure),
-            RequestEvent::BrokenOff(last_event) => self.handle_interruption(last_event),
+            RequestEvent::Interrupted(last_event) => self.handle_interruption(last_event),
             RequestEvent::DeadlinePassed => self.handle_deadline(),
             RequestEvent::Barred => self.handle_barred(),
         }
     }
 
     /// Returns whether a part of the answer has been delivered.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started_answer(&self) -> bool {
         self.answer_started
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Returns whether another worker may get the request if the current one fails.
-    pub fn may_try_elsewhere(&self) -> bool {
+    pub fn may_retry_on_another_worker(&self) -> bool {
         self.policy.repeatability.allows_second_run() && self.runs < self.policy.max_attempts
     }
 
@@ -146,10 +146,10 @@
         }
     }
 
-    fn handle_prompt_not_read(&mut self, failure: ReadingFailure) -> Action {
+    fn handle_prompt_not_read(&mut self, failure: PromptReadFailure) -> Action {
         let reader = self.current_worker.take();
         match failure {
-            ReadingFailure::NotSent => {
+            PromptReadFailure::NotSent => {
                 self.avoid.extend(reader);
                 self.unsent_sends += 1;
                 match self.unsent_sends > MAX_UNSENT_SENDS {
@@ -157,11 +157,11 @@
                     false => self.select_prompt_reader(),
                 }
             }
-            ReadingFailure::Left => {
+            PromptReadFailure::NotStarted => {
                 self.phase = Phase::CheckingRetryBudget;
-                Action::AskBudget
+                Action::CheckRetryBudget
             }
-            ReadingFailure::TakenUp => self.select_worker(),
+            PromptReadFailure::FailedAfterStart => self.select_worker(),
         }
     }
 
@@ -259,7 +259,7 @@
             return self.finish(self.failure_conclusion());
         }
         self.phase = Phase::CheckingRetryBudget;
-        Action::AskBudget
+        Action::CheckRetryBudget
     }
 
     fn handle_deadline(&mut self) -> Action {
--- a/crates/forwarding/src/request/step.rs
+++ b/crates/forwarding/src/request/step.rs
@@ -44,13 +44,13 @@
 
 /// Why a separate worker did not read a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadingFailure {
+pub enum PromptReadFailure {
     /// No part of the request to read it reached a worker.
     NotSent,
     /// A worker refused the read or left it in its queue, or it is unknown what the worker did.
-    Left,
+    NotStarted,
     /// A worker started the read and failed.
-    TakenUp,
+    FailedAfterStart,
 }
 
 /// An event that the state machine handles.
@@ -60,18 +60,18 @@
     Arrived,
     /// The result of [`Action::Select`]; `None` if no worker is available.
     Selected(Option<WorkerId>),
-    /// The result of [`Action::AskBudget`]: whether one more send is allowed.
-    BudgetAnswered(bool),
+    /// The result of [`Action::CheckRetryBudget`]: whether one more send is allowed.
+    RetryAllowed(bool),
     /// A separate worker has read the prompt.
     PromptRead(PromptHandle),
     /// The separate worker has not read the prompt.
-    PromptNotRead(ReadingFailure),
+    PromptNotRead(PromptReadFailure),
     /// The complete answer was delivered or is ready to be delivered.
     Completed,
     /// The send failed before any part of its answer was delivered.
     Failed(SendFailure),
     /// The answer was cut off after a part of it was delivered, up to and including the event with this id.
-    BrokenOff(Option<EventId>),
+    Interrupted(Option<EventId>),
     /// The deadline of the request has passed.
     DeadlinePassed,
     /// The request crashes workers, so no worker may get it any more.
@@ -89,7 +89,7 @@
         avoid: Vec<WorkerId>,
     },
     /// Ask the retry budget whether one more send is allowed.
-    AskBudget,
+    CheckRetryBudget,
     /// Let a separate worker read the prompt.
     ReadPrompt {
         /// The worker that reads the prompt.
--- a/crates/forwarding/src/retry_share.rs
+++ b/crates/forwarding/src/retry_share.rs
@@ -87,15 +87,15 @@
     }
 
     /// Returns the number of retries to a service that are still allowed in the current window.
-    pub fn left(&mut self, now: Timestamp, service: &ServiceName) -> f64 {
-        self.share(service).left(now)
+    pub fn remaining(&mut self, now: Timestamp, service: &ServiceName) -> f64 {
+        self.share(service).remaining(now)
     }
 
     /// Returns the number of retries that are still allowed, for each service.
-    pub fn all_left(&mut self, now: Timestamp) -> Vec<(ServiceName, f64)> {
+    pub fn remaining_by_service(&mut self, now: Timestamp) -> Vec<(ServiceName, f64)> {
         let services = self.services.iter_mut();
         services
-            .map(|(service, share)| (service.clone(), share.left(now)))
+            .map(|(service, share)| (service.clone(), share.remaining(now)))
             .collect()
     }
 
@@ -144,7 +144,7 @@
 
     /// Returns whether one more send is allowed, and counts it if so.
     pub fn try_retry(&mut self, now: Timestamp) -> bool {
-        let allowed = self.left(now) >= 1.0;
+        let allowed = self.remaining(now) >= 1.0;
         if allowed {
             self.bucket(now).retries += 1;
         }
@@ -152,7 +152,7 @@
     }
 
     /// Returns the number of retries that are still allowed in the current window.
-    pub fn left(&mut self, now: Timestamp) -> f64 {
+    pub fn remaining(&mut self, now: Timestamp) -> f64 {
         self.bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
--- a/crates/forwarding/src/scheduler_plan.rs
+++ b/crates/forwarding/src/scheduler_plan.rs
@@ -4,8 +4,8 @@
 //! gateways, each of them knows less and less of an engine's queue, and the messages between them grow with the square
 //! of their number. Therefore a bounded number of gateways, the schedulers, place requests for all:
 //!
-//! 1. A fleet of up to [`FULL_EXCHANGE`] gateways needs no separate schedulers: each gateway places its own requests.
-//! 2. In a larger fleet each zone has an equal share of [`FULL_EXCHANGE`] schedulers, and at least one for each
+//! 1. A fleet of up to [`MAX_FULL_RATE_REPORTERS`] gateways needs no separate schedulers: each gateway places its own requests.
+//! 2. In a larger fleet each zone has an equal share of [`MAX_FULL_RATE_REPORTERS`] schedulers, and at least one for each
 //!    [`GATEWAYS_PER_SCHEDULER`] of its gateways. The schedulers are the first gateways of the zone's ranking, which
 //!    orders them by processor time, and by rendezvous hashing if that is equal, so gateways agree without messages.
 //! 3. Every other gateway sends its requests for placement to one scheduler of its zone, also chosen by hashing. A
@@ -23,7 +23,7 @@
 
 /// Maximum number of gateways that exchange load reports at the full rate. Each sends up to 50 reports per second to
 /// each other one, which the slowest tested links (10 Mbit/s) can carry in addition to callers' requests.
-pub const FULL_EXCHANGE: usize = 12;
+pub const MAX_FULL_RATE_REPORTERS: usize = 12;
 /// Number of gateways that one scheduler places requests for. At about five requests per second from each, a
 /// scheduler answers a few hundred placement requests per second, each of which takes a fraction of a millisecond.
 pub const GATEWAYS_PER_SCHEDULER: usize = 64;
@@ -90,9 +90,9 @@
         for member in members {
             by_zone.entry(member.zone.clone()).or_default().push(member);
         }
-        let schedulers_per_zone = (FULL_EXCHANGE / by_zone.len().max(1)).max(1);
+        let schedulers_per_zone = (MAX_FULL_RATE_REPORTERS / by_zone.len().max(1)).max(1);
         let ranked = by_zone.into_iter().map(|(zone, members)| {
-            let schedulers = match total <= FULL_EXCHANGE {
+            let schedulers = match total <= MAX_FULL_RATE_REPORTERS {
                 true => members.len(),
                 false => schedulers_per_zone.max(members.len().div_ceil(GATEWAYS_PER_SCHEDULER)),
             };
@@ -105,24 +105,24 @@
     }
 
     /// Returns the number of zones that have gateways.
-    pub fn zones(&self) -> usize {
+    pub fn zone_count(&self) -> usize {
         self.zones.len()
     }
 
     /// Returns the number of schedulers in the fleet.
-    pub fn schedulers(&self) -> usize {
+    pub fn scheduler_count(&self) -> usize {
         self.zones.values().map(|zone| zone.schedulers).sum()
     }
 
     /// Returns the names of all schedulers.
-    pub fn scheduling(&self) -> impl Iterator<Item = &str> {
+    pub fn scheduler_names(&self) -> impl Iterator<Item = &str> {
         let schedulers = self.zones.values().flat_map(ZoneRanking::scheduling);
         schedulers.map(String::as_str)
     }
 
     /// Returns whether a gateway is a scheduler.
     pub fn is_scheduler(&self, name: &str) -> bool {
-        self.scheduling().any(|scheduler| scheduler == name)
+        self.scheduler_names().any(|scheduler| scheduler == name)
     }
 
     /// Returns whether a gateway receives the schedulers' load reports.
@@ -137,7 +137,7 @@
     }
 
     /// Returns the number of gateways that collect the usage counts of the others.
-    pub fn collectors(&self) -> usize {
+    pub fn collector_count(&self) -> usize {
         let gateways: usize = self.zones.values().map(|zone| zone.names.len()).sum();
         let collectors = gateways.div_ceil(GATEWAYS_PER_COLLECTOR);
         collectors.min(self.zones.len())
@@ -148,7 +148,7 @@
     /// fleet has one collector for each [`GATEWAYS_PER_COLLECTOR`] gateways. Rendezvous hashing selects the zones that
     /// provide a collector, and distributes the gateways among the collectors.
     pub fn collector_of(&self, own: &str, is_usable: impl Fn(&str) -> bool) -> Option<&str> {
-        let collectors = self.collectors();
+        let collectors = self.collector_count();
         let usable = |name: &&str| *name == own || is_usable(name);
         let candidates = self.zones.values().filter_map(|zone| {
             let mut names = zone.names.iter().map(String::as_str);
--- a/crates/forwarding/src/stop_plan.rs
+++ b/crates/forwarding/src/stop_plan.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns whether the process may exit `elapsed` after SIGTERM, with `in_flight` requests in progress.
-    pub fn may_end(&self, elapsed: Duration, in_flight: u64) -> bool {
+    pub fn may_exit(&self, elapsed: Duration, in_flight: u64) -> bool {
         let latest_exit = self.grace.saturating_sub(EXIT_MARGIN);
         let earliest_exit = LOAD_BALANCER_DELAY.min(latest_exit);
         elapsed >= latest_exit || (elapsed >= earliest_exit && in_flight == 0)
--- a/crates/forwarding/tests/budget_and_mirror.rs
+++ b/crates/forwarding/tests/budget_and_mirror.rs
@@ -159,5 +159,5 @@
     });
     assert!(shares.try_retry(now, &service));
     assert!(!shares.try_retry(now, &service));
-    assert_eq!(shares.all_left(now).len(), 1);
+    assert_eq!(shares.remaining_by_service(now).len(), 1);
 }
--- a/crates/forwarding/tests/placements.rs
+++ b/crates/forwarding/tests/placements.rs
@@ -6,10 +6,10 @@
 
 use tansyhall_core::{Role, ServiceName, Timestamp, ZoneName};
 use tansyhall_forwarding::{
-    Demand, Directory, EngineCapacity, GatewayKey, Need, Objectives, PlacementAnswer,
-    PlacementBook, PlacementId, PlacementLedger, PlacementMessage, PlacementNeed, PlacementNotice,
-    PlacementRequest, PromptPart, SchedulerCandidate, SchedulerPlan, SendResult, Worker, WorkerId,
-    WorkerKind, WorkerNotice, WorkerState,
+    Demand, Directory, EngineCapacity, GatewayKey, GrantedPlacements, Need, Objectives,
+    PlacementAnswer, PlacementId, PlacementMessage, PlacementNeed, PlacementNotice,
+    PlacementRequest, PromptPart, RequestedPlacements, SchedulerCandidate, SchedulerPlan,
+    SendResult, Worker, WorkerId, WorkerKind, WorkerNotice, WorkerState,
 };
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
@@ -80,15 +80,15 @@
 /// A scheduler and one gateway that requests placements from it.
 struct SchedulerAndGateway {
     directory: Directory,
-    ledger: PlacementLedger,
-    book: PlacementBook,
+    ledger: GrantedPlacements,
+    book: RequestedPlacements,
 }
 
 fn ended(id: PlacementId, result: SendResult) -> PlacementNotice {
     PlacementNotice::Ended {
         id,
         result,
-        said: WorkerNotice::default(),
+        worker_notice: WorkerNotice::default(),
         rate_limit: None,
     }
 }
@@ -97,20 +97,20 @@
     fn new() -> Self {
         Self {
             directory: directory(1, 4, 1),
-            ledger: PlacementLedger::default(),
-            book: PlacementBook::new(GatewayKey(2)),
+            ledger: GrantedPlacements::default(),
+            book: RequestedPlacements::new(GatewayKey(2)),
         }
     }
 
     fn request_message(&mut self) -> PlacementMessage {
         let id = self.book.next_id();
         self.book
-            .ask(SCHEDULER, request(id, PlacementNeed::Admission))
+            .request_message(SCHEDULER, request(id, PlacementNeed::Admission))
     }
 
     fn take(&mut self, now: Timestamp, message: PlacementMessage) -> Option<PlacementAnswer> {
         self.ledger
-            .take(now, &mut self.directory, &zone(0), message)
+            .handle_message(now, &mut self.directory, &zone(0), message)
     }
 
     fn place(&mut self) -> PlacementId {
@@ -122,11 +122,11 @@
     }
 
     fn end(&mut self, id: PlacementId, result: SendResult) {
-        self.book.tell(SCHEDULER, ended(id, result));
+        self.book.queue_notice(SCHEDULER, ended(id, result));
     }
 
     fn deliver_notices(&mut self) {
-        for (_, message) in self.book.flush() {
+        for (_, message) in self.book.take_notice_messages() {
             assert_eq!(self.take(NOW, message), None);
         }
     }
@@ -140,7 +140,7 @@
     let latency = LATENCY;
     fleet
         .book
-        .tell(SCHEDULER, PlacementNotice::PromptRead { id, latency });
+        .queue_notice(SCHEDULER, PlacementNotice::PromptRead { id, latency });
     fleet.end(id, SendResult::Answered { latency });
     fleet.deliver_notices();
     assert_eq!(sends(&fleet.directory), 0);
@@ -151,7 +151,7 @@
     let mut fleet = SchedulerAndGateway::new();
     let first = fleet.place();
     fleet.end(first, SendResult::Answered { latency: LATENCY });
-    let lost_messages = fleet.book.flush();
+    let lost_messages = fleet.book.take_notice_messages();
     assert_eq!(lost_messages.len(), 1);
     assert_eq!(sends(&fleet.directory), 1);
     fleet.place();
@@ -177,11 +177,11 @@
     let after = before + Duration::from_secs(2);
     fleet.ledger.expire(after, &mut fleet.directory);
     assert_eq!(sends(&fleet.directory), 0);
-    assert!(fleet.ledger.is_asked());
+    assert!(fleet.ledger.has_requesting_gateways());
     fleet
         .ledger
         .expire(after + Duration::from_secs(60), &mut fleet.directory);
-    assert!(!fleet.ledger.is_asked());
+    assert!(!fleet.ledger.has_requesting_gateways());
 }
 
 #[test]
@@ -217,7 +217,7 @@
 #[test]
 fn placement_ids_of_two_incarnations_of_a_gateway_do_not_overlap() {
     let first_ids = |incarnation: u64| {
-        let mut book = PlacementBook::new(GatewayKey::of("g-1", incarnation));
+        let mut book = RequestedPlacements::new(GatewayKey::of("g-1", incarnation));
         std::iter::repeat_with(move || book.next_id()).take(MAX_RECENT_REQUESTS)
     };
     let earlier: BTreeSet<PlacementId> = first_ids(0x5eed_0001_77aa_90c3).collect();
@@ -236,7 +236,7 @@
         avoid,
         ..request(id, need)
     };
-    let message = fleet.book.ask(SCHEDULER, request);
+    let message = fleet.book.request_message(SCHEDULER, request);
     let Some(PlacementAnswer::Placed(placement)) = fleet.take(NOW, message) else {
         panic!("the request was not placed");
     };
@@ -246,17 +246,19 @@
 #[test]
 fn an_unresponsive_scheduler_is_skipped_for_a_while() {
     let mut fleet = SchedulerAndGateway::new();
-    let timeout = fleet.book.patience(SCHEDULER);
+    let timeout = fleet.book.answer_timeout(SCHEDULER);
     let id = fleet.place();
-    fleet.book.answered(SCHEDULER, Duration::from_millis(1));
-    assert!(fleet.book.patience(SCHEDULER) < timeout);
+    fleet
+        .book
+        .record_answer(SCHEDULER, Duration::from_millis(1));
+    assert!(fleet.book.answer_timeout(SCHEDULER) < timeout);
     assert!(fleet.book.is_usable(NOW, SCHEDULER));
-    fleet.book.silent(NOW, SCHEDULER, id);
+    fleet.book.record_timeout(NOW, SCHEDULER, id);
     assert!(!fleet.book.is_usable(NOW, SCHEDULER));
     assert!(fleet
         .book
         .is_usable(NOW + Duration::from_secs(5), SCHEDULER));
-    assert_eq!(fleet.book.patience(SCHEDULER), timeout);
+    assert_eq!(fleet.book.answer_timeout(SCHEDULER), timeout);
 }
 
 const LARGE_FLEET: usize = 1_000;
@@ -289,7 +291,7 @@
 struct LargeFleet {
     gateways: Vec<SchedulerCandidate>,
     plan: SchedulerPlan,
-    schedulers: BTreeMap<String, (Directory, PlacementLedger)>,
+    schedulers: BTreeMap<String, (Directory, GrantedPlacements)>,
     placed: BTreeMap<WorkerId, u32>,
     open: VecDeque<OpenPlacement>,
 }
@@ -309,10 +311,10 @@
             .filter(|candidate| plan.is_scheduler(&candidate.name));
         let schedulers = schedulers.enumerate().map(|(number, candidate)| {
             let mut directory = directory(number as u64, MANY_ENGINES, ZONES);
-            directory.set_other_gateways(plan.schedulers() - 1, REPORT_INTERVAL);
+            directory.set_other_gateways(plan.scheduler_count() - 1, REPORT_INTERVAL);
             (
                 candidate.name.clone(),
-                (directory, PlacementLedger::default()),
+                (directory, GrantedPlacements::default()),
             )
         });
         Self {
@@ -341,7 +343,7 @@
             notices: Vec::new(),
             request: Some(request(id, need)),
         };
-        let answer = ledger.take(now, directory, &gateway.zone, message);
+        let answer = ledger.handle_message(now, directory, &gateway.zone, message);
         let Some(PlacementAnswer::Placed(placement)) = answer else {
             panic!("the request was not placed: {answer:?}");
         };
@@ -369,7 +371,7 @@
             notices: vec![ended(oldest.id, result)],
             request: None,
         };
-        ledger.take(now, directory, &zone(0), message);
+        ledger.handle_message(now, directory, &zone(0), message);
     }
 
     fn exchange_reports(&mut self, now: Timestamp) {
--- a/crates/forwarding/tests/quarantine_together.rs
+++ b/crates/forwarding/tests/quarantine_together.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use tansyhall_core::Timestamp;
 use tansyhall_fixed_cases::fixed_cases;
-use tansyhall_forwarding::quarantine::{ENDS_TO_BAR, MEMORY};
-use tansyhall_forwarding::{Audience, Fingerprint, Quarantine, QuarantineNews, WorkerKey};
+use tansyhall_forwarding::quarantine::{SUSPECT_TTL, WORKER_ENDS_TO_BAR};
+use tansyhall_forwarding::{Audience, Fingerprint, Quarantine, QuarantineUpdate, WorkerKey};
 
 const SEED: u64 = 34;
 const CRASHING: Fingerprint = Fingerprint(1);
@@ -38,7 +38,7 @@
 
     fn record_worker_end(&mut self, gateway: usize, worker: u64, requests: &[Fingerprint]) {
         let requests = requests.iter().copied();
-        self.gateways[gateway].worker_ended(self.now, WorkerKey(worker), requests);
+        self.gateways[gateway].record_worker_end(self.now, WorkerKey(worker), requests);
     }
 
     /// Lets gateways exchange updates for `time`. `arrives` decides for each message whether it arrives.
@@ -57,24 +57,24 @@
     }
 
     fn send_updates(&mut self, sender: usize, arrives: &mut dyn FnMut() -> bool) {
-        for outgoing in self.gateways[sender].due(self.now) {
+        for outgoing in self.gateways[sender].take_due_updates(self.now) {
             let receivers = match outgoing.audience {
                 Audience::Listeners => self.listeners,
                 Audience::All => self.gateways.len(),
             };
             for receiver in (0..receivers).filter(|receiver| *receiver != sender) {
                 if arrives() {
-                    self.hear(receiver, sender, &outgoing.news);
+                    self.apply_update(receiver, sender, &outgoing.update);
                 }
             }
         }
     }
 
-    fn hear(&mut self, receiver: usize, sender: usize, news: &QuarantineNews) {
+    fn apply_update(&mut self, receiver: usize, sender: usize, update: &QuarantineUpdate) {
         let relays = receiver < self.listeners;
-        let heard = self.gateways[receiver].hear(self.now, news, relays);
+        let applied = self.gateways[receiver].apply_update(self.now, update, relays);
         let relays = sender < self.listeners;
-        self.gateways[sender].hear(self.now, &heard.reply, relays);
+        self.gateways[sender].apply_update(self.now, &applied.reply, relays);
     }
 
     fn gateways_barring(&self, fingerprint: Fingerprint) -> usize {
@@ -88,7 +88,7 @@
 #[test]
 fn worker_ends_observed_by_different_gateways_add_up() {
     let mut fleet = Fleet::new(5, 5);
-    for gateway in 0..ENDS_TO_BAR {
+    for gateway in 0..WORKER_ENDS_TO_BAR {
         assert_eq!(fleet.gateways_barring(CRASHING), 0);
         fleet.record_worker_end(gateway, gateway as u64, &[CRASHING]);
         fleet.exchange_for(STEP, &mut || true);
@@ -99,7 +99,7 @@
 #[test]
 fn in_a_large_fleet_listeners_combine_worker_ends_for_all_gateways() {
     let mut fleet = Fleet::new(200, 6);
-    for number in 0..ENDS_TO_BAR {
+    for number in 0..WORKER_ENDS_TO_BAR {
         fleet.record_worker_end(100 + number, number as u64, &[CRASHING]);
     }
     fleet.exchange();
@@ -125,7 +125,7 @@
     }
     fleet.exchange();
     let now = fleet.now;
-    fleet.gateways[4].answered(now, HARMLESS);
+    fleet.gateways[4].record_answer(now, HARMLESS);
     fleet.exchange();
     fleet.record_worker_end(3, 3, &[CRASHING, HARMLESS]);
     fleet.exchange();
@@ -142,7 +142,7 @@
 fn a_request_that_another_gateway_saw_answered_recently_is_not_barred() {
     let mut fleet = Fleet::new(5, 5);
     let now = fleet.now;
-    fleet.gateways[4].answered(now, HARMLESS);
+    fleet.gateways[4].record_answer(now, HARMLESS);
     for worker in 0..3 {
         fleet.record_worker_end(0, worker, &[CRASHING, HARMLESS]);
     }
@@ -160,7 +160,7 @@
 fn an_earlier_answer_clears_a_request_only_once() {
     let mut fleet = Fleet::new(5, 5);
     let now = fleet.now;
-    fleet.gateways[4].answered(now, CRASHING);
+    fleet.gateways[4].record_answer(now, CRASHING);
     for worker in 0..6 {
         fleet.record_worker_end(0, worker, &[CRASHING]);
         fleet.exchange_for(STEP, &mut || true);
@@ -177,7 +177,7 @@
     fleet.exchange();
     assert_eq!(fleet.gateways_barring(HARMLESS), 5);
     let now = fleet.now;
-    fleet.gateways[2].answered(now, HARMLESS);
+    fleet.gateways[2].record_answer(now, HARMLESS);
     fleet.exchange();
     assert_eq!(fleet.gateways_barring(HARMLESS), 0);
 }
@@ -211,15 +211,15 @@
     let mut gateway = Quarantine::default();
     let listed = BTreeSet::from([CRASHING]);
     gateway.set_listed(at(0), &listed);
-    gateway.answered(at(1), CRASHING);
+    gateway.record_answer(at(1), CRASHING);
     gateway.set_listed(at(2), &listed);
     assert!(!gateway.is_barred(CRASHING));
-    assert_eq!(gateway.listed_in_vain().collect::<Vec<_>>(), [CRASHING]);
+    assert_eq!(gateway.stale_listings().collect::<Vec<_>>(), [CRASHING]);
     for worker in 0..3 {
-        gateway.worker_ended(at(3), WorkerKey(worker), [CRASHING]);
+        gateway.record_worker_end(at(3), WorkerKey(worker), [CRASHING]);
     }
     assert!(gateway.is_barred(CRASHING));
-    assert_eq!(gateway.listed_in_vain().count(), 0);
+    assert_eq!(gateway.stale_listings().count(), 0);
 }
 
 #[test]
@@ -227,7 +227,7 @@
     let mut gateway = Quarantine::default();
     for worker in 0..3 {
         assert_eq!(gateway.unlisted().count(), 0);
-        gateway.worker_ended(at(worker), WorkerKey(worker), [CRASHING]);
+        gateway.record_worker_end(at(worker), WorkerKey(worker), [CRASHING]);
     }
     let unlisted: Vec<_> = gateway.unlisted().collect();
     assert_eq!(unlisted.len(), 1);
@@ -240,11 +240,11 @@
 fn worker_ends_expire_after_the_last_one() {
     let mut gateway = Quarantine::default();
     for worker in 0..3 {
-        gateway.worker_ended(at(0), WorkerKey(worker), [CRASHING]);
+        gateway.record_worker_end(at(0), WorkerKey(worker), [CRASHING]);
     }
-    gateway.expire(at(0) + MEMORY);
+    gateway.expire(at(0) + SUSPECT_TTL);
     assert!(gateway.is_barred(CRASHING));
-    gateway.expire(at(1) + MEMORY);
+    gateway.expire(at(1) + SUSPECT_TTL);
     assert!(!gateway.is_barred(CRASHING));
 }
 
@@ -252,15 +252,15 @@
 fn callers_that_vary_their_bodies_do_not_evict_a_barred_request() {
     let mut gateway = Quarantine::default();
     for worker in 0..3 {
-        gateway.worker_ended(at(0), WorkerKey(worker), [CRASHING]);
+        gateway.record_worker_end(at(0), WorkerKey(worker), [CRASHING]);
     }
     for number in 0..20_000 {
         let varied = Fingerprint(1_000 + number);
-        gateway.worker_ended(at(1 + number), WorkerKey(number), [varied]);
-        gateway.answered(at(1 + number), Fingerprint(1_000_000 + number));
+        gateway.record_worker_end(at(1 + number), WorkerKey(number), [varied]);
+        gateway.record_answer(at(1 + number), Fingerprint(1_000_000 + number));
     }
     assert!(gateway.is_barred(CRASHING));
-    assert_eq!(gateway.barred(), 1);
+    assert_eq!(gateway.barred_count(), 1);
 }
 
 proptest! {
@@ -269,7 +269,7 @@
     /// One message in three is lost: all gateways still bar the request within the time limit.
     #[test]
     fn repeated_messages_make_up_for_lost_ones(
-        observers in prop::collection::vec(0_usize..6, ENDS_TO_BAR),
+        observers in prop::collection::vec(0_usize..6, WORKER_ENDS_TO_BAR),
         lost in prop::collection::vec(prop::bool::weighted(0.33), 64),
     ) {
         let mut fleet = Fleet::new(6, 6);
@@ -293,15 +293,15 @@
     ) {
         let mut fleet = Fleet::new(6, 6);
         let mut messages = Vec::new();
-        for worker in 0..(ENDS_TO_BAR - 1) {
+        for worker in 0..(WORKER_ENDS_TO_BAR - 1) {
             fleet.record_worker_end(worker, worker as u64, &[CRASHING]);
             let now = fleet.now;
-            let due = fleet.gateways[worker].due(now);
-            messages.extend(due.into_iter().map(|outgoing| outgoing.news));
+            let due = fleet.gateways[worker].take_due_updates(now);
+            messages.extend(due.into_iter().map(|outgoing| outgoing.update));
         }
         for (receiver, message) in order {
-            let news = messages[message % messages.len()].clone();
-            fleet.hear(receiver, 0, &news);
+            let update = messages[message % messages.len()].clone();
+            fleet.apply_update(receiver, 0, &update);
         }
         prop_assert_eq!(fleet.gateways_barring(CRASHING), 0);
     }
@@ -314,13 +314,16 @@
         fleet.record_worker_end(0, worker, &[CRASHING]);
         fleet.record_worker_end(1, 100 + worker, &[CRASHING]);
     }
-    let mut news = fleet.gateways[0].due(fleet.now).remove(0).news;
+    let mut update = fleet.gateways[0]
+        .take_due_updates(fleet.now)
+        .remove(0)
+        .update;
     for answers in 0..3 {
-        let heard = fleet.gateways[1 - answers % 2].hear(fleet.now, &news, true);
-        if heard.reply.is_empty() {
+        let applied = fleet.gateways[1 - answers % 2].apply_update(fleet.now, &update, true);
+        if applied.reply.is_empty() {
             return;
         }
-        news = heard.reply;
+        update = applied.reply;
     }
     panic!("the gateways still answer each other after three messages");
 }
--- a/crates/forwarding/tests/rate_limits.rs
+++ b/crates/forwarding/tests/rate_limits.rs
@@ -7,9 +7,9 @@
 
 use tansyhall_core::{ServiceName, Timestamp, ZoneName};
 use tansyhall_forwarding::{
-    Admission, Demand, Directory, FirstAvailable, GatewayKey, LimitSharers, LimitStatement,
-    LoadReport, Need, Objectives, PlacementAnswer, PlacementBook, PlacementLedger, PlacementNeed,
-    PlacementRequest, RateLimit, RateToken, RefusalCause, StatedLimit, Unavailable, WorkerId,
+    Admission, Demand, Directory, FirstAvailable, GatewayKey, GrantedPlacements, LimitSharers,
+    LimitStatement, LoadReport, Need, Objectives, PlacementAnswer, PlacementNeed, PlacementRequest,
+    RateLimit, RateToken, RefusalCause, RequestedPlacements, StatedLimit, Unavailable, WorkerId,
     WorkerKey, WorkerNotice,
 };
 
@@ -350,11 +350,11 @@
 fn placement_answers(gateways: u64) -> Vec<PlacementAnswer> {
     let mut directory = alone(&["a"]);
     directory.apply_notice(START, &WorkerId::from("a"), limit_notice(limit(6.0)));
-    let mut ledger = PlacementLedger::default();
+    let mut ledger = GrantedPlacements::default();
     let zone = ZoneName::new("z");
     let now = START + SPAN;
     let answers = (0..gateways).map(|number| {
-        let mut book = PlacementBook::new(GatewayKey(10 + number));
+        let mut book = RequestedPlacements::new(GatewayKey(10 + number));
         let request = PlacementRequest {
             id: book.next_id(),
             service: ServiceName::new("s"),
@@ -367,8 +367,8 @@
             need: PlacementNeed::Worker { need: Need::Run },
             avoid: Vec::new(),
         };
-        let message = book.ask(SCHEDULER, request);
-        let answer = ledger.take(now, &mut directory, &zone, message);
+        let message = book.request_message(SCHEDULER, request);
+        let answer = ledger.handle_message(now, &mut directory, &zone, message);
         answer.expect("an answer")
     });
     answers.collect()
--- a/crates/forwarding/tests/relay_plan.rs
+++ b/crates/forwarding/tests/relay_plan.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use tansyhall_core::{Timestamp, ZoneName};
 use tansyhall_fixed_cases::fixed_cases;
-use tansyhall_forwarding::relay_plan::{GATEWAYS_PER_RELAY, PATIENCE};
-use tansyhall_forwarding::{Continuation, Position, RelayCandidate, RelayPlan, Upstream};
+use tansyhall_forwarding::relay_plan::{GATEWAYS_PER_RELAY, MAX_COPY_AGE};
+use tansyhall_forwarding::{Position, RelayCandidate, RelayPlan, StoreReadState, Upstream};
 
 /// Seed of the property tests.
 const SEED: u64 = 20_261_203;
@@ -75,7 +75,7 @@
             match plan.upstream(at(0), &members, FRESH_AGE) {
                 Upstream::Store => { followers.insert(name.clone()); }
                 Upstream::Relay(relay) => { asked.insert(name.clone(), relay); }
-                Upstream::Nobody => prop_assert!(false, "the store or a gateway can be asked"),
+                Upstream::Unavailable => prop_assert!(false, "the store or a gateway can be asked"),
             }
         }
         prop_assert_eq!(followers.len(), 1);
@@ -97,12 +97,12 @@
         let names = names(count);
         let members = candidates(&names);
         let mut plan = plans(&names).remove(0);
-        plan.store_failed(at(0));
+        plan.record_store_failure(at(0));
         for (index, silent) in failures {
             let name = &names[index % count];
             match silent {
-                true => plan.relay_failed(at(0), name),
-                false => plan.relay_answered(at(0), name, STALE_AGE),
+                true => plan.record_relay_failure(at(0), name),
+                false => plan.record_relay_answer(at(0), name, STALE_AGE),
             }
         }
         let age = STALE_AGE + LATER_SUCCESSOR_STEP * count.saturating_sub(MAX_EARLY_ASKERS) as u32;
@@ -128,7 +128,7 @@
         if *name == relay {
             continue;
         }
-        plan.relay_failed(at(0), &relay);
+        plan.record_relay_failure(at(0), &relay);
         if plan.upstream(at(1), &members, FRESH_AGE) == Upstream::Store {
             successors.push(name);
         }
@@ -143,7 +143,7 @@
     let mut plans = plans(&names);
     let (relay, subscriber) = relay_and_subscriber(&mut plans, &members);
     let plan = &mut plans[subscriber];
-    plan.relay_answered(at(0), &relay, PATIENCE + FRESH_AGE);
+    plan.record_relay_answer(at(0), &relay, MAX_COPY_AGE + FRESH_AGE);
     assert_ne!(
         plan.upstream(at(1), &members, FRESH_AGE),
         Upstream::Relay(relay.clone())
@@ -163,7 +163,7 @@
     let index = names.iter().position(|name| *name == relay);
     let plan = &mut plans[index.expect("a member")];
     assert_eq!(plan.upstream(at(0), &members, STALE_AGE), Upstream::Store);
-    plan.store_failed(at(0));
+    plan.record_store_failure(at(0));
     let asked = plan.upstream(at(10), &members, STALE_AGE);
     assert!(matches!(asked, Upstream::Relay(other) if other != relay));
     assert_eq!(
@@ -177,9 +177,12 @@
     let names = names(2);
     let members = candidates(&names);
     let mut plan = plans(&names).remove(0);
-    plan.store_failed(at(0));
-    plan.relay_failed(at(0), "g-1");
-    assert_eq!(plan.upstream(at(10), &members, STALE_AGE), Upstream::Nobody);
+    plan.record_store_failure(at(0));
+    plan.record_relay_failure(at(0), "g-1");
+    assert_eq!(
+        plan.upstream(at(10), &members, STALE_AGE),
+        Upstream::Unavailable
+    );
     assert_eq!(
         plan.upstream(at(SECOND_MS), &members, STALE_AGE),
         Upstream::Store
@@ -188,20 +191,20 @@
 
 #[test]
 fn answers_of_relays_with_an_equally_old_copy_do_not_prevent_reading_a_snapshot() {
-    let mut continuation = Continuation::default();
-    continuation.was_read_whole();
-    assert!(!continuation.reads_whole());
-    continuation.store_failed();
-    continuation.relay_answered(Position::new(0, 7), Position::new(0, 7));
-    assert!(continuation.reads_whole());
+    let mut continuation = StoreReadState::default();
+    continuation.record_snapshot();
+    assert!(!continuation.needs_snapshot());
+    continuation.record_store_failure();
+    continuation.record_relay_answer(Position::new(0, 7), Position::new(0, 7));
+    assert!(continuation.needs_snapshot());
 }
 
 #[test]
 fn after_the_answer_of_a_relay_with_a_newer_copy_changes_are_requested() {
-    let mut continuation = Continuation::default();
-    continuation.store_failed();
-    continuation.relay_answered(Position::new(0, 7), Position::new(0, 9));
-    assert!(!continuation.reads_whole());
+    let mut continuation = StoreReadState::default();
+    continuation.record_store_failure();
+    continuation.record_relay_answer(Position::new(0, 7), Position::new(0, 9));
+    assert!(!continuation.needs_snapshot());
 }
 
 #[test]
--- a/crates/forwarding/tests/request_machine.rs
+++ b/crates/forwarding/tests/request_machine.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use tansyhall_fixed_cases::fixed_cases;
 use tansyhall_forwarding::{
-    Action, AttemptPolicy, Conclusion, Need, PromptHandle, ReadingFailure, Repeatability,
+    Action, AttemptPolicy, Conclusion, Need, PromptHandle, PromptReadFailure, Repeatability,
     RequestEvent, RequestMachine, SendFailure, WorkerId,
 };
 
@@ -38,9 +38,9 @@
 fn a_request_that_did_not_run_goes_to_another_worker() {
     let mut machine = running_machine(Repeatability::AtMostOnce, 1);
     let action = machine.step(RequestEvent::Failed(SendFailure::NotRun));
-    assert_eq!(action, Action::AskBudget);
+    assert_eq!(action, Action::CheckRetryBudget);
     let avoid = vec![worker("a")];
-    let action = machine.step(RequestEvent::BudgetAnswered(true));
+    let action = machine.step(RequestEvent::RetryAllowed(true));
     let need = Need::Run;
     assert_eq!(action, Action::Select { need, avoid });
 }
@@ -56,7 +56,7 @@
 fn a_request_that_did_not_run_is_refused_when_the_budget_is_spent() {
     let mut machine = running_machine(Repeatability::AtMostOnce, 1);
     machine.step(RequestEvent::Failed(SendFailure::NotRun));
-    let action = machine.step(RequestEvent::BudgetAnswered(false));
+    let action = machine.step(RequestEvent::RetryAllowed(false));
     assert_eq!(action, Action::Finish(Conclusion::Refused));
 }
 
@@ -64,7 +64,7 @@
 fn the_error_of_a_worker_reaches_the_caller_when_all_workers_fail() {
     let mut machine = running_machine(Repeatability::Repeatable, 2);
     machine.step(RequestEvent::Failed(SendFailure::ErrorAnswer));
-    machine.step(RequestEvent::BudgetAnswered(true));
+    machine.step(RequestEvent::RetryAllowed(true));
     machine.step(selected("b"));
     let action = machine.step(RequestEvent::Failed(SendFailure::ErrorAnswer));
     assert_eq!(action, Action::Finish(Conclusion::WorkerError));
@@ -73,9 +73,9 @@
 #[test]
 fn a_resumable_stream_is_resumed_after_the_last_complete_event() {
     let mut machine = running_machine(RESUMABLE, 2);
-    let broken = RequestEvent::BrokenOff(Some("3".into()));
-    assert_eq!(machine.step(broken), Action::AskBudget);
-    machine.step(RequestEvent::BudgetAnswered(true));
+    let broken = RequestEvent::Interrupted(Some("3".into()));
+    assert_eq!(machine.step(broken), Action::CheckRetryBudget);
+    machine.step(RequestEvent::RetryAllowed(true));
     let action = machine.step(selected("b"));
     let expected = Action::Run {
         worker: worker("b"),
@@ -88,7 +88,7 @@
 #[test]
 fn a_stream_that_cannot_be_resumed_ends_as_broken() {
     let mut machine = running_machine(NON_RESUMABLE_STREAM, 2);
-    let action = machine.step(RequestEvent::BrokenOff(Some("3".into())));
+    let action = machine.step(RequestEvent::Interrupted(Some("3".into())));
     assert_eq!(action, Action::Finish(Conclusion::Broken));
 }
 
@@ -146,7 +146,7 @@
         avoid: vec![worker("d")],
     };
     assert_eq!(
-        machine.step(RequestEvent::BudgetAnswered(true)),
+        machine.step(RequestEvent::RetryAllowed(true)),
         select_worker
     );
 }
@@ -206,7 +206,7 @@
     let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
-    let not_sent = RequestEvent::PromptNotRead(ReadingFailure::NotSent);
+    let not_sent = RequestEvent::PromptNotRead(PromptReadFailure::NotSent);
     let other = Action::Select {
         need: Need::ReadPrompt,
         avoid: vec![worker("p")],
@@ -221,9 +221,9 @@
     let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
-    let not_started = RequestEvent::PromptNotRead(ReadingFailure::Left);
-    assert_eq!(machine.step(not_started), Action::AskBudget);
-    let action = machine.step(RequestEvent::BudgetAnswered(false));
+    let not_started = RequestEvent::PromptNotRead(PromptReadFailure::NotStarted);
+    assert_eq!(machine.step(not_started), Action::CheckRetryBudget);
+    let action = machine.step(RequestEvent::RetryAllowed(false));
     assert_eq!(action, Action::Finish(Conclusion::Refused));
 }
 
@@ -235,7 +235,7 @@
     let mut machine = machine(NON_RESUMABLE_STREAM, 1, true);
     machine.step(RequestEvent::Arrived);
     machine.step(selected("p"));
-    let failed = RequestEvent::PromptNotRead(ReadingFailure::TakenUp);
+    let failed = RequestEvent::PromptNotRead(PromptReadFailure::FailedAfterStart);
     let avoid = Vec::new();
     let need = Need::Run;
     assert_eq!(machine.step(failed), Action::Select { need, avoid });
@@ -254,7 +254,7 @@
     NotRun,
     MayHaveRun,
     ErrorAnswer,
-    BrokenOff(bool),
+    Interrupted(bool),
     Completed,
     Deadline,
 }
@@ -265,7 +265,7 @@
         Just(SendOutcome::NotRun),
         Just(SendOutcome::MayHaveRun),
         Just(SendOutcome::ErrorAnswer),
-        any::<bool>().prop_map(SendOutcome::BrokenOff),
+        any::<bool>().prop_map(SendOutcome::Interrupted),
         Just(SendOutcome::Completed),
         Just(SendOutcome::Deadline),
     ]
@@ -286,8 +286,8 @@
         SendOutcome::NotRun => RequestEvent::Failed(SendFailure::NotRun),
         SendOutcome::MayHaveRun => RequestEvent::Failed(SendFailure::MayHaveRun),
         SendOutcome::ErrorAnswer => RequestEvent::Failed(SendFailure::ErrorAnswer),
-        SendOutcome::BrokenOff(with_event) => {
-            RequestEvent::BrokenOff(with_event.then(|| "7".to_owned()))
+        SendOutcome::Interrupted(with_event) => {
+            RequestEvent::Interrupted(with_event.then(|| "7".to_owned()))
         }
         SendOutcome::Completed => RequestEvent::Completed,
         SendOutcome::Deadline => RequestEvent::DeadlinePassed,
@@ -318,7 +318,7 @@
         for _ in 0..64 {
             let event = match &action {
                 Action::Select { .. } => selected("w"),
-                Action::AskBudget => RequestEvent::BudgetAnswered(*budget.next().unwrap_or(&false)),
+                Action::CheckRetryBudget => RequestEvent::RetryAllowed(*budget.next().unwrap_or(&false)),
                 Action::Run { .. } => {
                     let runs_at_most_once = !repeatability.allows_second_run();
                     prop_assert!(!(runs_at_most_once && may_have_run > 0));
--- a/crates/forwarding/tests/scheduler_plan.rs
+++ b/crates/forwarding/tests/scheduler_plan.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use tansyhall_core::ZoneName;
 use tansyhall_fixed_cases::fixed_number_of_cases;
-use tansyhall_forwarding::scheduler_plan::{FULL_EXCHANGE, GATEWAYS_PER_SCHEDULER};
+use tansyhall_forwarding::scheduler_plan::{GATEWAYS_PER_SCHEDULER, MAX_FULL_RATE_REPORTERS};
 use tansyhall_forwarding::{SchedulerCandidate, SchedulerPlan};
 
 /// Seed of the property tests.
@@ -51,11 +51,11 @@
             prop_assert!(plan.is_listener(name));
             *asked.entry(name).or_default() += 1;
         }
-        if gateways <= FULL_EXCHANGE {
-            prop_assert_eq!(plan.schedulers(), gateways);
+        if gateways <= MAX_FULL_RATE_REPORTERS {
+            prop_assert_eq!(plan.scheduler_count(), gateways);
         }
-        let max_schedulers = FULL_EXCHANGE.max(zones) + gateways / GATEWAYS_PER_SCHEDULER + zones;
-        prop_assert!(plan.schedulers() <= max_schedulers);
+        let max_schedulers = MAX_FULL_RATE_REPORTERS.max(zones) + gateways / GATEWAYS_PER_SCHEDULER + zones;
+        prop_assert!(plan.scheduler_count() <= max_schedulers);
     }
 
     #[test]
@@ -84,7 +84,7 @@
         .filter(|gateway| gateway.capacity < 0.5)
         .map(|gateway| gateway.name.as_str())
         .collect();
-    assert_eq!(plan.schedulers(), FULL_EXCHANGE);
+    assert_eq!(plan.scheduler_count(), MAX_FULL_RATE_REPORTERS);
     assert!(plan.listeners().all(|name| !weak.contains(name)));
 }
 
--- a/crates/forwarding/tests/stop_plan.rs
+++ b/crates/forwarding/tests/stop_plan.rs
@@ -18,15 +18,15 @@
 #[test]
 fn the_process_exits_when_no_request_is_in_progress_or_shortly_before_it_is_killed() {
     let plan = StopPlan::new(GRACE_PERIOD);
-    assert!(!plan.may_end(Duration::from_millis(1_000), 0));
-    assert!(plan.may_end(Duration::from_millis(3_400), 0));
-    assert!(!plan.may_end(Duration::from_millis(3_400), 1));
-    assert!(plan.may_end(Duration::from_millis(7_800), 1));
+    assert!(!plan.may_exit(Duration::from_millis(1_000), 0));
+    assert!(plan.may_exit(Duration::from_millis(3_400), 0));
+    assert!(!plan.may_exit(Duration::from_millis(3_400), 1));
+    assert!(plan.may_exit(Duration::from_millis(7_800), 1));
 }
 
 #[test]
 fn a_short_grace_period_shortens_the_times_to_accept_and_to_exit() {
     let plan = StopPlan::new(Duration::from_secs(2));
     assert!(!plan.accepts(Duration::from_millis(900)));
-    assert!(plan.may_end(Duration::from_millis(1_750), 3));
+    assert!(plan.may_exit(Duration::from_millis(1_750), 3));
 }
--- a/crates/forwarding/tests/tenant_placements.rs
+++ b/crates/forwarding/tests/tenant_placements.rs
@@ -5,9 +5,10 @@
 
 use tansyhall_core::{Role, ServiceName, Timestamp, ZoneName};
 use tansyhall_forwarding::{
-    Directory, EngineCapacity, GatewayKey, Objectives, PlacementAnswer, PlacementBook, PlacementId,
-    PlacementLedger, PlacementNeed, PlacementNotice, PlacementRequest, PromptPart, RefusalCause,
-    SendResult, TenantKey, Worker, WorkerId, WorkerKind, WorkerNotice, WorkerState,
+    Directory, EngineCapacity, GatewayKey, GrantedPlacements, Objectives, PlacementAnswer,
+    PlacementId, PlacementNeed, PlacementNotice, PlacementRequest, PromptPart, RefusalCause,
+    RequestedPlacements, SendResult, TenantKey, Worker, WorkerId, WorkerKind, WorkerNotice,
+    WorkerState,
 };
 
 const START: Timestamp = Timestamp::from_millis(10_000);
@@ -35,8 +36,8 @@
 struct Fleet {
     now: Timestamp,
     directory: Directory,
-    ledger: PlacementLedger,
-    gateways: [PlacementBook; 2],
+    ledger: GrantedPlacements,
+    gateways: [RequestedPlacements; 2],
 }
 
 impl Fleet {
@@ -53,8 +54,8 @@
         Self {
             now: START,
             directory,
-            ledger: PlacementLedger::default(),
-            gateways: [2, 3].map(|key| PlacementBook::new(GatewayKey(key))),
+            ledger: GrantedPlacements::default(),
+            gateways: [2, 3].map(|key| RequestedPlacements::new(GatewayKey(key))),
         }
     }
 
@@ -63,11 +64,11 @@
         self.now = self.now + REQUEST_INTERVAL;
         let book = &mut self.gateways[gateway];
         let request = request(gateway, book.next_id(), tenant);
-        let message = book.ask(SCHEDULER, request);
+        let message = book.request_message(SCHEDULER, request);
         let zone = ZoneName::new("z");
         let answer = self
             .ledger
-            .take(self.now, &mut self.directory, &zone, message);
+            .handle_message(self.now, &mut self.directory, &zone, message);
         answer.expect("an answer")
     }
 
@@ -88,14 +89,14 @@
         let ended = PlacementNotice::Ended {
             id,
             result,
-            said: WorkerNotice::default(),
+            worker_notice: WorkerNotice::default(),
             rate_limit: None,
         };
-        book.tell(SCHEDULER, ended);
+        book.queue_notice(SCHEDULER, ended);
         let zone = ZoneName::new("z");
-        for (_, message) in book.flush() {
+        for (_, message) in book.take_notice_messages() {
             self.ledger
-                .take(self.now, &mut self.directory, &zone, message);
+                .handle_message(self.now, &mut self.directory, &zone, message);
         }
     }
 }
--- a/crates/forwarding/tests/worker_notices.rs
+++ b/crates/forwarding/tests/worker_notices.rs
@@ -7,9 +7,10 @@
 
 use tansyhall_core::{ServiceName, Timestamp, ZoneName};
 use tansyhall_forwarding::{
-    Demand, Directory, FirstAvailable, GatewayKey, Need, Objectives, PlacementAnswer,
-    PlacementBook, PlacementId, PlacementLedger, PlacementNeed, PlacementNotice, PlacementRequest,
-    SendResult, SendTicket, Unavailable, Worker, WorkerId, WorkerNotice, MAX_BACKOFF,
+    Demand, Directory, FirstAvailable, GatewayKey, GrantedPlacements, Need, Objectives,
+    PlacementAnswer, PlacementId, PlacementNeed, PlacementNotice, PlacementRequest,
+    RequestedPlacements, SendResult, SendTicket, Unavailable, Worker, WorkerId, WorkerNotice,
+    MAX_BACKOFF,
 };
 
 use sample::ready_worker;
@@ -318,16 +319,16 @@
 /// A scheduler and two gateways that request placements from it.
 struct Fleet {
     directory: Directory,
-    ledger: PlacementLedger,
-    books: [PlacementBook; 2],
+    ledger: GrantedPlacements,
+    books: [RequestedPlacements; 2],
 }
 
 impl Fleet {
     fn new(names: &[&str]) -> Self {
         Self {
             directory: directory(names),
-            ledger: PlacementLedger::default(),
-            books: [2, 3].map(|key| PlacementBook::new(GatewayKey(key))),
+            ledger: GrantedPlacements::default(),
+            books: [2, 3].map(|key| RequestedPlacements::new(GatewayKey(key))),
         }
     }
 
@@ -338,9 +339,11 @@
             avoid: avoid.to_vec(),
             ..admission(book.next_id())
         };
-        let message = book.ask(SCHEDULER, request);
+        let message = book.request_message(SCHEDULER, request);
         let zone = ZoneName::new("z");
-        let answer = self.ledger.take(NOW, &mut self.directory, &zone, message);
+        let answer = self
+            .ledger
+            .handle_message(NOW, &mut self.directory, &zone, message);
         answer.expect("an answer")
     }
 }
@@ -376,13 +379,15 @@
     let ended = PlacementNotice::Ended {
         id,
         result: SendResult::Refused,
-        said: backoff_notice(BACKOFF),
+        worker_notice: backoff_notice(BACKOFF),
         rate_limit: None,
     };
-    fleet.books[0].tell(SCHEDULER, ended);
-    for (_, message) in fleet.books[0].flush() {
+    fleet.books[0].queue_notice(SCHEDULER, ended);
+    for (_, message) in fleet.books[0].take_notice_messages() {
         let zone = ZoneName::new("z");
-        fleet.ledger.take(NOW, &mut fleet.directory, &zone, message);
+        fleet
+            .ledger
+            .handle_message(NOW, &mut fleet.directory, &zone, message);
     }
     assert_eq!(fleet.ledger.worker_of(GatewayKey(2), id), None);
 }
@@ -391,18 +396,18 @@
 fn a_backoff_costs_one_placement_however_many_gateways_ask_the_scheduler() {
     for gateways in [4, 400] {
         let mut directory = directory(&["a", "b"]);
-        let mut ledger = PlacementLedger::default();
+        let mut ledger = GrantedPlacements::default();
         let zone = ZoneName::new("z");
         let mut placed_on_a = 0;
         for number in 0..gateways {
             let sender = GatewayKey(10 + number);
-            let mut book = PlacementBook::new(sender);
+            let mut book = RequestedPlacements::new(sender);
             let request = PlacementRequest {
                 draw: number,
                 ..admission(book.next_id())
             };
-            let message = book.ask(SCHEDULER, request);
-            let answer = ledger.take(NOW, &mut directory, &zone, message);
+            let message = book.request_message(SCHEDULER, request);
+            let answer = ledger.handle_message(NOW, &mut directory, &zone, message);
             let Some(PlacementAnswer::Placed(placement)) = answer else {
                 panic!("not placed: {answer:?}");
             };
--- a/crates/gateway/src/exchange/deliver.rs
+++ b/crates/gateway/src/exchange/deliver.rs
@@ -95,7 +95,7 @@
         let mut part = first;
         loop {
             if !part.is_empty() && !self.pass_on(part).await {
-                return RequestEvent::BrokenOff(None);
+                return RequestEvent::Interrupted(None);
             }
             part = match self.next_bytes(&mut answer, self.deadline()).await {
                 NextBytes::Bytes(bytes) => bytes,
@@ -104,7 +104,7 @@
                     return RequestEvent::Completed;
                 }
                 NextBytes::Broken | NextBytes::DeadlinePassed => {
-                    return RequestEvent::BrokenOff(None);
+                    return RequestEvent::Interrupted(None);
                 }
             };
         }
@@ -125,11 +125,11 @@
                     return RequestEvent::Completed;
                 }
                 NextBytes::DeadlinePassed => return RequestEvent::DeadlinePassed,
-                _ if self.sink.has_begun() => return RequestEvent::BrokenOff(last_event),
+                _ if self.sink.has_begun() => return RequestEvent::Interrupted(last_event),
                 _ => return failed(SendFailure::MayHaveRun),
             };
             let Ok(events) = framer.push(&bytes) else {
-                return RequestEvent::BrokenOff(last_event);
+                return RequestEvent::Interrupted(last_event);
             };
             if events.bytes.is_empty() {
                 continue;
@@ -142,7 +142,7 @@
             if !self.pass_on(Bytes::from(events.bytes)).await {
                 return match self.time_left().is_zero() {
                     true => RequestEvent::DeadlinePassed,
-                    false => RequestEvent::BrokenOff(last_event),
+                    false => RequestEvent::Interrupted(last_event),
                 };
             }
         }
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -156,12 +156,12 @@
                     }
                     RequestEvent::Selected(selected)
                 }
-                Action::AskBudget => {
+                Action::CheckRetryBudget => {
                     let allowed = self.ask_budget();
                     if !allowed {
                         self.cause = "retry_budget";
                     }
-                    RequestEvent::BudgetAnswered(allowed)
+                    RequestEvent::RetryAllowed(allowed)
                 }
                 Action::ReadPrompt { .. } | Action::Run { .. } if self.is_barred() => {
                     RequestEvent::Barred
@@ -172,7 +172,7 @@
                     source,
                     resume_after,
                 } => {
-                    let patient = !machine.may_try_elsewhere();
+                    let patient = !machine.may_retry_on_another_worker();
                     self.run_on(&worker, source, resume_after, patient).await
                 }
                 Action::Finish(conclusion) => return (conclusion, machine.sends()),
@@ -223,7 +223,7 @@
 
     fn retries_left(&self, now: Timestamp) -> u64 {
         let service = &self.request.routed.service;
-        let left = self.shared.retries.lock().left(now, service);
+        let left = self.shared.retries.lock().remaining(now, service);
         left.max(0.0) as u64
     }
 
--- a/crates/gateway/src/exchange/prompt.rs
+++ b/crates/gateway/src/exchange/prompt.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tansyhall_forwarding::{
-    Need, PromptHandle, ReadingFailure, RequestEvent, SendResult, Worker, WorkerId,
+    Need, PromptHandle, PromptReadFailure, RequestEvent, SendResult, Worker, WorkerId,
 };
 use tokio::time::{timeout, timeout_at};
 
@@ -22,7 +22,7 @@
 /// Why a prompt was not read, and what that says of the worker.
 struct FailedReading {
     result: SendResult,
-    failure: ReadingFailure,
+    failure: PromptReadFailure,
     detail: String,
 }
 
@@ -30,7 +30,7 @@
     fn not_sent(reason: &Unconnected) -> Self {
         Self {
             result: result_of(reason),
-            failure: ReadingFailure::NotSent,
+            failure: PromptReadFailure::NotSent,
             detail: reason.to_string(),
         }
     }
@@ -39,7 +39,7 @@
     fn left(result: SendResult, detail: impl Into<String>) -> Self {
         Self {
             result,
-            failure: ReadingFailure::Left,
+            failure: PromptReadFailure::NotStarted,
             detail: detail.into(),
         }
     }
@@ -48,7 +48,7 @@
     fn taken_up(detail: impl Into<String>) -> Self {
         Self {
             result: SendResult::Failed,
-            failure: ReadingFailure::TakenUp,
+            failure: PromptReadFailure::FailedAfterStart,
             detail: detail.into(),
         }
     }
@@ -58,7 +58,7 @@
     /// Has the prompt read by a worker.
     pub(super) async fn read_prompt(&mut self, id: &WorkerId) -> RequestEvent {
         let Some(worker) = self.worker(id) else {
-            return RequestEvent::PromptNotRead(ReadingFailure::NotSent);
+            return RequestEvent::PromptNotRead(PromptReadFailure::NotSent);
         };
         let mut guard = self.begin_send(&worker, Asked::ReadPrompt, Need::ReadPrompt);
         let reading = self.try_read_prompt(&worker, &guard);
@@ -67,7 +67,7 @@
             let destination = self.shared.destination(&worker);
             let losses = &self.shared.connections.losses;
             losses.tell(Loss::Silent, &destination);
-            return RequestEvent::PromptNotRead(ReadingFailure::Left);
+            return RequestEvent::PromptNotRead(PromptReadFailure::NotStarted);
         };
         match read {
             Ok(handle) => {
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -11,7 +11,7 @@
 use futures_util::StreamExt;
 use tansyhall_admission::Backoff;
 use tansyhall_forwarding::{
-    Continuation, Item, MirrorChange, Position, RelayCandidate, RelayPlan, Snapshot, Upstream,
+    Item, MirrorChange, Position, RelayCandidate, RelayPlan, Snapshot, StoreReadState, Upstream,
 };
 use tansyhall_store::{
     KeyValue, KeyValueStore, RangePage, Revision, StoreEpoch, StoreError, WatchEvent, WatchStream,
@@ -58,8 +58,8 @@
         client: peers::client(),
         plan,
         watch: None,
-        upstream: Upstream::Nobody,
-        continuation: Continuation::default(),
+        upstream: Upstream::Unavailable,
+        continuation: StoreReadState::default(),
         settled: false,
         store_lost: false,
         epoch: None,
@@ -84,7 +84,7 @@
     plan: RelayPlan,
     watch: Option<WatchStream>,
     upstream: Upstream,
-    continuation: Continuation,
+    continuation: StoreReadState,
     /// Whether the gateways that started together with this one have had time to announce themselves.
     settled: bool,
     store_lost: bool,
@@ -113,7 +113,7 @@
                     self.ask_relay(&name, address).await;
                 }
             }
-            Upstream::Nobody => self.pause().await,
+            Upstream::Unavailable => self.pause().await,
         }
     }
 
@@ -135,12 +135,12 @@
         let now = self.shared.now();
         match answered {
             Ok(age) => {
-                self.continuation.relay_answered(before, position());
-                self.plan.relay_answered(now, name, age);
+                self.continuation.record_relay_answer(before, position());
+                self.plan.record_relay_answer(now, name, age);
             }
             Err(error) => {
                 log::debug!("relay {name}: {error:#}");
-                self.plan.relay_failed(now, name);
+                self.plan.record_relay_failure(now, name);
             }
         }
     }
@@ -149,7 +149,7 @@
         match self.take_changes().await {
             Ok(()) => {
                 self.failures = 0;
-                self.plan.store_answered();
+                self.plan.record_store_answer();
                 sleep(PACE).await;
             }
             // It has answered: there is little to wait for.
@@ -164,12 +164,12 @@
     /// Reads everything next, as no watch leads on from what is known.
     fn start_anew(&mut self) {
         self.watch = None;
-        self.continuation.store_failed();
+        self.continuation.record_store_failure();
     }
 
     async fn store_failed(&mut self, error: &StoreError) {
         self.start_anew();
-        self.plan.store_failed(self.shared.now());
+        self.plan.record_store_failure(self.shared.now());
         self.record_lost(error);
         self.failures = self.failures.saturating_add(1);
         self.pause().await;
@@ -212,7 +212,7 @@
     /// Whether a watch leads on from this position of the copy.
     fn goes_on_from(&self, known: Position) -> bool {
         let is_present = known.epoch == self.store.epoch().0;
-        is_present && !known.is_start() && !self.continuation.reads_whole()
+        is_present && !known.is_start() && !self.continuation.needs_snapshot()
     }
 
     async fn settle(&mut self) {
@@ -277,13 +277,13 @@
     }
 
     fn record_upstream(&mut self, upstream: &Upstream) {
-        if *upstream == Upstream::Nobody || *upstream == self.upstream {
+        if *upstream == Upstream::Unavailable || *upstream == self.upstream {
             return;
         }
         self.upstream = upstream.clone();
         let relay = match upstream {
             Upstream::Relay(name) => name.as_str(),
-            Upstream::Store | Upstream::Nobody => "",
+            Upstream::Store | Upstream::Unavailable => "",
         };
         self.shared
             .metrics
--- a/crates/gateway/src/follower/first_copy.rs
+++ b/crates/gateway/src/follower/first_copy.rs
@@ -28,7 +28,7 @@
         match self.first_copy().await {
             Ok(()) => {
                 self.failures = 0;
-                self.plan.store_answered();
+                self.plan.record_store_answer();
             }
             Err(error) => self.store_failed(&error).await,
         }
@@ -84,11 +84,11 @@
         let asked = peers::ask(&mut self.client, relay.copy, RELAY_WAIT, &self.shared).await;
         if let Err(error) = asked {
             log::debug!("relay {}: {error:#}", relay.name);
-            self.plan.relay_failed(now, &relay.name);
+            self.plan.record_relay_failure(now, &relay.name);
             sleep(MIN_PAUSE).await;
         }
         if self.has_copy() {
-            self.continuation.was_read_whole();
+            self.continuation.record_snapshot();
         }
         self.has_copy()
     }
@@ -137,7 +137,7 @@
         read?;
         let epoch = self.shared.mirror.lock().position().epoch;
         self.reached(epoch);
-        self.continuation.was_read_whole();
+        self.continuation.record_snapshot();
         self.settle().await;
         Ok(())
     }
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use prost::Message;
-use tansyhall_forwarding::scheduler_plan::FULL_EXCHANGE;
+use tansyhall_forwarding::scheduler_plan::MAX_FULL_RATE_REPORTERS;
 use tansyhall_forwarding::{LimitSharers, LoadReport};
 use tokio::time::sleep;
 
@@ -64,7 +64,7 @@
     }
     let own = settings.node.name.as_str();
     let sharers = match schedulers {
-        true => LimitSharers::new(own, fleet.plan.scheduling()),
+        true => LimitSharers::new(own, fleet.plan.scheduler_names()),
         false => LimitSharers::new(own, fleet.names()),
     };
     shared.directory.lock().set_limit_sharers(sharers);
@@ -84,7 +84,7 @@
 /// Other schedulers. In a small fleet, where each gateway places its own requests, none counts: there are
 /// few engines, and to compare a part of them was worth 0.02 less on a fleet of eight gateways.
 fn other_schedulers(shared: &Shared, fleet: &Fleet) -> usize {
-    let schedulers = fleet.plan.schedulers();
+    let schedulers = fleet.plan.scheduler_count();
     let some_ask = schedulers < fleet.len() && shared.settings.read().decisions.schedulers;
     match some_ask {
         true => schedulers.saturating_sub(1),
@@ -96,7 +96,7 @@
 fn places_requests(shared: &Shared, fleet: &Fleet) -> bool {
     let settings = shared.settings.read();
     let for_itself = !settings.decisions.schedulers || fleet.plan.is_scheduler(&settings.node.name);
-    for_itself || shared.ledger.lock().is_asked()
+    for_itself || shared.ledger.lock().has_requesting_gateways()
 }
 
 /// Sends a report to those who place requests, and to the holder of the authority.
@@ -118,7 +118,11 @@
 
 /// The pause between reports: it grows with those that report, so that what each gets does not.
 fn pace(fleet: &Fleet) -> Duration {
-    let stretch = fleet.plan.schedulers().div_ceil(FULL_EXCHANGE).max(1);
+    let stretch = fleet
+        .plan
+        .scheduler_count()
+        .div_ceil(MAX_FULL_RATE_REPORTERS)
+        .max(1);
     PACE * u32::try_from(stretch).unwrap_or(u32::MAX)
 }
 
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -7,8 +7,8 @@
 
 use parking_lot::Mutex;
 use tansyhall_forwarding::{
-    GatewayKey, Placement, PlacementAnswer, PlacementBook, PlacementId, PlacementMessage,
-    PlacementNotice, PlacementRequest, RefusalCause, SendResult,
+    GatewayKey, Placement, PlacementAnswer, PlacementId, PlacementMessage, PlacementNotice,
+    PlacementRequest, RefusalCause, RequestedPlacements, SendResult,
 };
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, timeout};
@@ -26,7 +26,7 @@
 /// What this gateway has asked of schedulers.
 #[derive(Debug)]
 pub struct PlacementClient {
-    book: Mutex<PlacementBook>,
+    book: Mutex<RequestedPlacements>,
     waiting: Mutex<HashMap<PlacementId, oneshot::Sender<PlacementAnswer>>>,
     told: Notify,
 }
@@ -93,13 +93,13 @@
         let now = self.shared.now();
         let worker = &self.placement.worker;
         let directory = self.shared.directory.lock();
-        let said = directory.current_notice(now, worker);
+        let worker_notice = directory.current_notice(now, worker);
         let rate_limit = directory.stated_rate_limit(now, worker);
         drop(directory);
         self.tell(PlacementNotice::Ended {
             id: self.placement.id,
             result,
-            said,
+            worker_notice,
             rate_limit,
         });
     }
@@ -117,7 +117,7 @@
 
     fn tell(&self, notice: PlacementNotice) {
         let client = &self.shared.placements;
-        client.book.lock().tell(&self.scheduler, notice);
+        client.book.lock().queue_notice(&self.scheduler, notice);
         client.told.notify_one();
     }
 }
@@ -134,7 +134,7 @@
     /// Nothing asked yet.
     pub fn new(sender: GatewayKey) -> Self {
         Self {
-            book: Mutex::new(PlacementBook::new(sender)),
+            book: Mutex::new(RequestedPlacements::new(sender)),
             waiting: Mutex::default(),
             told: Notify::new(),
         }
@@ -178,7 +178,7 @@
     Some(Asked {
         name: name.to_owned(),
         address: fleet.load_address(name)?,
-        patience: book.patience(name),
+        patience: book.answer_timeout(name),
     })
 }
 
@@ -208,7 +208,7 @@
             } => {
                 shared.metrics.count_placement("refused");
                 let mut book = shared.placements.book.lock();
-                book.not_placed(&asked.name, id);
+                book.remove_unplaced(&asked.name, id);
                 return Some(Answered::Refused {
                     cause,
                     waiting,
@@ -218,7 +218,7 @@
             PlacementAnswer::NoWorker => {
                 shared.metrics.count_placement("no_worker");
                 let mut book = shared.placements.book.lock();
-                book.not_placed(&asked.name, id);
+                book.remove_unplaced(&asked.name, id);
                 return None;
             }
         }
@@ -239,7 +239,7 @@
         if !self.over {
             let client = &self.shared.placements;
             client.waiting.lock().remove(&self.id);
-            client.book.lock().not_placed(self.scheduler, self.id);
+            client.book.lock().remove_unplaced(self.scheduler, self.id);
         }
     }
 }
@@ -259,7 +259,7 @@
     };
     let (sender, receiver) = oneshot::channel();
     client.waiting.lock().insert(id, sender);
-    let message = client.book.lock().ask(&asked.name, request);
+    let message = client.book.lock().request_message(&asked.name, request);
     let began = shared.now();
     send(shared, asked.address, &message);
     let answered = timeout(asked.patience, receiver).await;
@@ -268,12 +268,12 @@
     match answered {
         Ok(Ok(answer)) => {
             let mut book = client.book.lock();
-            book.answered(&asked.name, now.since(began));
+            book.record_answer(&asked.name, now.since(began));
             Some(answer)
         }
         _ => {
             client.waiting.lock().remove(&id);
-            client.book.lock().silent(now, &asked.name, id);
+            client.book.lock().record_timeout(now, &asked.name, id);
             let event = Event::Dependency {
                 name: "scheduler",
                 state: "silent",
@@ -294,7 +294,7 @@
         let messages = {
             let mut book = shared.placements.book.lock();
             book.retain(|name| fleet.load_address(name).is_some());
-            book.flush()
+            book.take_notice_messages()
         };
         for (scheduler, message) in messages {
             if let Some(address) = fleet.load_address(&scheduler) {
--- a/crates/gateway/src/placement/codec.rs
+++ b/crates/gateway/src/placement/codec.rs
@@ -78,7 +78,7 @@
             PlacementNotice::Ended {
                 id,
                 result,
-                said,
+                worker_notice,
                 rate_limit,
             } => Self {
                 id: id.0,
@@ -87,8 +87,8 @@
                     SendResult::Answered { latency } => micros(latency),
                     _ => 0,
                 },
-                worker_leaves: said.is_leaving,
-                rest_micros: said.backoff.map_or(0, micros),
+                worker_leaves: worker_notice.is_leaving,
+                rest_micros: worker_notice.backoff.map_or(0, micros),
                 rate_limit: rate_limit.map(StatedLimitMessage::from),
             },
         }
@@ -113,7 +113,7 @@
             NoticeKind::Abandoned => SendResult::Abandoned { silent: false },
         };
         let rest = Duration::from_micros(message.rest_micros).min(MAX_BACKOFF);
-        let said = WorkerNotice {
+        let worker_notice = WorkerNotice {
             is_leaving: message.worker_leaves,
             backoff: (!rest.is_zero()).then_some(rest),
             rate_limit: None,
@@ -121,7 +121,7 @@
         Ok(PlacementNotice::Ended {
             id,
             result,
-            said,
+            worker_notice,
             rate_limit: message.rate_limit.as_ref().map(StatedLimit::from),
         })
     }
@@ -256,7 +256,7 @@
             fetch_from: fetch_from.unwrap_or_default(),
             reading_tokens: placement.reading_tokens,
             short_reading: placement.short_reading,
-            expected_micros: micros(placement.expected),
+            expected_micros: micros(placement.expected_latency),
             has_rate_token: placement.has_rate_token,
             rate_limit: placement.rate_limit.map(StatedLimitMessage::from),
         }
@@ -276,7 +276,7 @@
             fetch_from,
             reading_tokens: self.reading_tokens,
             short_reading: self.short_reading,
-            expected: Duration::from_micros(self.expected_micros),
+            expected_latency: Duration::from_micros(self.expected_micros),
             has_rate_token: self.has_rate_token,
             rate_limit: self.rate_limit.as_ref().map(StatedLimit::from),
         })
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -34,7 +34,7 @@
     hear_of_workers(shared, &message);
     let mut ledger = shared.ledger.lock();
     let mut directory = shared.directory.lock();
-    let answer = ledger.take(now, &mut directory, &zone, message)?;
+    let answer = ledger.handle_message(now, &mut directory, &zone, message)?;
     Some((id?, answer))
 }
 
@@ -43,14 +43,14 @@
     for notice in &message.notices {
         let PlacementNotice::Ended {
             id,
-            said,
+            worker_notice,
             rate_limit,
             ..
         } = notice
         else {
             continue;
         };
-        if *said == WorkerNotice::default() && rate_limit.is_none() {
+        if *worker_notice == WorkerNotice::default() && rate_limit.is_none() {
             continue;
         }
         let worker = shared.ledger.lock().worker_of(message.sender, *id).cloned();
@@ -63,7 +63,7 @@
             directory.receive_rate_limit(now, &worker, *stated);
         }
         let notices = &shared.connections.notices;
-        notices.take(&worker, *said, NoticeSource::Gateway);
+        notices.take(&worker, *worker_notice, NoticeSource::Gateway);
     }
 }
 
--- a/crates/gateway/src/quarantine/exchange.rs
+++ b/crates/gateway/src/quarantine/exchange.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use prost::Message;
-use tansyhall_forwarding::{Audience, Fingerprint, Outgoing, WorkerId, WorkerKey};
+use tansyhall_forwarding::{Audience, Fingerprint, OutgoingUpdate, WorkerId, WorkerKey};
 
 use super::message::NewsMessage;
 use super::record_barred;
@@ -19,14 +19,17 @@
 ) {
     let now = shared.now();
     let worker = WorkerKey::of(worker);
-    let barred = shared.quarantine.lock().worker_ended(now, worker, requests);
+    let barred = shared
+        .quarantine
+        .lock()
+        .record_worker_end(now, worker, requests);
     record_barred(shared, &barred, "worker");
     tell_due(shared);
 }
 
 /// Sends what is due.
 pub fn tell_due(shared: &Shared) {
-    let outgoing = shared.quarantine.lock().due(shared.now());
+    let outgoing = shared.quarantine.lock().take_due_updates(shared.now());
     if outgoing.is_empty() {
         return;
     }
@@ -36,9 +39,9 @@
     }
 }
 
-fn tell(shared: &Shared, fleet: &Fleet, message: &Outgoing) {
+fn tell(shared: &Shared, fleet: &Fleet, message: &OutgoingUpdate) {
     let own = shared.settings.read().node.name.clone();
-    let datagram = Datagram::quarantine(NewsMessage::from(&message.news)).encode_to_vec();
+    let datagram = Datagram::quarantine(NewsMessage::from(&message.update)).encode_to_vec();
     let told: Vec<&str> = match message.audience {
         Audience::Listeners => fleet.plan.listeners().collect(),
         Audience::All => fleet.names().collect(),
@@ -56,7 +59,10 @@
         shared.fleet.read().plan.is_listener(name)
     };
     let news = message.into();
-    let heard = shared.quarantine.lock().hear(shared.now(), &news, relays);
+    let heard = shared
+        .quarantine
+        .lock()
+        .apply_update(shared.now(), &news, relays);
     if !heard.reply.is_empty() {
         let reply = NewsMessage::from(&heard.reply);
         shared.datagrams.send(sender, &Datagram::quarantine(reply));
--- a/crates/gateway/src/quarantine/listed.rs
+++ b/crates/gateway/src/quarantine/listed.rs
@@ -11,7 +11,7 @@
 
 use tansyhall_core::hash::rendezvous_rank;
 use tansyhall_core::Timestamp;
-use tansyhall_forwarding::{quarantine, Fingerprint, Mirror, Unlisted};
+use tansyhall_forwarding::{quarantine, Fingerprint, Mirror, UnlistedRequest};
 use tansyhall_store::{Compare, KeyValueStore, LeaseId, Operation, StoreError, Transaction};
 use tokio::time::sleep;
 
@@ -73,7 +73,7 @@
 
 /// A change of the store's list.
 enum Change {
-    List(Unlisted),
+    List(UnlistedRequest),
     TakeOff(Fingerprint),
 }
 
@@ -89,8 +89,8 @@
 /// The changes that this gateway has to make now.
 fn changes(shared: &Shared, now: Timestamp) -> Vec<Change> {
     let quarantine = shared.quarantine.lock();
-    let mut changes: Vec<Change> = quarantine.listed_in_vain().map(Change::TakeOff).collect();
-    let missing: Vec<Unlisted> = quarantine.unlisted().collect();
+    let mut changes: Vec<Change> = quarantine.stale_listings().map(Change::TakeOff).collect();
+    let missing: Vec<UnlistedRequest> = quarantine.unlisted().collect();
     drop(quarantine);
     let due = missing.into_iter();
     let due = due.filter(|one| now.since(one.since) >= turn_of(shared, one.fingerprint));
@@ -109,8 +109,8 @@
     TURN * turns
 }
 
-async fn list(store: &dyn KeyValueStore, unlisted: &Unlisted) -> Result<(), StoreError> {
-    let lease = in_time(store.grant_lease(quarantine::MEMORY)).await?;
+async fn list(store: &dyn KeyValueStore, unlisted: &UnlistedRequest) -> Result<(), StoreError> {
+    let lease = in_time(store.grant_lease(quarantine::SUSPECT_TTL)).await?;
     let transaction = listing(unlisted, lease);
     let outcome = in_time(store.transact(&transaction)).await?;
     if !outcome.succeeded {
@@ -119,7 +119,7 @@
     Ok(())
 }
 
-fn listing(unlisted: &Unlisted, lease: LeaseId) -> Transaction {
+fn listing(unlisted: &UnlistedRequest, lease: LeaseId) -> Transaction {
     let key = key_of(unlisted.fingerprint);
     Transaction {
         compare: vec![Compare::Absent(key.clone())],
--- a/crates/gateway/src/quarantine/message.rs
+++ b/crates/gateway/src/quarantine/message.rs
@@ -1,7 +1,7 @@
 //! News of requests under which workers end, on the wire.
 
 use prost::Message;
-use tansyhall_forwarding::{Fingerprint, QuarantineNews, Sighting, WorkerKey};
+use tansyhall_forwarding::{Fingerprint, QuarantineUpdate, WorkerEnds, WorkerKey};
 
 /// What a gateway tells others.
 #[derive(Clone, PartialEq, Message)]
@@ -25,28 +25,28 @@
     pub workers: Vec<u64>,
 }
 
-impl From<&QuarantineNews> for NewsMessage {
-    fn from(news: &QuarantineNews) -> Self {
-        let sightings = news.sightings.iter().map(|sighting| SightingMessage {
+impl From<&QuarantineUpdate> for NewsMessage {
+    fn from(news: &QuarantineUpdate) -> Self {
+        let sightings = news.worker_ends.iter().map(|sighting| SightingMessage {
             fingerprint: sighting.fingerprint.0,
             workers: sighting.workers.iter().map(|worker| worker.0).collect(),
         });
         Self {
             sightings: sightings.collect(),
-            absolved: news.absolved.iter().map(|one| one.0).collect(),
+            absolved: news.cleared.iter().map(|one| one.0).collect(),
         }
     }
 }
 
-impl From<NewsMessage> for QuarantineNews {
+impl From<NewsMessage> for QuarantineUpdate {
     fn from(message: NewsMessage) -> Self {
-        let sightings = message.sightings.into_iter().map(|sighting| Sighting {
+        let sightings = message.sightings.into_iter().map(|sighting| WorkerEnds {
             fingerprint: Fingerprint(sighting.fingerprint),
             workers: sighting.workers.into_iter().map(WorkerKey).collect(),
         });
         Self {
-            sightings: sightings.collect(),
-            absolved: message.absolved.into_iter().map(Fingerprint).collect(),
+            worker_ends: sightings.collect(),
+            cleared: message.absolved.into_iter().map(Fingerprint).collect(),
         }
     }
 }
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -33,7 +33,7 @@
     metrics.store_age_ms.set(gauge(shared.store_age_ms()));
     let in_flight = shared.in_flight.load(Ordering::Relaxed);
     metrics.in_flight.set(gauge(in_flight));
-    let barred = shared.quarantine.lock().barred();
+    let barred = shared.quarantine.lock().barred_count();
     metrics.barred_requests.set(gauge(barred as u64));
     metrics.workers.reset();
     for (service, state) in shared.directory.lock().worker_states() {
@@ -45,7 +45,7 @@
         metrics.workers.with_label_values(&labels).inc();
     }
     let now = shared.now();
-    for (service, left) in shared.retries.lock().all_left(now) {
+    for (service, left) in shared.retries.lock().remaining_by_service(now) {
         let labels = [service.as_str()];
         metrics
             .retries_left
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -14,7 +14,7 @@
 use parking_lot::{Mutex, RwLock};
 use socket2::SockRef;
 use tansyhall_core::time::MonotonicClock;
-use tansyhall_forwarding::{Directory, GatewayKey, Mirror, PlacementLedger, RetryShares};
+use tansyhall_forwarding::{Directory, GatewayKey, GrantedPlacements, Mirror, RetryShares};
 use tansyhall_store::KeyValueStore;
 use tansyhall_usage::Source;
 use tokio::net::TcpStream;
@@ -218,7 +218,7 @@
         lapsed_workers: Mutex::default(),
         in_force: RwLock::new(None),
         directory,
-        ledger: Mutex::new(PlacementLedger::default()),
+        ledger: Mutex::new(GrantedPlacements::default()),
         placements: PlacementClient::new(gateway),
         fleet: RwLock::new(Arc::new(fleet)),
         datagrams: Datagrams::default(),
@@ -374,7 +374,7 @@
     };
     shared.log.record(Weight::Important, &event);
     let plan = shared.stop_plan();
-    while !plan.may_end(shared.now().since(since), in_flight()) {
+    while !plan.may_exit(shared.now().since(since), in_flight()) {
         sleep(STOP_PACE).await;
     }
     let event = Event::Stopped {
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -6,8 +6,8 @@
 
 use tansyhall_core::{ServiceName, Timestamp};
 use tansyhall_forwarding::{
-    Demand, Fingerprint, Need, Placement, PromptPart, SendNumber, SendResult, SendTicket,
-    Unavailable, WorkerId,
+    Demand, Fingerprint, Need, Placement, PromptPart, SendId, SendResult, SendTicket, Unavailable,
+    WorkerId,
 };
 
 use crate::connections::Unconnected;
@@ -55,7 +55,7 @@
     placement: Option<OpenPlacement>,
     planned_tokens: u64,
     began: Timestamp,
-    number: SendNumber,
+    number: SendId,
     result: SendResult,
     /// Whether the worker has answered whole, so that it runs the request no more.
     is_whole: bool,
@@ -123,7 +123,7 @@
     /// The time after which the answer was expected when the send began.
     pub fn expected(&self) -> Duration {
         match self.placed() {
-            Some(placed) => placed.expected,
+            Some(placed) => placed.expected_latency,
             None => self.ticket.expected_latency(),
         }
     }
@@ -153,8 +153,8 @@
     fn leave_ledger(&self, now: Timestamp) {
         let mut sends = self.shared.sends.lock();
         match self.may_run() {
-            true => sends.give_up(now, &self.sent.worker, self.number),
-            false => sends.settle(&self.sent.worker, self.number),
+            true => sends.abandon(now, &self.sent.worker, self.number),
+            false => sends.finish(&self.sent.worker, self.number),
         }
     }
 
@@ -182,7 +182,7 @@
         if self.sent.asked == Asked::Run {
             let now = self.shared.now();
             let mut quarantine = self.shared.quarantine.lock();
-            quarantine.answered(now, self.sent.fingerprint);
+            quarantine.record_answer(now, self.sent.fingerprint);
         }
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -10,8 +10,8 @@
 use tansyhall_core::time::MonotonicClock;
 use tansyhall_core::{ServiceName, TenantName, Timestamp, ZoneName};
 use tansyhall_forwarding::{
-    ApiKey, AuthenticatedTenant, Configuration, Directory, LapsedWorkers, Limits, Mirror,
-    PlacementLedger, Position, Quarantine, RetryShares, Route, RouteTable, SendLedger, StopPlan,
+    ApiKey, AuthenticatedTenant, Configuration, Directory, GrantedPlacements, LapsedWorkers,
+    Limits, Mirror, Position, Quarantine, RetryShares, Route, RouteTable, SendTracker, StopPlan,
     TenantTable, Worker,
 };
 use tokio::sync::watch;
@@ -65,7 +65,7 @@
     /// Workers.
     pub directory: Arc<Mutex<Directory>>,
     /// Placements for other gateways; locked before the directory where both are.
-    pub ledger: Mutex<PlacementLedger>,
+    pub ledger: Mutex<GrantedPlacements>,
     /// Placements that other gateways make for this one.
     pub placements: PlacementClient,
     /// The gateways that are announced.
@@ -79,7 +79,7 @@
     /// When the store last answered, itself or through a relay.
     pub store_contact: StoreContact,
     /// Sends whose requests workers may be running.
-    pub sends: Mutex<SendLedger>,
+    pub sends: Mutex<SendTracker>,
     /// Requests under which workers end.
     pub quarantine: Mutex<Quarantine>,
     /// Connections to workers.
--- a/crates/gateway/src/usage/collector.rs
+++ b/crates/gateway/src/usage/collector.rs
@@ -28,7 +28,7 @@
     let key = key_of(usage);
     let mut written = None;
     loop {
-        let collectors = shared.fleet.read().plan.collectors().max(1);
+        let collectors = shared.fleet.read().plan.collector_count().max(1);
         sleep(PACE * u32::try_from(collectors).unwrap_or(u32::MAX)).await;
         if let Some(rows) = rows_to_write(&shared, usage) {
             // A restored store may have lost what was written in an earlier epoch.
--- a/crates/gateway/src/worker_ends.rs
+++ b/crates/gateway/src/worker_ends.rs
@@ -133,7 +133,10 @@
 }
 
 fn note_end(shared: &Shared, worker: &WorkerId) {
-    let requests = shared.sends.lock().take_ended(shared.now(), worker);
+    let requests = shared
+        .sends
+        .lock()
+        .remove_ended_worker(shared.now(), worker);
     if requests.is_empty() {
         return;
     }
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -220,7 +220,7 @@
     /// yet were taken of the allowance before.
     fn within_allowance(&mut self, order: WorkerOrder, serving: u32) -> Option<WorkerOrder> {
         let gateways = self.shared.gateways.load(Ordering::Relaxed);
-        let zones = self.shared.fleet.read().plan.zones().max(1);
+        let zones = self.shared.fleet.read().plan.zone_count().max(1);
         let subscribers = subscribers_of_a_relay(gateways, zones);
         let allowed = self.allowance.workers(self.shared.now(), subscribers);
         let ordered = self.history.ordered(&order);
--- a/crates/gateway/tests/placement_messages.rs
+++ b/crates/gateway/tests/placement_messages.rs
@@ -47,7 +47,7 @@
     ]
 }
 
-fn said() -> impl Strategy<Value = WorkerNotice> {
+fn worker_notice() -> impl Strategy<Value = WorkerNotice> {
     let rest = prop::option::of((1_u64..10_000_000).prop_map(Duration::from_micros));
     (any::<bool>(), rest).prop_map(|(leaves, rest)| WorkerNotice {
         is_leaving: leaves,
@@ -67,14 +67,16 @@
     let id = any::<u64>().prop_map(PlacementId);
     prop_oneof![
         (id.clone(), span()).prop_map(|(id, latency)| PlacementNotice::PromptRead { id, latency }),
-        (id, result(), said(), stated()).prop_map(|(id, result, said, rate_limit)| {
-            PlacementNotice::Ended {
-                id,
-                result,
-                said,
-                rate_limit,
+        (id, result(), worker_notice(), stated()).prop_map(
+            |(id, result, worker_notice, rate_limit)| {
+                PlacementNotice::Ended {
+                    id,
+                    result,
+                    worker_notice,
+                    rate_limit,
+                }
             }
-        }),
+        ),
     ]
 }
 
@@ -124,7 +126,7 @@
             worker,
             [read_apart, fetches, short_reading, has_rate_token],
             tokens,
-            expected,
+            expected_latency,
             rate_limit,
         )| {
             Placement {
@@ -134,7 +136,7 @@
                 fetch_from: fetches.then(|| "10.0.0.9:8080".parse().expect("an address")),
                 reading_tokens: u64::from(tokens),
                 short_reading,
-                expected,
+                expected_latency,
                 has_rate_token,
                 rate_limit,
             }
--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -130,7 +130,7 @@
     let ends = message.notices.iter().filter_map(|notice| match notice {
         PlacementNotice::Ended {
             result,
-            said,
+            worker_notice: said,
             rate_limit,
             ..
         } => Some((*result, *said, *rate_limit)),
