--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -6,8 +6,8 @@
 
 use tansyhall_core::{ServiceName, Timestamp};
 use tansyhall_forwarding::{
-    Demand, Fingerprint, Need, Placement, PromptPart, SendNumber, SendResult, SendTicket,
-    Unavailable, WorkerId,
+    Demand, Fingerprint, Need, Placement, PromptPart, SendId, SendResult, SendTicket, Unavailable,
+    WorkerId,
 };
 
 use crate::connections::Unconnected;
@@ -55,7 +55,7 @@
     placement: Option<OpenPlacement>,
     planned_tokens: u64,
     began: Timestamp,
-    number: SendNumber,
+    number: SendId,
     result: SendResult,
     /// Whether the worker has answered whole, so that it runs the request no more.
     is_whole: bool,
@@ -79,7 +79,7 @@
             draw: 0,
         };
         let mut directory = shared.directory.lock();
-        let ticket = directory.send_began(now, &sent.worker, demand, &sent.need);
+        let ticket = directory.begin_send(now, &sent.worker, demand, &sent.need);
         drop(directory);
         let number = shared.sends.lock().begin(&sent.worker, sent.fingerprint);
         let placed = placement.as_ref().map(OpenPlacement::placement);
@@ -123,8 +123,8 @@
     /// The time after which the answer was expected when the send began.
     pub fn expected(&self) -> Duration {
         match self.placed() {
-            Some(placed) => placed.expected,
-            None => self.ticket.expected(),
+            Some(placed) => placed.expected_latency,
+            None => self.ticket.expected_latency(),
         }
     }
 
@@ -153,8 +153,8 @@
     fn leave_ledger(&self, now: Timestamp) {
         let mut sends = self.shared.sends.lock();
         match self.may_run() {
-            true => sends.give_up(now, &self.sent.worker, self.number),
-            false => sends.settle(&self.sent.worker, self.number),
+            true => sends.abandon(now, &self.sent.worker, self.number),
+            false => sends.finish(&self.sent.worker, self.number),
         }
     }
 
@@ -167,7 +167,7 @@
         let now = self.shared.now();
         let latency = now.since(self.began);
         let mut directory = self.shared.directory.lock();
-        directory.prompt_was_read(now, &mut self.ticket, &self.sent.prompt, latency);
+        directory.record_prompt_read(now, &mut self.ticket, &self.sent.prompt, latency);
         drop(directory);
         if let Some(placement) = &self.placement {
             placement.prompt_was_read(latency);
@@ -182,7 +182,7 @@
         if self.sent.asked == Asked::Run {
             let now = self.shared.now();
             let mut quarantine = self.shared.quarantine.lock();
-            quarantine.answered(now, self.sent.fingerprint);
+            quarantine.record_answer(now, self.sent.fingerprint);
         }
     }
 
@@ -197,7 +197,7 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut directory = self.shared.directory.lock();
-        directory.send_ended(now, &self.ticket, &self.sent.prompt, self.result);
+        directory.end_send(now, &self.ticket, &self.sent.prompt, self.result);
         drop(directory);
         self.leave_ledger(now);
         if let Some(placement) = &mut self.placement {
