--- a/crates/admission/src/backoff.rs
+++ b/crates/admission/src/backoff.rs
@@ -12,15 +12,15 @@
     /// Upper bound of the delay before the first retry.
     pub base: Duration,
     /// Maximum of the bound.
-    pub most: Duration,
+    pub max_delay: Duration,
 }
 
 impl Backoff {
     /// Returns the delay before retry number `retry`, counted from zero. `jitter` is a random number from 0
     /// to 1 supplied by the caller; values outside this range are clamped.
-    pub fn wait(&self, retry: u32, jitter: f64) -> Duration {
+    pub fn delay(&self, retry: u32, jitter: f64) -> Duration {
         let doublings = retry.min(MAX_DOUBLINGS);
-        let bound = self.base.saturating_mul(1 << doublings).min(self.most);
+        let bound = self.base.saturating_mul(1 << doublings).min(self.max_delay);
         bound.mul_f64(jitter.clamp(0.0, 1.0))
     }
 }
--- a/crates/admission/src/circuit_breaker.rs
+++ b/crates/admission/src/circuit_breaker.rs
@@ -12,11 +12,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BreakerSettings {
     /// Number of consecutive failures that open the breaker.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// How long the breaker stays open; the delay doubles with each failed probe.
-    pub open: Backoff,
+    pub open_backoff: Backoff,
     /// Time without an outcome of a probe after which another probe is admitted.
-    pub probe: Duration,
+    pub probe_timeout: Duration,
 }
 
 /// An event that the breaker reacts to.
@@ -78,7 +78,7 @@
         let probe_at = match self.state {
             State::Closed { .. } => return BreakerDecision::Admit,
             State::Open { probe_at, .. } => probe_at,
-            State::Probing { since, .. } => since + self.settings.probe,
+            State::Probing { since, .. } => since + self.settings.probe_timeout,
         };
         if now >= probe_at {
             return BreakerDecision::Admit;
@@ -104,7 +104,7 @@
     }
 
     /// Returns whether the breaker is in its initial state, closed and without failures, and can be dropped.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_no_failures(&self) -> bool {
         self.state == State::Closed { failures: 0 }
     }
 
@@ -126,9 +126,11 @@
 
     fn record_failure(&mut self, now: Timestamp) {
         self.state = match self.state {
-            State::Closed { failures } if failures + 1 < self.settings.failures => State::Closed {
-                failures: failures + 1,
-            },
+            State::Closed { failures } if failures + 1 < self.settings.failure_threshold => {
+                State::Closed {
+                    failures: failures + 1,
+                }
+            }
             State::Closed { .. } => self.open_state(now, 0),
             State::Probing { failed_probes, .. } => {
                 self.open_state(now, failed_probes.saturating_add(1))
@@ -139,9 +141,9 @@
     }
 
     fn open_state(&self, now: Timestamp, failed_probes: u32) -> State {
-        let wait = self.settings.open.wait(failed_probes, 1.0);
+        let delay = self.settings.open_backoff.delay(failed_probes, 1.0);
         State::Open {
-            probe_at: now + wait,
+            probe_at: now + delay,
             failed_probes,
         }
     }
--- a/crates/admission/src/fairness.rs
+++ b/crates/admission/src/fairness.rs
@@ -9,24 +9,24 @@
 
 /// Whether a request got a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlaceDecision {
+pub enum SlotDecision {
     /// The request holds a slot until it is released.
     Admitted,
     /// Every slot is taken.
     Full,
     /// The remaining slots are reserved for tenants below their fair share.
-    AboveFairPart,
+    AboveFairShare,
 }
 
 /// The request slots of one node, counted by tenant.
 #[derive(Debug, Clone)]
-pub struct FairPlaces<T> {
+pub struct FairSlots<T> {
     slots: usize,
     taken: usize,
     by_tenant: HashMap<T, usize>,
 }
 
-impl<T: Hash + Eq> FairPlaces<T> {
+impl<T: Hash + Eq> FairSlots<T> {
     /// Returns `slots` free slots.
     pub fn new(slots: usize) -> Self {
         Self {
@@ -37,20 +37,20 @@
     }
 
     /// Requests a slot for a request of a tenant.
-    pub fn enter(&mut self, tenant: T) -> PlaceDecision {
+    pub fn acquire(&mut self, tenant: T) -> SlotDecision {
         if self.taken >= self.slots {
-            return PlaceDecision::Full;
+            return SlotDecision::Full;
         }
         if self.is_contended() && self.held(&tenant) >= self.fair_share(&tenant) {
-            return PlaceDecision::AboveFairPart;
+            return SlotDecision::AboveFairShare;
         }
         self.taken += 1;
         *self.by_tenant.entry(tenant).or_default() += 1;
-        PlaceDecision::Admitted
+        SlotDecision::Admitted
     }
 
     /// Releases the slot of a request of a tenant.
-    pub fn leave(&mut self, tenant: &T) {
+    pub fn release(&mut self, tenant: &T) {
         let Some(held) = self.by_tenant.get_mut(tenant) else {
             return;
         };
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use backoff::Backoff;
 pub use circuit_breaker::{BreakerDecision, BreakerEvent, BreakerSettings, CircuitBreaker};
-pub use fairness::{FairPlaces, PlaceDecision};
+pub use fairness::{FairSlots, SlotDecision};
 pub use retry_budget::{BudgetDecision, BudgetEvent, BudgetSettings, RetryBudget};
 pub use service_rate::{ServiceEvent, ServiceRate};
 pub use token_bucket::{BucketDecision, BucketEvent, TokenBucket};
--- a/crates/admission/src/retry_budget.rs
+++ b/crates/admission/src/retry_budget.rs
@@ -16,7 +16,7 @@
     /// Maximum number of retries that can be saved up; also the initial balance.
     pub reserve: u32,
     /// Time in which the reserve gains one retry, even without requests.
-    pub refill: Duration,
+    pub refill_interval: Duration,
 }
 
 /// An event that the budget accounts for.
@@ -77,14 +77,14 @@
             return BudgetDecision::Allowed;
         }
         let missing = u32::try_from(RETRY_COST - self.balance).unwrap_or(u32::MAX);
-        let refill_time = self.settings.refill.saturating_mul(missing) / RETRY_COST as u32;
+        let refill_time = self.settings.refill_interval.saturating_mul(missing) / RETRY_COST as u32;
         let refilled_in = refill_time.saturating_sub(now.since(self.refilled_at));
         BudgetDecision::Spent { refilled_in }
     }
 
     fn refill(&mut self, now: Timestamp) {
-        let period = self.settings.refill.as_micros().max(1);
-        let gained = now.since(self.refilled_at).as_micros() * u128::from(RETRY_COST) / period;
+        let interval = self.settings.refill_interval.as_micros().max(1);
+        let gained = now.since(self.refilled_at).as_micros() * u128::from(RETRY_COST) / interval;
         if gained == 0 {
             return;
         }
--- a/crates/admission/src/service_rate.rs
+++ b/crates/admission/src/service_rate.rs
@@ -12,7 +12,7 @@
 /// Maximum advised wait.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 /// Advised wait before any served request has been observed.
-pub const UNOBSERVED_WAIT: Duration = Duration::from_secs(1);
+pub const DEFAULT_WAIT: Duration = Duration::from_secs(1);
 
 /// An event in the life cycle of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,14 +46,14 @@
             }
             ServiceEvent::Abandoned => self.in_progress = self.in_progress.saturating_sub(1),
         }
-        self.wait()
+        self.advised_wait()
     }
 
     /// Returns the advised wait: the time in which the requests in progress and one more request are expected
     /// to complete at the observed rate.
-    pub fn wait(&self) -> Duration {
+    pub fn advised_wait(&self) -> Duration {
         let Some(rate) = self.rate() else {
-            return UNOBSERVED_WAIT;
+            return DEFAULT_WAIT;
         };
         let seconds = (self.in_progress as f64 + 1.0) / rate;
         Duration::from_secs_f64(seconds.min(MAX_WAIT.as_secs_f64())).max(MIN_WAIT)
--- a/crates/admission/src/token_bucket.rs
+++ b/crates/admission/src/token_bucket.rs
@@ -11,7 +11,7 @@
 /// Capacity of a bucket as the time in which its rate fills it, in microseconds.
 const BURST_MICROS: i128 = 1_000_000;
 /// Advised wait for a bucket whose rate is zero: a share may have been granted by then.
-pub const NO_RATE_WAIT: Duration = Duration::from_secs(1);
+pub const ZERO_RATE_WAIT: Duration = Duration::from_secs(1);
 
 /// An event that changes the level of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// A request asks for this many units.
     Take(u64),
     /// A request used this many units fewer than it had taken.
-    GiveBack(u64),
+    Refund(u64),
     /// A request used this many units more than it had taken.
     Charge(u64),
 }
@@ -56,7 +56,7 @@
 
     /// Returns the time until a request for `units` units would be admitted at `rate`, which is in thousandths of
     /// a unit per second. The result is zero if the request would be admitted now.
-    pub fn wait(&self, now: Timestamp, rate: u64, units: u64) -> Duration {
+    pub fn time_until_admitted(&self, now: Timestamp, rate: u64, units: u64) -> Duration {
         match self.clone().step(now, rate, BucketEvent::Take(units)) {
             BucketDecision::Admitted => Duration::ZERO,
             BucketDecision::Refused { retry_after } => retry_after,
@@ -68,7 +68,7 @@
         let level = self.refill(now, rate);
         match event {
             BucketEvent::Take(units) => return self.take(level, rate, units),
-            BucketEvent::GiveBack(units) => {
+            BucketEvent::Refund(units) => {
                 self.level = Some((level + parts_of(units)).min(capacity(rate)));
             }
             BucketEvent::Charge(units) => self.level = Some(level - parts_of(units)),
@@ -83,7 +83,7 @@
             return BucketDecision::Admitted;
         }
         let retry_after = match i128::from(rate) {
-            0 => NO_RATE_WAIT,
+            0 => ZERO_RATE_WAIT,
             rate => duration_from_micros(((needed - level) + rate - 1) / rate),
         };
         BucketDecision::Refused { retry_after }
--- a/crates/admission/tests/decisions.rs
+++ b/crates/admission/tests/decisions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use tansyhall_admission::service_rate::UNOBSERVED_WAIT;
+use tansyhall_admission::service_rate::DEFAULT_WAIT;
 use tansyhall_admission::{
     Backoff, BreakerDecision, BreakerEvent, BreakerSettings, BudgetDecision, BudgetEvent,
     BudgetSettings, CircuitBreaker, RetryBudget, ServiceEvent, ServiceRate,
@@ -13,15 +13,15 @@
 const BUDGET: BudgetSettings = BudgetSettings {
     retries_per_thousand: 200,
     reserve: 10,
-    refill: Duration::from_secs(1),
+    refill_interval: Duration::from_secs(1),
 };
 const BREAKER: BreakerSettings = BreakerSettings {
-    failures: 3,
-    open: Backoff {
+    failure_threshold: 3,
+    open_backoff: Backoff {
         base: Duration::from_secs(1),
-        most: Duration::from_secs(8),
+        max_delay: Duration::from_secs(8),
     },
-    probe: Duration::from_secs(5),
+    probe_timeout: Duration::from_secs(5),
 };
 
 fn time_until_probe(decision: BreakerDecision) -> Duration {
@@ -71,21 +71,21 @@
 
     #[test]
     fn a_backoff_stays_below_its_bound(retry in 0_u32..100, jitter in 0.0_f64..=1.0) {
-        let wait = BREAKER.open.wait(retry, jitter);
-        prop_assert!(wait <= BREAKER.open.most);
+        let wait = BREAKER.open_backoff.delay(retry, jitter);
+        prop_assert!(wait <= BREAKER.open_backoff.max_delay);
     }
 
     #[test]
     fn an_open_breaker_admits_one_probe_at_the_advised_time(failed_probes in 0_u32..6) {
         let mut breaker = CircuitBreaker::new(BREAKER);
         let mut now = Timestamp::default();
-        for _ in 0..BREAKER.failures {
+        for _ in 0..BREAKER.failure_threshold {
             prop_assert_eq!(breaker.step(now, BreakerEvent::Attempt), BreakerDecision::Admit);
             breaker.step(now, BreakerEvent::Failure);
         }
         for probe in 0..failed_probes {
             let wait = time_until_probe(breaker.step(now, BreakerEvent::Attempt));
-            prop_assert_eq!(wait, BREAKER.open.wait(probe, 1.0));
+            prop_assert_eq!(wait, BREAKER.open_backoff.delay(probe, 1.0));
             now = now + wait;
             prop_assert_eq!(breaker.step(now, BreakerEvent::Attempt), BreakerDecision::Admit);
             prop_assert!(time_until_probe(breaker.step(now, BreakerEvent::Attempt)) > Duration::ZERO);
@@ -102,15 +102,15 @@
 fn a_probe_without_an_outcome_does_not_block_the_back_end_forever() {
     let mut breaker = CircuitBreaker::new(BREAKER);
     let mut now = Timestamp::default();
-    for _ in 0..BREAKER.failures {
+    for _ in 0..BREAKER.failure_threshold {
         breaker.step(now, BreakerEvent::Failure);
     }
-    now = now + BREAKER.open.base;
+    now = now + BREAKER.open_backoff.base;
     assert_eq!(
         breaker.step(now, BreakerEvent::Attempt),
         BreakerDecision::Admit
     );
-    now = now + BREAKER.probe;
+    now = now + BREAKER.probe_timeout;
     assert_eq!(
         breaker.step(now, BreakerEvent::Attempt),
         BreakerDecision::Admit
@@ -120,7 +120,7 @@
 #[test]
 fn the_advised_wait_follows_the_observed_rate_and_the_requests_in_progress() {
     let mut rate = ServiceRate::default();
-    assert_eq!(rate.wait(), UNOBSERVED_WAIT);
+    assert_eq!(rate.advised_wait(), DEFAULT_WAIT);
     let mut now = Timestamp::default();
     for _ in 0..10 {
         rate.step(now, ServiceEvent::Admitted);
@@ -129,7 +129,7 @@
         now = now + Duration::from_millis(500);
         rate.step(now, ServiceEvent::Served);
     }
-    let wait_with_two = rate.wait();
+    let wait_with_two = rate.advised_wait();
     assert!(
         (wait_with_two.as_secs_f64() - 1.5).abs() < 0.5,
         "{wait_with_two:?}"
@@ -137,7 +137,7 @@
     for _ in 0..20 {
         rate.step(now, ServiceEvent::Admitted);
     }
-    assert!(rate.wait() > wait_with_two * 5);
+    assert!(rate.advised_wait() > wait_with_two * 5);
 }
 
 #[test]
--- a/crates/admission/tests/limits.rs
+++ b/crates/admission/tests/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use tansyhall_admission::{BucketDecision, BucketEvent, FairPlaces, PlaceDecision, TokenBucket};
+use tansyhall_admission::{BucketDecision, BucketEvent, FairSlots, SlotDecision, TokenBucket};
 use tansyhall_core::Timestamp;
 
 /// Ten units per second, in thousandths of a unit.
@@ -47,16 +47,16 @@
     fn slots_are_neither_lost_nor_duplicated(
         steps in prop::collection::vec((any::<bool>(), 0_u8..4), 0..200), slots in 1_usize..40,
     ) {
-        let mut fair = FairPlaces::new(slots);
+        let mut fair = FairSlots::new(slots);
         let mut held = [0_usize; 4];
         for (acquires, tenant) in steps {
             let count = &mut held[usize::from(tenant)];
-            if acquires && fair.enter(tenant) == PlaceDecision::Admitted {
+            if acquires && fair.acquire(tenant) == SlotDecision::Admitted {
                 *count += 1;
             }
             if !acquires && *count > 0 {
                 *count -= 1;
-                fair.leave(&tenant);
+                fair.release(&tenant);
             }
             prop_assert_eq!(fair.taken(), held.iter().sum::<usize>());
             prop_assert!(fair.taken() <= slots);
@@ -70,7 +70,7 @@
     let now = Timestamp::from_millis(1);
     let admitted = BucketDecision::Admitted;
     assert_eq!(bucket.step(now, RATE, BucketEvent::Take(10)), admitted);
-    bucket.step(now, RATE, BucketEvent::GiveBack(10));
+    bucket.step(now, RATE, BucketEvent::Refund(10));
     assert_eq!(bucket.step(now, RATE, BucketEvent::Take(10)), admitted);
     bucket.step(now, RATE, BucketEvent::Charge(5));
     let retry_after = Duration::from_millis(600);
@@ -80,14 +80,14 @@
 
 #[test]
 fn a_single_tenant_may_take_every_slot_and_two_tenants_get_equal_shares() {
-    let mut fair = FairPlaces::new(16);
-    while fair.enter("cooperative") == PlaceDecision::Admitted {}
+    let mut fair = FairSlots::new(16);
+    while fair.acquire("cooperative") == SlotDecision::Admitted {}
     assert_eq!(fair.held(&"cooperative"), 16);
-    assert_eq!(fair.enter("registry"), PlaceDecision::Full);
+    assert_eq!(fair.acquire("registry"), SlotDecision::Full);
     for _ in 0..2 {
-        fair.leave(&"cooperative");
+        fair.release(&"cooperative");
     }
-    assert_eq!(fair.enter("registry"), PlaceDecision::Admitted);
-    assert_eq!(fair.enter("cooperative"), PlaceDecision::AboveFairPart);
-    assert_eq!(fair.enter("registry"), PlaceDecision::Admitted);
+    assert_eq!(fair.acquire("registry"), SlotDecision::Admitted);
+    assert_eq!(fair.acquire("cooperative"), SlotDecision::AboveFairShare);
+    assert_eq!(fair.acquire("registry"), SlotDecision::Admitted);
 }
--- a/crates/forwarding/src/directory/rate_limits.rs
+++ b/crates/forwarding/src/directory/rate_limits.rs
@@ -73,7 +73,7 @@
         match self.limit {
             Some(_) => {
                 let rate = self.share.millirequests_per_second();
-                self.bucket.wait(now, rate, 1)
+                self.bucket.time_until_admitted(now, rate, 1)
             }
             None => Duration::ZERO,
         }
@@ -204,7 +204,7 @@
     fn return_token(&mut self, now: Timestamp, key: WorkerKey) {
         if let Some(known) = self.known.get_mut(&key) {
             let rate = known.share.millirequests_per_second();
-            known.bucket.step(now, rate, BucketEvent::GiveBack(1));
+            known.bucket.step(now, rate, BucketEvent::Refund(1));
         }
     }
 
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -34,7 +34,7 @@
 /// Pauses after failed calls; gateways that fail together do not come back together.
 const BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(120),
-    most: Duration::from_millis(300),
+    max_delay: Duration::from_millis(300),
 };
 /// Time after the first read in which gateways that start together announce themselves. One that went on
 /// at once would take itself for a relay, as it knows hardly any other, and ask the store each time that
@@ -176,7 +176,7 @@
     }
 
     async fn pause(&self) {
-        let pause = BACKOFF.wait(self.failures, rand::random());
+        let pause = BACKOFF.delay(self.failures, rand::random());
         sleep(pause.max(MIN_PAUSE)).await;
     }
 
@@ -356,7 +356,7 @@
         match in_time(store.range_page(EVERYTHING, after)).await {
             Err(StoreError::NotApplied(_)) if after.is_some() && failures < PAGE_ATTEMPTS => {
                 failures += 1;
-                sleep(BACKOFF.wait(failures, rand::random()).max(MIN_PAUSE)).await;
+                sleep(BACKOFF.delay(failures, rand::random()).max(MIN_PAUSE)).await;
             }
             answered => return answered,
         }
--- a/crates/gateway/src/role_orders.rs
+++ b/crates/gateway/src/role_orders.rs
@@ -106,9 +106,9 @@
             let demand = self.shared.directory.lock().engine_demand(now, &service);
             let peak = self.short_reading.entry(service.clone()).or_default();
             let expected = ExpectedDemand {
-                readers: demand.prefill_engines,
-                decoders: peak.observe(now, demand.decode_engines),
-                places: demand.decode_slots,
+                prefill_engines: demand.prefill_engines,
+                decode_engines_for_short_prompts: peak.observe(now, demand.decode_engines),
+                decode_slots: demand.decode_slots,
             };
             for change in balance_roles(&balanced, expected) {
                 desired.set(&members[change.engine].worker.id, change.role);
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -21,7 +21,7 @@
 use tansyhall_forwarding::relay_plan::GATEWAYS_PER_RELAY;
 use tansyhall_forwarding::{Service, Worker, WorkerKind, WorkerScaling, WorkerState};
 use tansyhall_planner::{
-    affordable_workers, balance_workers, ChangeAllowance, WorkerLimits, WorkersWanted, ZoneGoal,
+    affordable_workers, balance_workers, ChangeAllowance, WorkerLimits, WorkerTargets, ZoneGoal,
     ZoneWorkers,
 };
 use tansyhall_store::{Compare, KeyValueStore, Operation, Revision, Transaction};
@@ -185,11 +185,11 @@
         let workers = self.workers(&service.name);
         let zones = self.zones(&service.name, scaling, &workers);
         let limits = WorkerLimits {
-            least: scaling.min_workers,
-            most: scaling.max_workers,
+            min_workers: scaling.min_workers,
+            max_workers: scaling.max_workers,
             spot_price: scaling.spot_price,
         };
-        let wanted = WorkersWanted {
+        let wanted = WorkerTargets {
             planned,
             wanted: affordable_workers(planned, zones.len(), &limits),
             needed: self.needed(service, planned),
@@ -222,7 +222,9 @@
         let gateways = self.shared.gateways.load(Ordering::Relaxed);
         let zones = self.shared.fleet.read().plan.zone_count().max(1);
         let subscribers = subscribers_of_a_relay(gateways, zones);
-        let allowed = self.allowance.workers(self.shared.now(), subscribers);
+        let allowed = self
+            .allowance
+            .affordable_changes(self.shared.now(), subscribers);
         let ordered = self.history.ordered(&order);
         let expected = ordered.map_or(serving, |ordered| ordered.max(serving));
         let desired = match order.desired > serving {
@@ -233,7 +235,7 @@
             true => desired.saturating_sub(expected),
             false => serving - desired,
         };
-        self.allowance.take(changes, subscribers);
+        self.allowance.spend(changes, subscribers);
         (desired != serving).then_some(WorkerOrder { desired, ..order })
     }
 
@@ -245,7 +247,7 @@
         service: &ServiceName,
         zones: &[ZoneWorkers],
         limits: &WorkerLimits,
-        wanted: WorkersWanted,
+        wanted: WorkerTargets,
     ) {
         let now = self.shared.now();
         let mut all_have_spot = zones.to_vec();
--- a/crates/lab/src/emulator/engine.rs
+++ b/crates/lab/src/emulator/engine.rs
@@ -59,7 +59,7 @@
     pub fn snapshot(&self, now: Timestamp) -> LoadSnapshot {
         let decoding = self.batch.decoding();
         LoadSnapshot {
-            taken: now,
+            taken_at: now,
             decoding: decoding as f64,
             waiting: (self.batch.len() - decoding) as f64,
             pending_prefill_tokens: self.batch.pending_prefill_tokens() as f64,
--- a/crates/lab/src/emulator/run.rs
+++ b/crates/lab/src/emulator/run.rs
@@ -166,7 +166,7 @@
                 let tracker = &mut self.nodes[node].engines[engine];
                 tracker.role = role;
                 tracker.accepts_work = accepts_work;
-                tracker.report(snapshot);
+                tracker.record_report(snapshot);
             }
             Event::Plan => self.plan(),
             Event::RoleChanged {
@@ -250,7 +250,7 @@
         self.progress[request].placement = Some(placement);
         self.progress[request].base = self.progress[request].generated;
         let engine = match placement {
-            Placement::Whole(engine) => engine,
+            Placement::Single(engine) => engine,
             Placement::Split { prefill, .. } => prefill,
         };
         self.send(
--- a/crates/lab/src/emulator/serve.rs
+++ b/crates/lab/src/emulator/serve.rs
@@ -22,7 +22,7 @@
     ) {
         let node = self.node_of(request);
         let id = RequestId(request as u128);
-        self.nodes[node].engines[engine].sent(self.now, id, prefill_tokens);
+        self.nodes[node].engines[engine].record_sent(self.now, id, prefill_tokens);
         self.true_rates[engine].add(self.now, prefill_tokens);
         self.events.push(
             self.now + delay,
@@ -59,7 +59,7 @@
             return self.start_iteration(engine);
         }
         let node = self.node_of(request);
-        self.nodes[node].engines[engine].finished(self.now, work.id);
+        self.nodes[node].engines[engine].record_finished(self.now, work.id);
         self.nodes[node].engines[engine].accepts_work = self.engines[engine].accepts_work();
         self.route(request);
     }
@@ -106,11 +106,11 @@
         let progress = &mut self.progress[request];
         progress.generated = progress.base + generated;
         progress.first_token.get_or_insert(self.now);
-        self.nodes[node].engines[engine].first_token(self.now, id);
+        self.nodes[node].engines[engine].record_first_token(self.now, id);
         if !finished {
             return;
         }
-        self.nodes[node].engines[engine].finished(self.now, id);
+        self.nodes[node].engines[engine].record_finished(self.now, id);
         let progress = &mut self.progress[request];
         if progress.generated >= self.trace[request].output_tokens {
             return self.complete(request);
@@ -173,7 +173,7 @@
         for request in lost {
             let node = self.node_of(request);
             let id = RequestId(request as u128);
-            self.nodes[node].engines[engine].finished(self.now, id);
+            self.nodes[node].engines[engine].record_finished(self.now, id);
             self.route(request);
         }
     }
@@ -185,7 +185,7 @@
             return false;
         }
         match progress.placement {
-            Some(Placement::Whole(at)) => at == engine,
+            Some(Placement::Single(at)) => at == engine,
             Some(Placement::Split { prefill, decode }) => {
                 let decoding = progress.generated > 0;
                 (decoding && decode == engine) || (!decoding && prefill == engine)
--- a/crates/lab/src/strategy/predictive.rs
+++ b/crates/lab/src/strategy/predictive.rs
@@ -44,7 +44,7 @@
     }
 
     fn route(&mut self, facts: &RequestFacts, engines: &[EngineEstimate]) -> Choice {
-        let request = facts.estimate(self.outputs.expect(&facts.class, facts.max_tokens));
+        let request = facts.estimate(self.outputs.expected_tokens(&facts.class, facts.max_tokens));
         choose(
             &self.rates,
             &self.settings,
@@ -55,7 +55,7 @@
     }
 
     fn offered(&mut self, now: Timestamp, facts: &RequestFacts) {
-        let output_tokens = self.outputs.expect(&facts.class, facts.max_tokens);
+        let output_tokens = self.outputs.expected_tokens(&facts.class, facts.max_tokens);
         let demand = Demand {
             prompt_tokens: facts.prompt_tokens,
             output_tokens,
--- a/crates/lab/src/strategy/simple.rs
+++ b/crates/lab/src/strategy/simple.rs
@@ -24,7 +24,7 @@
 /// Static strategies predict nothing.
 const NO_PREDICTION: Prediction = Prediction {
     first_token: 0.0,
-    whole: 0.0,
+    last_token: 0.0,
     harm: 0.0,
 };
 
@@ -75,7 +75,7 @@
     let pick = |role| pick_one(balance, turn, engines, role);
     let placement = match (pick(Role::Prefill), pick(Role::Decode), pick(Role::Mixed)) {
         (Some(prefill), Some(decode), _) => Placement::Split { prefill, decode },
-        (_, _, Some(engine)) => Placement::Whole(engine),
+        (_, _, Some(engine)) => Placement::Single(engine),
         _ => return Choice::NoEngine,
     };
     Choice::Send {
--- a/crates/node/src/authority/loads.rs
+++ b/crates/node/src/authority/loads.rs
@@ -24,7 +24,7 @@
             self.guard.reset();
             self.desired = Some(desired.clone());
         }
-        self.guard.ended();
+        self.guard.finish();
         let observed = observe(node, pool);
         if observed.len() < pool.backends.len() {
             return None;
--- a/crates/node/src/authority/pool.rs
+++ b/crates/node/src/authority/pool.rs
@@ -9,7 +9,7 @@
 use tansyhall_config::{Backend, Pool};
 use tansyhall_core::{Duration, EngineName, PoolName, Timestamp};
 use tansyhall_engine::EngineClient;
-use tansyhall_planner::{plan_bounds, EngineView, PlannedChange, RoleLimit};
+use tansyhall_planner::{plan_change_for_limits, EngineView, PlannedChange, RoleLimit};
 
 use super::engine::{advance, Progress};
 use super::loads::Loads;
@@ -147,8 +147,8 @@
         .iter()
         .map(|bounds| RoleLimit {
             role: bounds.role,
-            least: bounds.least,
-            most: bounds.most.unwrap_or(u32::MAX),
+            min_engines: bounds.least,
+            max_engines: bounds.most.unwrap_or(u32::MAX),
         })
         .collect();
     let engines = node.with_engines(|engines| {
@@ -165,5 +165,5 @@
     if engines.len() < pool.backends.len() {
         return None;
     }
-    plan_bounds(&engines, &limits)
+    plan_change_for_limits(&engines, &limits)
 }
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -81,7 +81,7 @@
     };
     let engine = |index: usize| candidates.engines[index].clone();
     let (first_index, decode) = match placement {
-        Placement::Whole(index) => (index, None),
+        Placement::Single(index) => (index, None),
         Placement::Split { prefill, decode } => (prefill, Some(engine(decode))),
     };
     let first = engine(first_index);
@@ -92,7 +92,7 @@
         engine: first,
         in_flight,
         decode,
-        predicted: prediction.whole_duration(),
+        predicted: prediction.last_token_duration(),
     })))
 }
 
--- a/crates/node/src/callers/health.rs
+++ b/crates/node/src/callers/health.rs
@@ -19,16 +19,16 @@
 /// Wait between attempts of one request.
 const RETRY_BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(10),
-    most: Duration::from_millis(500),
+    max_delay: Duration::from_millis(500),
 };
 /// Sizes of the breakers.
 const BREAKER: BreakerSettings = BreakerSettings {
-    failures: 3,
-    open: Backoff {
+    failure_threshold: 3,
+    open_backoff: Backoff {
         base: Duration::from_millis(500),
-        most: Duration::from_secs(10),
+        max_delay: Duration::from_secs(10),
     },
-    probe: Duration::from_secs(5),
+    probe_timeout: Duration::from_secs(5),
 };
 /// How long an engine that accepts no work is left alone before it is asked again.
 const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(200);
@@ -49,7 +49,7 @@
         let budget = BudgetSettings {
             retries_per_thousand: limits.retries_per_thousand,
             reserve: limits.retry_reserve,
-            refill: BUDGET_REFILL,
+            refill_interval: BUDGET_REFILL,
         };
         Self {
             breakers: Sharded::with_capacity_limit(MAX_FOLLOWED),
@@ -117,7 +117,7 @@
         let allowed = decision == BudgetDecision::Allowed;
         let label = if allowed { "allowed" } else { "budget-spent" };
         metrics.retries.with_label_values(&[label]).inc();
-        allowed.then(|| RETRY_BACKOFF.wait(retry, rand::random()))
+        allowed.then(|| RETRY_BACKOFF.delay(retry, rand::random()))
     }
 
     /// Tells a service's rate of an event, and returns the wait to advise.
@@ -137,14 +137,18 @@
     pub fn advised_wait(&self, service: &ServiceName) -> Duration {
         self.rates.with(service, |shard| {
             let rate = shard.get(service);
-            rate.map_or_else(|| ServiceRate::default().wait(), ServiceRate::wait)
+            rate.map_or_else(
+                || ServiceRate::default().advised_wait(),
+                ServiceRate::advised_wait,
+            )
         })
     }
 
     /// Forgets pauses that are over, and breakers of back ends whose last attempt succeeded.
     pub fn sweep(&self, now: Timestamp) {
         self.paused_until.retain(|_, until| now < *until);
-        self.breakers.retain(|_, breaker| !breaker.is_quiet());
+        self.breakers
+            .retain(|_, breaker| !breaker.has_no_failures());
     }
 }
 
--- a/crates/node/src/dispatch/lengths.rs
+++ b/crates/node/src/dispatch/lengths.rs
@@ -33,7 +33,9 @@
 
     /// Expected tokens of an answer that may have `max_tokens`.
     pub fn expect(&self, class: &RequestClass, max_tokens: u32) -> f64 {
-        self.estimator.lock().expect(class, f64::from(max_tokens))
+        self.estimator
+            .lock()
+            .expected_tokens(class, f64::from(max_tokens))
     }
 
     /// Learns from an answer that ended with `tokens` tokens.
--- a/crates/node/src/dispatch/trackers.rs
+++ b/crates/node/src/dispatch/trackers.rs
@@ -48,9 +48,9 @@
         let known = self.trackers.with(engine, |shard| {
             let tracked = shard.get(engine)?;
             let mut estimate = tracked.load.estimate(now);
-            let cached_blocks = tracked.prefixes.held_blocks(blocks);
+            let cached_blocks = tracked.prefixes.cached_prefix_blocks(blocks);
             estimate.cached_tokens = cached_blocks as f64 * f64::from(BLOCK_TOKENS);
-            Some((estimate, tracked.load.is_reporting(now)))
+            Some((estimate, tracked.load.has_recent_report(now)))
         });
         let (mut estimate, reporting) =
             known.unwrap_or_else(|| (self.new_tracker().load.estimate(now), false));
@@ -70,7 +70,7 @@
         self.with(engine, |tracked| {
             tracked.load.role = report.role;
             tracked.load.accepts_work = report.accepts_work;
-            tracked.load.report(snapshot);
+            tracked.load.record_report(snapshot);
         });
     }
 
@@ -78,7 +78,7 @@
     pub fn cache_events(&self, engine: &EngineName, events: &CacheEvents) {
         let changes: Vec<BlockEvent> = events.events.iter().map(block_event).collect();
         self.with(engine, |tracked| {
-            tracked.prefixes.events(events.incarnation, &changes);
+            tracked.prefixes.apply_events(events.incarnation, &changes);
         });
     }
 
@@ -87,7 +87,7 @@
         self.trackers.with(engine, |shard| {
             shard
                 .get(engine)
-                .map_or(0, |tracked| tracked.prefixes.latest())
+                .map_or(0, |tracked| tracked.prefixes.last_sequence())
         })
     }
 
@@ -101,24 +101,24 @@
         blocks: &[BlockHash],
     ) {
         self.with(engine, |tracked| {
-            tracked.load.sent(now, id, prefill_tokens);
-            tracked.prefixes.sent(blocks);
+            tracked.load.record_sent(now, id, prefill_tokens);
+            tracked.prefixes.record_prompt(blocks);
         });
     }
 
     /// A request's first token arrived.
     pub fn first_token(&self, engine: &EngineName, now: Timestamp, id: RequestId) {
-        self.with(engine, |tracked| tracked.load.first_token(now, id));
+        self.with(engine, |tracked| tracked.load.record_first_token(now, id));
     }
 
     /// A request ended.
     pub fn finished(&self, engine: &EngineName, now: Timestamp, id: RequestId) {
-        self.with(engine, |tracked| tracked.load.finished(now, id));
+        self.with(engine, |tracked| tracked.load.record_finished(now, id));
     }
 
     /// A request was refused, or never arrived.
     pub fn refused(&self, engine: &EngineName, id: RequestId) {
-        self.with(engine, |tracked| tracked.load.refused(id));
+        self.with(engine, |tracked| tracked.load.record_refused(id));
     }
 
     /// Requests of this node in progress at an engine.
@@ -135,7 +135,7 @@
         self.trackers.with(engine, |shard| {
             shard
                 .get(engine)
-                .is_some_and(|tracked| tracked.load.is_reporting(now))
+                .is_some_and(|tracked| tracked.load.has_recent_report(now))
         })
     }
 
@@ -195,7 +195,7 @@
 /// than its age before it was asked.
 fn snapshot(asked: Timestamp, report: &LoadReport) -> LoadSnapshot {
     LoadSnapshot {
-        taken: asked - Duration::from_millis(report.age_ms),
+        taken_at: asked - Duration::from_millis(report.age_ms),
         decoding: f64::from(report.decoding),
         waiting: f64::from(report.waiting),
         pending_prefill_tokens: report.pending_prefill_tokens as f64,
--- a/crates/node/src/limits/admission.rs
+++ b/crates/node/src/limits/admission.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use tansyhall_admission::{BucketDecision, BucketEvent, PlaceDecision};
+use tansyhall_admission::{BucketDecision, BucketEvent, SlotDecision};
 use tansyhall_core::TenantName;
 use tansyhall_shares::LimitKey;
 
@@ -110,14 +110,14 @@
     }
 
     fn take_place(&mut self) -> Result<(), Refusal> {
-        let decision = self.keeper().places.lock().enter(self.tenant.clone());
+        let decision = self.keeper().places.lock().acquire(self.tenant.clone());
         match decision {
-            PlaceDecision::Admitted => {
+            SlotDecision::Admitted => {
                 self.has_place = true;
                 Ok(())
             }
-            PlaceDecision::Full => Err(Refusal::Full),
-            PlaceDecision::AboveFairPart => Err(Refusal::Unfair),
+            SlotDecision::Full => Err(Refusal::Full),
+            SlotDecision::AboveFairShare => Err(Refusal::Unfair),
         }
     }
 
@@ -159,7 +159,7 @@
         let event = if used > self.estimated_tokens {
             BucketEvent::Charge(u64::from(used - self.estimated_tokens))
         } else {
-            BucketEvent::GiveBack(u64::from(self.estimated_tokens - used))
+            BucketEvent::Refund(u64::from(self.estimated_tokens - used))
         };
         self.keeper().correct(self.node.clock.now(), key, event);
     }
@@ -174,7 +174,7 @@
             self.keeper().leave(key);
         }
         if self.has_place {
-            self.keeper().places.lock().leave(&self.tenant);
+            self.keeper().places.lock().release(&self.tenant);
         }
     }
 }
--- a/crates/node/src/limits/keeper.rs
+++ b/crates/node/src/limits/keeper.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use parking_lot::Mutex;
-use tansyhall_admission::{BucketDecision, BucketEvent, FairPlaces, TokenBucket};
+use tansyhall_admission::{BucketDecision, BucketEvent, FairSlots, TokenBucket};
 use tansyhall_config::settings::Limits;
 use tansyhall_core::{NodeId, Sharded, TenantName, Timestamp};
 use tansyhall_shares::key::UNIT;
@@ -43,7 +43,7 @@
     meters: Sharded<LimitKey, Meter>,
     max_meters: usize,
     /// Places of this node, by tenant; requests without a tenant count as one.
-    pub(super) places: Mutex<FairPlaces<Option<TenantName>>>,
+    pub(super) places: Mutex<FairSlots<Option<TenantName>>>,
 }
 
 impl LimitKeeper {
@@ -56,7 +56,7 @@
             shares: Mutex::new(Shares { node, divided }),
             meters: Sharded::with_capacity_limit(limits.max_limit_meters),
             max_meters: limits.max_limit_meters,
-            places: Mutex::new(FairPlaces::new(limits.max_requests)),
+            places: Mutex::new(FairSlots::new(limits.max_requests)),
         }
     }
 
@@ -124,7 +124,7 @@
         };
         self.with_meter(key, take)
             .unwrap_or(BucketDecision::Refused {
-                retry_after: tansyhall_admission::token_bucket::NO_RATE_WAIT,
+                retry_after: tansyhall_admission::token_bucket::ZERO_RATE_WAIT,
             })
     }
 
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -11,7 +11,7 @@
     ask, body, client, dead_address, expected, header, json_of, set_faults, start_engine,
     start_node, Reader, MODEL,
 };
-use tansyhall_admission::service_rate::UNOBSERVED_WAIT;
+use tansyhall_admission::service_rate::DEFAULT_WAIT;
 use tansyhall_engine::protocol::{FenceToken, Order, OrderAction};
 use tansyhall_engine::EngineClient;
 use tansyhall_node::Node;
@@ -359,7 +359,7 @@
     let advised = advised.expect("milliseconds");
     let observed = node.callers.health.advised_wait(&"assistant".into());
     assert_eq!(u128::from(advised), observed.as_millis());
-    assert_ne!(observed, UNOBSERVED_WAIT);
+    assert_ne!(observed, DEFAULT_WAIT);
     assert_eq!(seconds, advised.div_ceil(1_000));
 }
 
--- a/crates/planner/src/bounds.rs
+++ b/crates/planner/src/bounds.rs
@@ -9,9 +9,9 @@
     /// The limited role.
     pub role: Role,
     /// Minimum number of engines.
-    pub least: u32,
+    pub min_engines: u32,
     /// Maximum number of engines.
-    pub most: u32,
+    pub max_engines: u32,
 }
 
 /// One engine as the planner sees it.
@@ -35,13 +35,16 @@
 }
 
 /// Returns the next role change that the limits require, or `None` if they are met or no engine can be spared.
-pub fn plan_bounds(engines: &[EngineView], limits: &[RoleLimit]) -> Option<PlannedChange> {
+pub fn plan_change_for_limits(
+    engines: &[EngineView],
+    limits: &[RoleLimit],
+) -> Option<PlannedChange> {
     let count = |role: Role| engines.iter().filter(|engine| engine.role == role).count() as u32;
     let limit = |role: Role| {
         let unbounded = RoleLimit {
             role,
-            least: 0,
-            most: u32::MAX,
+            min_engines: 0,
+            max_engines: u32::MAX,
         };
         limits
             .iter()
@@ -49,23 +52,23 @@
             .copied()
             .unwrap_or(unbounded)
     };
-    let spare_engines = |role: Role| count(role).saturating_sub(limit(role).least);
+    let spare_engines = |role: Role| count(role).saturating_sub(limit(role).min_engines);
     let role_below_minimum = Role::ALL
         .into_iter()
-        .find(|role| count(*role) < limit(*role).least);
+        .find(|role| count(*role) < limit(*role).min_engines);
     let target = role_below_minimum.or_else(|| {
         Role::ALL
             .into_iter()
-            .find(|role| count(*role) > limit(*role).most)?;
+            .find(|role| count(*role) > limit(*role).max_engines)?;
         Role::ALL
             .into_iter()
-            .find(|role| count(*role) < limit(*role).most)
+            .find(|role| count(*role) < limit(*role).max_engines)
     })?;
     let donor = engines
         .iter()
         .filter(|engine| engine.role != target && spare_engines(engine.role) > 0)
         .max_by_key(|engine| {
-            let excess = count(engine.role).saturating_sub(limit(engine.role).most);
+            let excess = count(engine.role).saturating_sub(limit(engine.role).max_engines);
             (
                 excess,
                 spare_engines(engine.role),
--- a/crates/planner/src/change_allowance.rs
+++ b/crates/planner/src/change_allowance.rs
@@ -36,7 +36,7 @@
 
     /// Refills the allowance and returns how many workers may join or leave, given the number of subscribers
     /// of a relay.
-    pub fn workers(&mut self, now: Timestamp, subscribers: usize) -> u32 {
+    pub fn affordable_changes(&mut self, now: Timestamp, subscribers: usize) -> u32 {
         let elapsed: Duration = now.since(self.refilled_at);
         let refilled = self.bytes + elapsed.as_secs_f64() * REFILL_BYTES_PER_SECOND;
         self.bytes = refilled.min(MAX_SAVED_BYTES);
@@ -45,7 +45,7 @@
     }
 
     /// Deducts the cost of `workers` workers that join or leave.
-    pub fn take(&mut self, workers: u32, subscribers: usize) {
+    pub fn spend(&mut self, workers: u32, subscribers: usize) {
         self.bytes = (self.bytes - f64::from(workers) * bytes_per_change(subscribers)).max(0.0);
     }
 }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -11,11 +11,11 @@
 pub mod rollout;
 pub mod worker_balance;
 
-pub use bounds::{plan_bounds, EngineView, PlannedChange, RoleLimit};
+pub use bounds::{plan_change_for_limits, EngineView, PlannedChange, RoleLimit};
 pub use change_allowance::ChangeAllowance;
 pub use peak::RecentPeak;
 pub use role_balance::{balance_roles, BalancedEngine, ExpectedDemand, RoleChange};
 pub use rollout::{plan_loads, DesiredLoads, Load, LoadedEngine, PlannedLoad, RolloutGuard};
 pub use worker_balance::{
-    affordable_workers, balance_workers, WorkerLimits, WorkersWanted, ZoneGoal, ZoneWorkers,
+    affordable_workers, balance_workers, WorkerLimits, WorkerTargets, ZoneGoal, ZoneWorkers,
 };
--- a/crates/planner/src/role_balance.rs
+++ b/crates/planner/src/role_balance.rs
@@ -84,11 +84,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ExpectedDemand {
     /// Number of prefill engines that the prompts would keep busy.
-    pub readers: f64,
+    pub prefill_engines: f64,
     /// Number of decode engines that prefilling the short prompts would keep busy.
-    pub decoders: f64,
+    pub decode_engines_for_short_prompts: f64,
     /// Number of slots that the streams will hold.
-    pub places: f64,
+    pub decode_slots: f64,
 }
 
 /// Demand on the engines, expressed as the number of engines that it keeps busy.
@@ -109,9 +109,9 @@
         let slots = single_role.iter().map(|index| engines[*index].slots).max();
         let slots = f64::from(slots.unwrap_or(1).max(1));
         Self {
-            streams: f64::from(streams).max(expected.places) / slots,
-            short_prefill: expected.decoders,
-            prefill: expected.readers,
+            streams: f64::from(streams).max(expected.decode_slots) / slots,
+            short_prefill: expected.decode_engines_for_short_prompts,
+            prefill: expected.prefill_engines,
         }
     }
 
--- a/crates/planner/src/rollout.rs
+++ b/crates/planner/src/rollout.rs
@@ -176,7 +176,7 @@
     }
 
     /// Records the end of the load in progress.
-    pub fn ended(&mut self) {
+    pub fn finish(&mut self) {
         self.in_progress = None;
     }
 
--- a/crates/planner/src/worker_balance.rs
+++ b/crates/planner/src/worker_balance.rs
@@ -18,7 +18,7 @@
 
 /// How many workers there should be in all zones together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WorkersWanted {
+pub struct WorkerTargets {
     /// Number of reserved workers that the operator planned. While spot workers replace them, no fewer workers
     /// serve.
     pub planned: u32,
@@ -51,9 +51,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WorkerLimits {
     /// Minimum number of workers of both kinds in a zone.
-    pub least: u32,
+    pub min_workers: u32,
     /// Maximum number of workers of both kinds in a zone.
-    pub most: u32,
+    pub max_workers: u32,
     /// Price of a spot worker as a fraction of the price of a reserved one; `None` if there are no spot workers.
     pub spot_price: Option<f64>,
 }
@@ -88,7 +88,7 @@
 pub fn balance_workers(
     zones: &[ZoneWorkers],
     limits: &WorkerLimits,
-    workers: WorkersWanted,
+    workers: WorkerTargets,
 ) -> Vec<ZoneGoal> {
     let by_price = order_by_price(zones);
     let shares = equal_shares(zones.len(), &by_price, limits, workers.wanted);
@@ -133,7 +133,12 @@
     for zone in by_price.iter().take((wanted % count) as usize) {
         shares[*zone] += 1;
     }
-    let within_limits = |share: u32| share.clamp(limits.least, limits.most.max(limits.least));
+    let within_limits = |share: u32| {
+        share.clamp(
+            limits.min_workers,
+            limits.max_workers.max(limits.min_workers),
+        )
+    };
     shares.into_iter().map(within_limits).collect()
 }
 
@@ -144,7 +149,7 @@
     spot_is_cheaper: bool,
 ) -> ZoneGoal {
     let reserved = match spot_is_cheaper {
-        true => limits.least.min(share),
+        true => limits.min_workers.min(share),
         false => share,
     };
     let spot = match zone.has_spot {
@@ -165,7 +170,7 @@
         let zones_with_room = goals
             .iter_mut()
             .zip(zones)
-            .filter(|(goal, zone)| zone.has_spot && goal.reserved + goal.spot < limits.most);
+            .filter(|(goal, zone)| zone.has_spot && goal.reserved + goal.spot < limits.max_workers);
         let Some((goal, _)) = zones_with_room.min_by_key(|(goal, _)| goal.reserved + goal.spot)
         else {
             break;
@@ -182,7 +187,7 @@
 ) {
     for zone in by_price {
         let goal = &mut goals[*zone];
-        let room = limits.most.saturating_sub(goal.reserved + goal.spot);
+        let room = limits.max_workers.saturating_sub(goal.reserved + goal.spot);
         let added = room.min(missing);
         goal.reserved += added;
         missing -= added;
@@ -201,7 +206,7 @@
     goal.reserved = goal.reserved.max(kept);
     // Reserved workers that have not left yet count towards the maximum of the zone.
     let occupied = goal.reserved.max(zone.reserved);
-    goal.spot = goal.spot.min(limits.most.saturating_sub(occupied));
+    goal.spot = goal.spot.min(limits.max_workers.saturating_sub(occupied));
 }
 
 /// Releases spot workers only as far as more workers serve in total than are wanted.
@@ -216,7 +221,7 @@
     for (goal, zone) in goals.iter_mut().zip(zones) {
         let released = zone.spot.saturating_sub(goal.spot).min(spare);
         spare -= released;
-        let room = limits.most.saturating_sub(goal.reserved);
+        let room = limits.max_workers.saturating_sub(goal.reserved);
         goal.spot = goal.spot.max((zone.spot - released).min(room));
     }
 }
--- a/crates/planner/tests/predictive.rs
+++ b/crates/planner/tests/predictive.rs
@@ -6,7 +6,7 @@
     served_fraction, Demand, DemandRate, Planner, PlannerSettings, PoolState, RoleCount,
     RoleTransition,
 };
-use tansyhall_planner::{plan_bounds, EngineView, RoleLimit};
+use tansyhall_planner::{plan_change_for_limits, EngineView, RoleLimit};
 use tansyhall_routing::ServiceRates;
 
 const RATES: ServiceRates = ServiceRates {
@@ -130,8 +130,8 @@
         min_prefill in 0_u32..4, min_decode in 0_u32..4, engines in 8_usize..16,
     ) {
         let limits = [
-            RoleLimit { role: Role::Prefill, least: min_prefill, most: u32::MAX },
-            RoleLimit { role: Role::Decode, least: min_decode, most: u32::MAX },
+            RoleLimit { role: Role::Prefill, min_engines: min_prefill, max_engines: u32::MAX },
+            RoleLimit { role: Role::Decode, min_engines: min_decode, max_engines: u32::MAX },
         ];
         let mut views: Vec<EngineView> = (0..engines)
             .map(|index| EngineView {
@@ -141,7 +141,7 @@
             })
             .collect();
         let mut changes = 0;
-        while let Some(change) = plan_bounds(&views, &limits) {
+        while let Some(change) = plan_change_for_limits(&views, &limits) {
             let view = views.iter_mut().find(|view| view.name == change.engine);
             view.expect("the plan names an engine outside the pool").role = change.role;
             changes += 1;
@@ -149,7 +149,7 @@
         }
         for limit in limits {
             let count = views.iter().filter(|view| view.role == limit.role).count() as u32;
-            prop_assert_eq!(count, limit.least);
+            prop_assert_eq!(count, limit.min_engines);
         }
     }
 }
--- a/crates/planner/tests/role_balance.rs
+++ b/crates/planner/tests/role_balance.rs
@@ -22,7 +22,7 @@
 /// Applies the changes that are due if the prompts would keep `busy_prefill_engines` prefill engines busy.
 fn apply_for_prompts(engines: &mut [BalancedEngine], busy_prefill_engines: f64) -> usize {
     let expected = ExpectedDemand {
-        readers: busy_prefill_engines,
+        prefill_engines: busy_prefill_engines,
         ..ExpectedDemand::default()
     };
     apply_for_demand(engines, expected)
@@ -130,8 +130,8 @@
         })
         .collect();
     let expected = ExpectedDemand {
-        readers: 2.0,
-        places: 150.0,
+        prefill_engines: 2.0,
+        decode_slots: 150.0,
         ..ExpectedDemand::default()
     };
     assert!(apply_for_demand(&mut engines, expected) > 0);
@@ -239,8 +239,8 @@
 fn decode_engines_have_time_for_the_short_prompts_they_prefill() {
     let mut engines = zone_of(160, 45);
     let expected = ExpectedDemand {
-        readers: 10.0,
-        decoders: 36.0,
+        prefill_engines: 10.0,
+        decode_engines_for_short_prompts: 36.0,
         ..ExpectedDemand::default()
     };
     while apply_for_demand(&mut engines, expected) > 0 {}
@@ -251,7 +251,7 @@
     );
     let mut without_short_prompts = zone_of(160, 45);
     let streams_only = ExpectedDemand {
-        decoders: 0.0,
+        decode_engines_for_short_prompts: 0.0,
         ..expected
     };
     assert_eq!(
@@ -263,7 +263,7 @@
 #[test]
 fn more_engines_change_at_once_in_a_larger_fleet() {
     let busy_prefill_engines = ExpectedDemand {
-        readers: 1_000.0,
+        prefill_engines: 1_000.0,
         ..ExpectedDemand::default()
     };
     assert_eq!(
--- a/crates/planner/tests/worker_balance.rs
+++ b/crates/planner/tests/worker_balance.rs
@@ -4,12 +4,12 @@
 use tansyhall_core::ZoneName;
 use tansyhall_fixed_cases::fixed_cases;
 use tansyhall_planner::{
-    affordable_workers, balance_workers, WorkerLimits, WorkersWanted, ZoneGoal, ZoneWorkers,
+    affordable_workers, balance_workers, WorkerLimits, WorkerTargets, ZoneGoal, ZoneWorkers,
 };
 
 const LIMITS: WorkerLimits = WorkerLimits {
-    least: 1,
-    most: 36,
+    min_workers: 1,
+    max_workers: 36,
     spot_price: Some(0.22),
 };
 const PRICES: [f64; 4] = [1.0, 0.8, 1.25, 0.9];
@@ -25,8 +25,8 @@
     PRICES.iter().enumerate().map(zone).collect()
 }
 
-fn wanted(wanted: u32, needed: u32) -> WorkersWanted {
-    WorkersWanted {
+fn wanted(wanted: u32, needed: u32) -> WorkerTargets {
+    WorkerTargets {
         planned: wanted,
         wanted,
         needed,
@@ -52,7 +52,7 @@
 
 #[test]
 fn spot_workers_that_exceed_the_zone_maximum_are_added_in_two_steps() {
-    let twice_the_planned = WorkersWanted {
+    let twice_the_planned = WorkerTargets {
         planned: 72,
         wanted: 144,
         needed: 0,
@@ -164,21 +164,21 @@
     #[test]
     fn goals_respect_the_limits_and_reach_the_wanted_number(
         zones in prop::collection::vec(any_zone(), 1..7),
-        least in 0..4_u32,
+        min_workers in 0..4_u32,
         room in 0..40_u32,
         spot_price in prop::option::of(0.05..1.5_f64),
         wanted in 0..200_u32,
         needed in 0..200_u32,
     ) {
-        let limits = WorkerLimits { least, most: least + room, spot_price };
-        let goals = balance_workers(&zones, &limits, WorkersWanted { planned: wanted, wanted, needed });
+        let limits = WorkerLimits { min_workers, max_workers: min_workers + room, spot_price };
+        let goals = balance_workers(&zones, &limits, WorkerTargets { planned: wanted, wanted, needed });
         prop_assert_eq!(goals.len(), zones.len());
         for (goal, zone) in goals.iter().zip(&zones) {
             let zone_total = goal.reserved + goal.spot;
-            prop_assert!(zone_total <= limits.most.max(zone.reserved), "{goal:?}");
+            prop_assert!(zone_total <= limits.max_workers.max(zone.reserved), "{goal:?}");
         }
         let ordered: u32 = goals.iter().map(|goal| goal.reserved + goal.spot).sum();
-        let max_workers = limits.most * zones.len() as u32;
+        let max_workers = limits.max_workers * zones.len() as u32;
         let all_have_spot = zones.iter().all(|zone| zone.has_spot);
         // Reserved workers that are leaving count towards the maximum until they have left.
         let leaving = goals
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
     /// One mixed engine serves the request.
-    Whole(usize),
+    Single(usize),
     /// A prefill engine serves the prompt, then a decode engine generates the answer.
     Split {
         /// Index of the prefill engine.
@@ -80,7 +80,7 @@
     let Some((_, placement, prediction)) = best else {
         return Choice::NoEngine;
     };
-    let excess = prediction.whole - time_left * settings.refuse_above;
+    let excess = prediction.last_token - time_left * settings.refuse_above;
     if excess > 0.0 {
         let retry_after = Duration::try_from_secs_f64(excess).unwrap_or(Duration::MAX);
         return Choice::Refuse { retry_after };
@@ -94,8 +94,8 @@
 /// Returns the cost of a prediction in seconds. Lateness is weighted so that infeasible predictions rank behind
 /// every feasible one.
 fn cost(settings: &ChoiceSettings, prediction: &Prediction, time_left: f64) -> f64 {
-    let lateness = (prediction.whole - time_left * settings.safe_below).max(0.0);
-    prediction.whole + settings.harm_weight * prediction.harm + lateness * LATENESS_WEIGHT
+    let lateness = (prediction.last_token - time_left * settings.safe_below).max(0.0);
+    prediction.last_token + settings.harm_weight * prediction.harm + lateness * LATENESS_WEIGHT
 }
 
 /// Cost of a second of predicted lateness, in seconds.
@@ -114,7 +114,7 @@
         let prediction = predict_mixed(rates, engine, request);
         (
             cost(settings, &prediction, time_left),
-            Placement::Whole(index),
+            Placement::Single(index),
             prediction,
         )
     });
@@ -132,7 +132,7 @@
         usable_engines(engines, role)
             .map(|(index, engine)| (index, predict(rates, engine, request)))
             .min_by(|left: &(usize, Prediction), right: &(usize, Prediction)| {
-                let weighted_time = |p: &Prediction| p.whole + settings.harm_weight * p.harm;
+                let weighted_time = |p: &Prediction| p.last_token + settings.harm_weight * p.harm;
                 weighted_time(&left.1).total_cmp(&weighted_time(&right.1))
             })
     };
@@ -140,7 +140,7 @@
     let (decode, decode_prediction) = cheapest(Role::Decode, predict_decode)?;
     let prediction = Prediction {
         first_token: prefill_prediction.first_token,
-        whole: prefill_prediction.whole + decode_prediction.whole,
+        last_token: prefill_prediction.last_token + decode_prediction.last_token,
         harm: prefill_prediction.harm + decode_prediction.harm,
     };
     let placement = Placement::Split { prefill, decode };
--- a/crates/routing/src/estimate.rs
+++ b/crates/routing/src/estimate.rs
@@ -116,7 +116,7 @@
 
     /// Returns the expected length of an answer of a class in tokens, at most the `max_tokens` that the request
     /// allows.
-    pub fn expect(&self, class: &C, max_tokens: f64) -> f64 {
+    pub fn expected_tokens(&self, class: &C, max_tokens: f64) -> f64 {
         let mean = self.means.get(class).copied();
         mean.unwrap_or(self.max_unlearned_tokens).min(max_tokens)
     }
--- a/crates/routing/src/prediction.rs
+++ b/crates/routing/src/prediction.rs
@@ -47,15 +47,15 @@
     /// Time until the first token, in seconds.
     pub first_token: f64,
     /// Time until the last token, in seconds.
-    pub whole: f64,
+    pub last_token: f64,
     /// Delay of the requests that are already on the engine, summed over them, in seconds.
     pub harm: f64,
 }
 
 impl Prediction {
     /// Returns the time until the last token as a duration.
-    pub fn whole_duration(&self) -> Duration {
-        Duration::try_from_secs_f64(self.whole).unwrap_or(Duration::MAX)
+    pub fn last_token_duration(&self) -> Duration {
+        Duration::try_from_secs_f64(self.last_token).unwrap_or(Duration::MAX)
     }
 }
 
@@ -98,7 +98,7 @@
         prefill_tokens * rates.prefill_token + request.output_tokens * rates.decode_sequence;
     Prediction {
         first_token,
-        whole: first_token + request.output_tokens * per_token,
+        last_token: first_token + request.output_tokens * per_token,
         harm: added_seconds * engine.decoding
             + prefill_tokens * rates.prefill_token * engine.waiting,
     }
@@ -115,7 +115,7 @@
     let added_seconds = prefill_tokens * rates.prefill_token;
     Prediction {
         first_token: seconds,
-        whole: seconds,
+        last_token: seconds,
         harm: added_seconds * engine.waiting,
     }
 }
@@ -132,7 +132,7 @@
     let first_token = transfer + wait + per_token;
     Prediction {
         first_token,
-        whole: first_token + request.output_tokens * per_token,
+        last_token: first_token + request.output_tokens * per_token,
         harm: request.output_tokens * rates.decode_sequence * engine.decoding,
     }
 }
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -57,13 +57,13 @@
     }
 
     /// Returns the sequence number of the last applied event; the engine is asked for the events after it.
-    pub fn latest(&self) -> u64 {
+    pub fn last_sequence(&self) -> u64 {
         self.last_sequence
     }
 
     /// Applies events of an incarnation, in order. Events that were applied before are ignored. A new
     /// incarnation clears the index, because the engine's cache is lost when the engine restarts.
-    pub fn events(&mut self, incarnation: Incarnation, events: &[BlockEvent]) {
+    pub fn apply_events(&mut self, incarnation: Incarnation, events: &[BlockEvent]) {
         let previous = self.incarnation.replace(incarnation);
         if previous.is_some_and(|previous| previous != incarnation) {
             self.clear();
@@ -76,7 +76,7 @@
 
     /// Records the blocks of a prompt that was sent to the engine, which will hold them once the prompt is
     /// prefilled.
-    pub fn sent(&mut self, blocks: &[u64]) {
+    pub fn record_prompt(&mut self, blocks: &[u64]) {
         // If the prompt does not fit, its end is left out: a cached block is useless without those before it.
         for block in blocks.iter().take(self.max_blocks) {
             self.touch(*block);
@@ -84,7 +84,7 @@
     }
 
     /// Returns how many consecutive blocks at the start of a prompt the engine is assumed to hold.
-    pub fn held_blocks(&self, blocks: &[u64]) -> usize {
+    pub fn cached_prefix_blocks(&self, blocks: &[u64]) -> usize {
         blocks
             .iter()
             .take_while(|block| self.last_touches.contains_key(block))
--- a/crates/routing/src/tracker.rs
+++ b/crates/routing/src/tracker.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadSnapshot {
     /// Time of the snapshot on the node's clock.
-    pub taken: Timestamp,
+    pub taken_at: Timestamp,
     /// Number of sequences being decoded.
     pub decoding: f64,
     /// Number of requests whose prompts are not prefilled yet.
@@ -87,7 +87,7 @@
     }
 
     /// Records a request that this node sent to the engine.
-    pub fn sent(&mut self, now: Timestamp, id: RequestId, prefill_tokens: f64) {
+    pub fn record_sent(&mut self, now: Timestamp, id: RequestId, prefill_tokens: f64) {
         let request = OwnRequest {
             prefill_tokens,
             sent_at: now,
@@ -98,14 +98,14 @@
     }
 
     /// Records the arrival of a request's first token.
-    pub fn first_token(&mut self, now: Timestamp, id: RequestId) {
+    pub fn record_first_token(&mut self, now: Timestamp, id: RequestId) {
         if let Some(request) = self.own_requests.get_mut(&id) {
             request.first_token_at.get_or_insert(now);
         }
     }
 
     /// Records the end of a request, whatever its outcome.
-    pub fn finished(&mut self, now: Timestamp, id: RequestId) {
+    pub fn record_finished(&mut self, now: Timestamp, id: RequestId) {
         if let Some(request) = self.own_requests.get_mut(&id) {
             request.finished_at = Some(now);
         }
@@ -113,13 +113,13 @@
     }
 
     /// Removes a request that did not reach the engine or was refused by it: no report will include it.
-    pub fn refused(&mut self, id: RequestId) {
+    pub fn record_refused(&mut self, id: RequestId) {
         self.own_requests.remove(&id);
     }
 
     /// Returns whether the last report is recent enough to be used.
-    pub fn is_reporting(&self, now: Timestamp) -> bool {
-        self.has_report && now.since(self.report.taken) <= REPORT_TTL
+    pub fn has_recent_report(&self, now: Timestamp) -> bool {
+        self.has_report && now.since(self.report.taken_at) <= REPORT_TTL
     }
 
     /// Removes requests that ended before the snapshot of any report that can still arrive, so that memory does
@@ -136,15 +136,15 @@
 
     /// Records a load report and removes requests that ended before its snapshot was taken. A report older
     /// than the last one is ignored.
-    pub fn report(&mut self, snapshot: LoadSnapshot) {
-        if snapshot.taken < self.report.taken {
+    pub fn record_report(&mut self, snapshot: LoadSnapshot) {
+        if snapshot.taken_at < self.report.taken_at {
             return;
         }
         let accepted = snapshot.accepted_prompt_tokens - self.report.accepted_prompt_tokens;
-        self.prefill_rate.add(snapshot.taken, accepted.max(0.0));
+        self.prefill_rate.add(snapshot.taken_at, accepted.max(0.0));
         self.report = snapshot;
         self.has_report = true;
-        let ended_before_snapshot = |ended: Timestamp| ended <= snapshot.taken;
+        let ended_before_snapshot = |ended: Timestamp| ended <= snapshot.taken_at;
         self.own_requests
             .retain(|_, request| !request.finished_at.is_some_and(ended_before_snapshot));
     }
@@ -164,7 +164,7 @@
 
     /// Returns the estimated load at `now`.
     pub fn estimate(&self, now: Timestamp) -> EngineEstimate {
-        let report = if now.since(self.report.taken) > REPORT_TTL {
+        let report = if now.since(self.report.taken_at) > REPORT_TTL {
             &self.idle
         } else {
             &self.report
@@ -180,7 +180,7 @@
             cached_tokens: 0.0,
         };
         for request in self.own_requests.values() {
-            self.apply_own_request(&mut estimate, report.taken, request);
+            self.apply_own_request(&mut estimate, report.taken_at, request);
         }
         estimate.decoding = estimate.decoding.max(0.0);
         estimate.waiting = estimate.waiting.max(0.0);
@@ -191,13 +191,13 @@
     fn apply_own_request(
         &self,
         estimate: &mut EngineEstimate,
-        taken: Timestamp,
+        taken_at: Timestamp,
         request: &OwnRequest,
     ) {
-        let is_in_report = request.sent_at <= taken;
+        let is_in_report = request.sent_at <= taken_at;
         let is_prefilled_in_report = request
             .first_token_at
-            .is_some_and(|first_token_at| first_token_at <= taken);
+            .is_some_and(|first_token_at| first_token_at <= taken_at);
         let request_weight = self.request_weight;
         if is_in_report {
             remove_request(estimate, request, is_prefilled_in_report, request_weight);
--- a/crates/routing/tests/choice.rs
+++ b/crates/routing/tests/choice.rs
@@ -66,7 +66,7 @@
         matches!(
             chosen,
             Choice::Send {
-                placement: Placement::Whole(1),
+                placement: Placement::Single(1),
                 ..
             }
         ),
@@ -108,10 +108,10 @@
 fn a_report_replaces_requests_sent_before_it_and_keeps_those_sent_after_it() {
     let mut tracker = EngineTracker::new(Role::Mixed, 64.0, 1);
     let at = Timestamp::from_millis;
-    tracker.sent(at(10), RequestId(1), 500.0);
-    tracker.sent(at(100), RequestId(2), 300.0);
-    tracker.report(LoadSnapshot {
-        taken: at(50),
+    tracker.record_sent(at(10), RequestId(1), 500.0);
+    tracker.record_sent(at(100), RequestId(2), 300.0);
+    tracker.record_report(LoadSnapshot {
+        taken_at: at(50),
         decoding: 3.0,
         waiting: 2.0,
         pending_prefill_tokens: 900.0,
@@ -121,11 +121,11 @@
     let estimate = tracker.estimate(at(120));
     assert_eq!(estimate.waiting, 3.0);
     assert_eq!(estimate.pending_prefill_tokens, 1_200.0);
-    tracker.first_token(at(130), RequestId(1));
+    tracker.record_first_token(at(130), RequestId(1));
     let estimate = tracker.estimate(at(140));
     assert_eq!(estimate.decoding, 4.0);
     assert_eq!(estimate.pending_prefill_tokens, 700.0);
-    tracker.finished(at(150), RequestId(1));
+    tracker.record_finished(at(150), RequestId(1));
     assert_eq!(tracker.estimate(at(160)).decoding, 3.0);
     assert_eq!(tracker.in_flight(), 1);
 }
@@ -133,14 +133,14 @@
 #[test]
 fn a_report_older_than_the_last_one_is_ignored() {
     let mut tracker = EngineTracker::new(Role::Mixed, 64.0, 1);
-    let report = |taken, decoding| LoadSnapshot {
-        taken: Timestamp::from_millis(taken),
+    let report = |taken_ms, decoding| LoadSnapshot {
+        taken_at: Timestamp::from_millis(taken_ms),
         decoding,
         free_sequences: 64.0,
         ..LoadSnapshot::default()
     };
-    tracker.report(report(100, 5.0));
-    tracker.report(report(90, 50.0));
+    tracker.record_report(report(100, 5.0));
+    tracker.record_report(report(90, 50.0));
     assert_eq!(tracker.estimate(Timestamp::from_millis(200)).decoding, 5.0);
 }
 
@@ -179,9 +179,9 @@
     ) {
         let chosen = choose_with_defaults(&engines, &request(prompt, output), time_left);
         if let Choice::Send { placement, prediction } = chosen {
-            prop_assert!(prediction.whole.is_finite() && prediction.whole >= 0.0);
+            prop_assert!(prediction.last_token.is_finite() && prediction.last_token >= 0.0);
             match placement {
-                Placement::Whole(engine) => {
+                Placement::Single(engine) => {
                     prop_assert!(engines[engine].accepts_work);
                     prop_assert_eq!(engines[engine].role, Role::Mixed);
                 }
--- a/crates/routing/tests/prefix.rs
+++ b/crates/routing/tests/prefix.rs
@@ -80,7 +80,7 @@
         let mut index = PrefixIndex::new(MAX_BLOCKS);
         let mut model = ReferenceModel::default();
         let mut incarnation = Incarnation(1);
-        index.events(incarnation, &[]);
+        index.apply_events(incarnation, &[]);
         let mut delivered: Vec<BlockEvent> = Vec::new();
         let mut sequence = 0;
         for step in steps {
@@ -94,22 +94,22 @@
                             delivered.push(BlockEvent { sequence, change });
                         }
                     }
-                    index.events(incarnation, &delivered[first..]);
+                    index.apply_events(incarnation, &delivered[first..]);
                 }
                 Step::Sent(blocks) => {
                     blocks.iter().take(MAX_BLOCKS).for_each(|block| model.touch(*block));
-                    index.sent(&blocks);
+                    index.record_prompt(&blocks);
                 }
                 Step::Restart => {
                     incarnation = Incarnation(incarnation.0 + 1);
                     (sequence, delivered, model) = (0, Vec::new(), ReferenceModel::default());
-                    index.events(incarnation, &[]);
+                    index.apply_events(incarnation, &[]);
                 }
             }
             prop_assert_eq!(index.len(), model.held.len());
             for block in 0..10 {
                 let held = usize::from(model.held.contains(&block));
-                prop_assert_eq!(index.held_blocks(&[block]), held);
+                prop_assert_eq!(index.cached_prefix_blocks(&[block]), held);
             }
         }
     }
@@ -118,17 +118,17 @@
 #[test]
 fn only_consecutive_blocks_from_the_start_count() {
     let mut index = PrefixIndex::new(MAX_BLOCKS);
-    index.sent(&[1, 2, 4]);
-    assert_eq!(index.held_blocks(&[1, 2, 3, 4]), 2);
-    assert_eq!(index.held_blocks(&[2, 1]), 2);
-    assert_eq!(index.held_blocks(&[3, 1]), 0);
-    assert_eq!(index.held_blocks(&[]), 0);
+    index.record_prompt(&[1, 2, 4]);
+    assert_eq!(index.cached_prefix_blocks(&[1, 2, 3, 4]), 2);
+    assert_eq!(index.cached_prefix_blocks(&[2, 1]), 2);
+    assert_eq!(index.cached_prefix_blocks(&[3, 1]), 0);
+    assert_eq!(index.cached_prefix_blocks(&[]), 0);
 }
 
 #[test]
 fn blocks_that_were_sent_before_the_first_events_are_kept() {
     let mut index = PrefixIndex::new(MAX_BLOCKS);
-    index.sent(&[1, 2]);
-    index.events(Incarnation(7), &[]);
-    assert_eq!(index.held_blocks(&[1, 2]), 2);
+    index.record_prompt(&[1, 2]);
+    index.apply_events(Incarnation(7), &[]);
+    assert_eq!(index.cached_prefix_blocks(&[1, 2]), 2);
 }
