--- a/crates/forwarding/src/event_stream.rs
+++ b/crates/forwarding/src/event_stream.rs
@@ -31,7 +31,7 @@
     pub fn push(&mut self, bytes: &[u8]) -> Result<CompleteEvents, EventTooLong> {
         let search_start = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
-        let Some(end) = last_boundary(&self.pending, search_start) else {
+        let Some(end) = find_last_boundary(&self.pending, search_start) else {
             return match self.pending.len() > MAX_EVENT_BYTES {
                 true => Err(EventTooLong),
                 false => Ok(CompleteEvents::default()),
@@ -49,7 +49,7 @@
 }
 
 /// Returns the end of the last blank line that ends after `from`.
-fn last_boundary(bytes: &[u8], from: usize) -> Option<usize> {
+fn find_last_boundary(bytes: &[u8], from: usize) -> Option<usize> {
     let is_boundary = |end: &usize| {
         let head = &bytes[..*end];
         head.ends_with(b"\n\n") || head.ends_with(b"\n\r\n")
--- a/crates/forwarding/src/placement/requested.rs
+++ b/crates/forwarding/src/placement/requested.rs
@@ -77,7 +77,7 @@
     ) -> PlacementMessage {
         let entry = self.schedulers.entry(scheduler.to_owned()).or_default();
         entry.open.insert(request.id);
-        self.message(scheduler, Some(request))
+        self.next_message(scheduler, Some(request))
     }
 
     /// Records that the scheduler has answered after `elapsed`.
@@ -131,7 +131,7 @@
             .filter(|(_, scheduler)| !scheduler.notices.is_empty());
         let names: Vec<String> = with_notices.map(|(name, _)| name.clone()).collect();
         let messages = names.into_iter().map(|name| {
-            let message = self.message(&name, None);
+            let message = self.next_message(&name, None);
             (name, message)
         });
         messages.collect()
@@ -159,7 +159,11 @@
             .retain(|name, scheduler| is_known(name) || !scheduler.open.is_empty());
     }
 
-    fn message(&mut self, scheduler: &str, request: Option<PlacementRequest>) -> PlacementMessage {
+    fn next_message(
+        &mut self,
+        scheduler: &str,
+        request: Option<PlacementRequest>,
+    ) -> PlacementMessage {
         self.sequence += 1;
         let entry = self.schedulers.entry(scheduler.to_owned()).or_default();
         PlacementMessage {
--- a/crates/forwarding/src/quarantine/mod.rs
+++ b/crates/forwarding/src/quarantine/mod.rs
@@ -20,7 +20,7 @@
 mod answers;
 mod fingerprint;
 mod outbox;
-mod send_ledger;
+mod send_tracker;
 mod suspect;
 
 use std::collections::{BTreeSet, HashMap};
@@ -32,7 +32,7 @@
 
 pub use fingerprint::{Fingerprint, RequestContent};
 pub use outbox::{Audience, OutgoingUpdate};
-pub use send_ledger::{SendId, SendTracker};
+pub use send_tracker::{SendId, SendTracker};
 
 use answers::RecentAnswers;
 use outbox::{Outbox, Topic, FEW_REPEATS, MANY_REPEATS};
@@ -123,7 +123,7 @@
     ) -> Vec<Fingerprint> {
         let mut barred = Vec::new();
         for fingerprint in requests {
-            let suspect = self.suspect(now, fingerprint);
+            let suspect = self.get_or_insert_suspect(now, fingerprint);
             let is_barred_now = suspect.record_ends(now, [worker]);
             let audience = match suspect.is_barred() {
                 true => Audience::All,
@@ -175,7 +175,7 @@
         applied: &mut AppliedUpdate,
     ) {
         let fingerprint = worker_ends.fingerprint;
-        let suspect = self.suspect(now, fingerprint);
+        let suspect = self.get_or_insert_suspect(now, fingerprint);
         let is_barred_now = suspect.record_ends(now, worker_ends.workers.iter().copied());
         // Each answer clears a request only once: a request that starts to crash workers must not be considered
         // harmless because of an earlier answer.
@@ -183,7 +183,7 @@
             self.clear(now, fingerprint);
             return;
         }
-        let suspect = self.suspect(now, fingerprint);
+        let suspect = self.get_or_insert_suspect(now, fingerprint);
         let is_barred_at_sender = worker_ends.workers.len() >= WORKER_ENDS_TO_BAR;
         if suspect.counted_ends() >= WORKER_ENDS_TO_BAR && !is_barred_at_sender {
             applied
@@ -219,7 +219,7 @@
         }
         let mut barred = Vec::new();
         for fingerprint in listed {
-            let suspect = self.suspect(now, *fingerprint);
+            let suspect = self.get_or_insert_suspect(now, *fingerprint);
             let was_barred = suspect.is_barred();
             suspect.set_listed(true);
             if suspect.is_barred() && !was_barred {
@@ -245,7 +245,7 @@
     /// Returns the messages to send now.
     pub fn take_due_updates(&mut self, now: Timestamp) -> Vec<OutgoingUpdate> {
         let suspects = &self.suspects;
-        self.outbox.due(now, |fingerprint| {
+        self.outbox.take_due(now, |fingerprint| {
             let suspect = suspects.get(&fingerprint)?;
             Some(suspect.worker_ends(fingerprint))
         })
@@ -272,7 +272,7 @@
         }
     }
 
-    fn suspect(&mut self, now: Timestamp, fingerprint: Fingerprint) -> &mut Suspect {
+    fn get_or_insert_suspect(&mut self, now: Timestamp, fingerprint: Fingerprint) -> &mut Suspect {
         let is_new = !self.suspects.contains_key(&fingerprint);
         if is_new && self.suspects.len() >= MAX_SUSPECTS {
             self.evict_suspect();
--- a/crates/forwarding/src/quarantine/outbox.rs
+++ b/crates/forwarding/src/quarantine/outbox.rs
@@ -88,7 +88,7 @@
     }
 
     /// Returns the messages to send now. `worker_ends` returns the worker ends known for a request.
-    pub(super) fn due(
+    pub(super) fn take_due(
         &mut self,
         now: Timestamp,
         worker_ends: impl Fn(Fingerprint) -> Option<WorkerEnds>,
--- a/crates/forwarding/src/quarantine/send_ledger.rs
+++ b/crates/forwarding/src/quarantine/send_tracker.rs
@@ -72,7 +72,7 @@
         open.map(|send| send.fingerprint).collect()
     }
 
-    /// Removes sends that were abandoned more than [`ABANDONED_SEND_TTL`] ago.
+    /// Removes sends that were abandoned more than `ABANDONED_SEND_TTL` ago.
     pub fn expire(&mut self, now: Timestamp) {
         self.workers.retain(|_, sends| {
             sends.retain(|send| send.may_run(now));
--- a/crates/forwarding/src/relay_plan.rs
+++ b/crates/forwarding/src/relay_plan.rs
@@ -121,7 +121,7 @@
         if asks_store && !is_backing_off {
             return Upstream::Store;
         }
-        match self.relay(&ranking) {
+        match self.select_relay(&ranking) {
             Some(relay) => Upstream::Relay(relay.to_owned()),
             None if is_backing_off => Upstream::Unavailable,
             None => Upstream::Store,
@@ -182,7 +182,7 @@
 
     /// Returns the relay to ask. For a relay, this is the first of the other gateways in the ranking. For all other
     /// gateways, it is one of the relays, chosen by hashing.
-    fn relay<'a>(&self, ranking: &Ranking<'a>) -> Option<&'a str> {
+    fn select_relay<'a>(&self, ranking: &Ranking<'a>) -> Option<&'a str> {
         let others = ranking.ranked.iter().filter(|name| **name != self.own);
         let is_relay = ranking.own_rank < ranking.relays;
         let candidate_count = if is_relay { 1 } else { ranking.relays };
--- a/crates/forwarding/src/request/mod.rs
+++ b/crates/forwarding/src/request/mod.rs
@@ -34,7 +34,7 @@
 /// Maximum number of refused sends of a request; one more refuses the request itself.
 const MAX_REFUSED_SENDS: u32 = 2;
 /// Maximum number of sends of a request that reach no worker; one more refuses the request itself.
-const MAX_UNSENT_SENDS: u32 = 8;
+const MAX_UNDELIVERED_SENDS: u32 = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
@@ -54,7 +54,7 @@
     phase: Phase,
     sends: u32,
     refused_sends: u32,
-    unsent_sends: u32,
+    undelivered_sends: u32,
     runs: u32,
     may_have_run: bool,
     error_answer: bool,
@@ -74,7 +74,7 @@
             phase: Phase::New,
             sends: 0,
             refused_sends: 0,
-            unsent_sends: 0,
+            undelivered_sends: 0,
             runs: 0,
             may_have_run: false,
             error_answer: false,
@@ -151,8 +151,8 @@
         match failure {
             PromptReadFailure::NotSent => {
                 self.avoid.extend(reader);
-                self.unsent_sends += 1;
-                match self.unsent_sends > MAX_UNSENT_SENDS {
+                self.undelivered_sends += 1;
+                match self.undelivered_sends > MAX_UNDELIVERED_SENDS {
                     true => self.select_worker(),
                     false => self.select_prompt_reader(),
                 }
@@ -208,7 +208,7 @@
     fn handle_failure(&mut self, failure: SendFailure) -> Action {
         self.avoid.extend(self.current_worker.take());
         match failure {
-            SendFailure::NotSent => return self.handle_unsent(),
+            SendFailure::NotSent => return self.handle_undelivered(),
             SendFailure::NotRun => {
                 self.runs = self.runs.saturating_sub(1);
                 self.refused_sends += 1;
@@ -227,12 +227,12 @@
 
     /// Selects another worker after a send that no worker received. The KV cache of the prompt is
     /// still available, so the next worker gets it.
-    fn handle_unsent(&mut self) -> Action {
+    fn handle_undelivered(&mut self) -> Action {
         self.runs = self.runs.saturating_sub(1);
         self.sends = self.sends.saturating_sub(1);
         self.source = self.current_source.take();
-        self.unsent_sends += 1;
-        match self.unsent_sends > MAX_UNSENT_SENDS {
+        self.undelivered_sends += 1;
+        match self.undelivered_sends > MAX_UNDELIVERED_SENDS {
             true => self.finish(self.failure_conclusion()),
             false => self.select_worker(),
         }
--- a/crates/forwarding/src/retry_share.rs
+++ b/crates/forwarding/src/retry_share.rs
@@ -78,17 +78,17 @@
 
     /// Counts a request for a service.
     pub fn record_request(&mut self, now: Timestamp, service: &ServiceName) {
-        self.share(service).record_request(now);
+        self.share_mut(service).record_request(now);
     }
 
     /// Returns whether one more send to a service is allowed, and counts it if so.
     pub fn try_retry(&mut self, now: Timestamp, service: &ServiceName) -> bool {
-        self.share(service).try_retry(now)
+        self.share_mut(service).try_retry(now)
     }
 
     /// Returns the number of retries to a service that are still allowed in the current window.
     pub fn remaining(&mut self, now: Timestamp, service: &ServiceName) -> f64 {
-        self.share(service).remaining(now)
+        self.share_mut(service).remaining(now)
     }
 
     /// Returns the number of retries that are still allowed, for each service.
@@ -99,7 +99,7 @@
             .collect()
     }
 
-    fn share(&mut self, service: &ServiceName) -> &mut RetryShare {
+    fn share_mut(&mut self, service: &ServiceName) -> &mut RetryShare {
         let (settings, gateways) = (self.settings, self.gateways);
         self.services
             .entry(service.clone())
@@ -139,21 +139,21 @@
 
     /// Counts a request.
     pub fn record_request(&mut self, now: Timestamp) {
-        self.bucket(now).requests += 1;
+        self.current_bucket(now).requests += 1;
     }
 
     /// Returns whether one more send is allowed, and counts it if so.
     pub fn try_retry(&mut self, now: Timestamp) -> bool {
         let allowed = self.remaining(now) >= 1.0;
         if allowed {
-            self.bucket(now).retries += 1;
+            self.current_bucket(now).retries += 1;
         }
         allowed
     }
 
     /// Returns the number of retries that are still allowed in the current window.
     pub fn remaining(&mut self, now: Timestamp) -> f64 {
-        self.bucket(now);
+        self.current_bucket(now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let from_requests = self.settings.ratio * USED_RATIO_FRACTION * f64::from(requests);
@@ -162,7 +162,7 @@
         from_requests + from_fleet_extra - f64::from(retries)
     }
 
-    fn bucket(&mut self, now: Timestamp) -> &mut Bucket {
+    fn current_bucket(&mut self, now: Timestamp) -> &mut Bucket {
         let width = self.settings.window / BUCKETS_PER_WINDOW;
         let expired = |bucket: &Bucket| now.since(bucket.start) > self.settings.window + width;
         while self.buckets.front().is_some_and(expired) {
--- a/crates/forwarding/src/scheduler_plan.rs
+++ b/crates/forwarding/src/scheduler_plan.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    fn scheduling(&self) -> &[String] {
+    fn scheduler_names(&self) -> &[String] {
         &self.names[..self.schedulers]
     }
 
@@ -116,7 +116,7 @@
 
     /// Returns the names of all schedulers.
     pub fn scheduler_names(&self) -> impl Iterator<Item = &str> {
-        let schedulers = self.zones.values().flat_map(ZoneRanking::scheduling);
+        let schedulers = self.zones.values().flat_map(ZoneRanking::scheduler_names);
         schedulers.map(String::as_str)
     }
 
--- a/crates/forwarding/tests/placements.rs
+++ b/crates/forwarding/tests/placements.rs
@@ -80,8 +80,8 @@
 /// A scheduler and one gateway that requests placements from it.
 struct SchedulerAndGateway {
     directory: Directory,
-    ledger: GrantedPlacements,
-    book: RequestedPlacements,
+    granted: GrantedPlacements,
+    requested: RequestedPlacements,
 }
 
 fn ended(id: PlacementId, result: SendResult) -> PlacementNotice {
@@ -97,37 +97,37 @@
     fn new() -> Self {
         Self {
             directory: directory(1, 4, 1),
-            ledger: GrantedPlacements::default(),
-            book: RequestedPlacements::new(GatewayKey(2)),
+            granted: GrantedPlacements::default(),
+            requested: RequestedPlacements::new(GatewayKey(2)),
         }
     }
 
     fn request_message(&mut self) -> PlacementMessage {
-        let id = self.book.next_id();
-        self.book
+        let id = self.requested.next_id();
+        self.requested
             .request_message(SCHEDULER, request(id, PlacementNeed::Admission))
     }
 
-    fn take(&mut self, now: Timestamp, message: PlacementMessage) -> Option<PlacementAnswer> {
-        self.ledger
+    fn deliver(&mut self, now: Timestamp, message: PlacementMessage) -> Option<PlacementAnswer> {
+        self.granted
             .handle_message(now, &mut self.directory, &zone(0), message)
     }
 
     fn place(&mut self) -> PlacementId {
         let message = self.request_message();
-        match self.take(NOW, message) {
+        match self.deliver(NOW, message) {
             Some(PlacementAnswer::Placed(placement)) => placement.id,
             other => panic!("the request was not placed: {other:?}"),
         }
     }
 
     fn end(&mut self, id: PlacementId, result: SendResult) {
-        self.book.queue_notice(SCHEDULER, ended(id, result));
+        self.requested.queue_notice(SCHEDULER, ended(id, result));
     }
 
     fn deliver_notices(&mut self) {
-        for (_, message) in self.book.take_notice_messages() {
-            assert_eq!(self.take(NOW, message), None);
+        for (_, message) in self.requested.take_notice_messages() {
+            assert_eq!(self.deliver(NOW, message), None);
         }
     }
 }
@@ -139,7 +139,7 @@
     assert_eq!(sends(&fleet.directory), 1);
     let latency = LATENCY;
     fleet
-        .book
+        .requested
         .queue_notice(SCHEDULER, PlacementNotice::PromptRead { id, latency });
     fleet.end(id, SendResult::Answered { latency });
     fleet.deliver_notices();
@@ -151,7 +151,7 @@
     let mut fleet = SchedulerAndGateway::new();
     let first = fleet.place();
     fleet.end(first, SendResult::Answered { latency: LATENCY });
-    let lost_messages = fleet.book.take_notice_messages();
+    let lost_messages = fleet.requested.take_notice_messages();
     assert_eq!(lost_messages.len(), 1);
     assert_eq!(sends(&fleet.directory), 1);
     fleet.place();
@@ -163,7 +163,7 @@
     let mut fleet = SchedulerAndGateway::new();
     let delayed = fleet.request_message();
     fleet.place();
-    assert!(fleet.take(NOW, delayed).is_some());
+    assert!(fleet.deliver(NOW, delayed).is_some());
     assert_eq!(sends(&fleet.directory), 2);
 }
 
@@ -172,30 +172,30 @@
     let mut fleet = SchedulerAndGateway::new();
     fleet.place();
     let before = NOW + TIME_LEFT;
-    fleet.ledger.expire(before, &mut fleet.directory);
+    fleet.granted.expire(before, &mut fleet.directory);
     assert_eq!(sends(&fleet.directory), 1);
     let after = before + Duration::from_secs(2);
-    fleet.ledger.expire(after, &mut fleet.directory);
+    fleet.granted.expire(after, &mut fleet.directory);
     assert_eq!(sends(&fleet.directory), 0);
-    assert!(fleet.ledger.has_requesting_gateways());
+    assert!(fleet.granted.has_requesting_gateways());
     fleet
-        .ledger
+        .granted
         .expire(after + Duration::from_secs(60), &mut fleet.directory);
-    assert!(!fleet.ledger.has_requesting_gateways());
+    assert!(!fleet.granted.has_requesting_gateways());
 }
 
 #[test]
 fn an_absent_worker_is_skipped_for_all_gateways() {
     let mut fleet = SchedulerAndGateway::new();
     let message = fleet.request_message();
-    let Some(PlacementAnswer::Placed(first)) = fleet.take(NOW, message) else {
+    let Some(PlacementAnswer::Placed(first)) = fleet.deliver(NOW, message) else {
         panic!("the request was not placed");
     };
     fleet.end(first.id, SendResult::Absent);
     fleet.deliver_notices();
     for _ in 0..8 {
         let message = fleet.request_message();
-        let Some(PlacementAnswer::Placed(next)) = fleet.take(NOW, message) else {
+        let Some(PlacementAnswer::Placed(next)) = fleet.deliver(NOW, message) else {
             panic!("the request was not placed");
         };
         assert_ne!(next.worker, first.worker);
@@ -207,7 +207,7 @@
     let mut fleet = SchedulerAndGateway::new();
     fleet.directory = directory(1, 0, 1);
     let message = fleet.request_message();
-    assert_eq!(fleet.take(NOW, message), Some(PlacementAnswer::NoWorker));
+    assert_eq!(fleet.deliver(NOW, message), Some(PlacementAnswer::NoWorker));
     assert_eq!(sends(&fleet.directory), 0);
 }
 
@@ -217,8 +217,8 @@
 #[test]
 fn placement_ids_of_two_incarnations_of_a_gateway_do_not_overlap() {
     let first_ids = |incarnation: u64| {
-        let mut book = RequestedPlacements::new(GatewayKey::of("g-1", incarnation));
-        std::iter::repeat_with(move || book.next_id()).take(MAX_RECENT_REQUESTS)
+        let mut requested = RequestedPlacements::new(GatewayKey::of("g-1", incarnation));
+        std::iter::repeat_with(move || requested.next_id()).take(MAX_RECENT_REQUESTS)
     };
     let earlier: BTreeSet<PlacementId> = first_ids(0x5eed_0001_77aa_90c3).collect();
     assert_eq!(earlier.len(), MAX_RECENT_REQUESTS);
@@ -230,14 +230,14 @@
 fn a_worker_that_was_tried_is_not_selected_again() {
     let mut fleet = SchedulerAndGateway::new();
     let avoid: Vec<WorkerId> = (0..3).map(|number| engine(number, 1).id).collect();
-    let id = fleet.book.next_id();
+    let id = fleet.requested.next_id();
     let need = PlacementNeed::Worker { need: Need::Run };
     let request = PlacementRequest {
         avoid,
         ..request(id, need)
     };
-    let message = fleet.book.request_message(SCHEDULER, request);
-    let Some(PlacementAnswer::Placed(placement)) = fleet.take(NOW, message) else {
+    let message = fleet.requested.request_message(SCHEDULER, request);
+    let Some(PlacementAnswer::Placed(placement)) = fleet.deliver(NOW, message) else {
         panic!("the request was not placed");
     };
     assert_eq!(placement.worker, engine(3, 1).id);
@@ -246,19 +246,19 @@
 #[test]
 fn an_unresponsive_scheduler_is_skipped_for_a_while() {
     let mut fleet = SchedulerAndGateway::new();
-    let timeout = fleet.book.answer_timeout(SCHEDULER);
+    let timeout = fleet.requested.answer_timeout(SCHEDULER);
     let id = fleet.place();
     fleet
-        .book
+        .requested
         .record_answer(SCHEDULER, Duration::from_millis(1));
-    assert!(fleet.book.answer_timeout(SCHEDULER) < timeout);
-    assert!(fleet.book.is_usable(NOW, SCHEDULER));
-    fleet.book.record_timeout(NOW, SCHEDULER, id);
-    assert!(!fleet.book.is_usable(NOW, SCHEDULER));
+    assert!(fleet.requested.answer_timeout(SCHEDULER) < timeout);
+    assert!(fleet.requested.is_usable(NOW, SCHEDULER));
+    fleet.requested.record_timeout(NOW, SCHEDULER, id);
+    assert!(!fleet.requested.is_usable(NOW, SCHEDULER));
     assert!(fleet
-        .book
+        .requested
         .is_usable(NOW + Duration::from_secs(5), SCHEDULER));
-    assert_eq!(fleet.book.answer_timeout(SCHEDULER), timeout);
+    assert_eq!(fleet.requested.answer_timeout(SCHEDULER), timeout);
 }
 
 const LARGE_FLEET: usize = 1_000;
@@ -332,7 +332,7 @@
             .plan
             .scheduler_of(&gateway.name, &gateway.zone, |_| true);
         let name = name.expect("a scheduler").to_owned();
-        let (directory, ledger) = self.schedulers.get_mut(&name).expect("a scheduler");
+        let (directory, granted) = self.schedulers.get_mut(&name).expect("a scheduler");
         let id = PlacementId(number as u64 + 1);
         let sender = GatewayKey(number as u64 + 1_000_000);
         let need = PlacementNeed::Worker { need: Need::Run };
@@ -343,7 +343,7 @@
             notices: Vec::new(),
             request: Some(request(id, need)),
         };
-        let answer = ledger.handle_message(now, directory, &gateway.zone, message);
+        let answer = granted.handle_message(now, directory, &gateway.zone, message);
         let Some(PlacementAnswer::Placed(placement)) = answer else {
             panic!("the request was not placed: {answer:?}");
         };
@@ -359,7 +359,7 @@
         let Some(oldest) = self.open.pop_front() else {
             return;
         };
-        let (directory, ledger) = self
+        let (directory, granted) = self
             .schedulers
             .get_mut(&oldest.scheduler)
             .expect("a scheduler");
@@ -371,7 +371,7 @@
             notices: vec![ended(oldest.id, result)],
             request: None,
         };
-        ledger.handle_message(now, directory, &zone(0), message);
+        granted.handle_message(now, directory, &zone(0), message);
     }
 
     fn exchange_reports(&mut self, now: Timestamp) {
--- a/crates/forwarding/tests/quarantine.rs
+++ b/crates/forwarding/tests/quarantine.rs
@@ -61,23 +61,23 @@
 
 #[test]
 fn requests_that_an_ended_worker_may_have_been_running_are_returned() {
-    let mut ledger = SendTracker::default();
+    let mut tracker = SendTracker::default();
     let worker = WorkerId::from("w");
     let [answered, broken, running, abandoned_long_ago] = [1, 2, 3, 4].map(Fingerprint);
     let sends = [answered, broken, running, abandoned_long_ago];
-    let numbers = sends.map(|fingerprint| ledger.begin(&worker, fingerprint));
-    ledger.begin(&worker, running);
-    ledger.abandon(at(0), &worker, numbers[3]);
-    ledger.finish(&worker, numbers[0]);
-    ledger.abandon(at(9_000), &worker, numbers[1]);
+    let numbers = sends.map(|fingerprint| tracker.begin(&worker, fingerprint));
+    tracker.begin(&worker, running);
+    tracker.abandon(at(0), &worker, numbers[3]);
+    tracker.finish(&worker, numbers[0]);
+    tracker.abandon(at(9_000), &worker, numbers[1]);
     assert_eq!(
-        ledger.remove_ended_worker(at(9_100), &WorkerId::from("another")),
+        tracker.remove_ended_worker(at(9_100), &WorkerId::from("another")),
         NO_REQUESTS
     );
-    let may_have_run = ledger.remove_ended_worker(at(9_100), &worker);
+    let may_have_run = tracker.remove_ended_worker(at(9_100), &worker);
     assert_eq!(may_have_run, BTreeSet::from([broken, running]));
     assert_eq!(
-        ledger.remove_ended_worker(at(9_100), &worker),
+        tracker.remove_ended_worker(at(9_100), &worker),
         NO_REQUESTS,
         "the worker was removed already"
     );
@@ -85,12 +85,12 @@
 
 #[test]
 fn abandoned_sends_expire_and_running_ones_do_not() {
-    let mut ledger = SendTracker::default();
+    let mut tracker = SendTracker::default();
     let worker = WorkerId::from("w");
-    let lost = ledger.begin(&worker, Fingerprint(1));
-    ledger.begin(&worker, Fingerprint(2));
-    ledger.abandon(at(0), &worker, lost);
-    ledger.expire(at(60_000));
-    let may_have_run = ledger.remove_ended_worker(at(60_000), &worker);
+    let lost = tracker.begin(&worker, Fingerprint(1));
+    tracker.begin(&worker, Fingerprint(2));
+    tracker.abandon(at(0), &worker, lost);
+    tracker.expire(at(60_000));
+    let may_have_run = tracker.remove_ended_worker(at(60_000), &worker);
     assert_eq!(may_have_run, BTreeSet::from([Fingerprint(2)]));
 }
--- a/crates/forwarding/tests/tenant_placements.rs
+++ b/crates/forwarding/tests/tenant_placements.rs
@@ -36,7 +36,7 @@
 struct Fleet {
     now: Timestamp,
     directory: Directory,
-    ledger: GrantedPlacements,
+    granted: GrantedPlacements,
     gateways: [RequestedPlacements; 2],
 }
 
@@ -54,7 +54,7 @@
         Self {
             now: START,
             directory,
-            ledger: GrantedPlacements::default(),
+            granted: GrantedPlacements::default(),
             gateways: [2, 3].map(|key| RequestedPlacements::new(GatewayKey(key))),
         }
     }
@@ -62,12 +62,12 @@
     /// Lets a gateway request a placement for a request of a tenant.
     fn request_placement(&mut self, gateway: usize, tenant: Option<TenantKey>) -> PlacementAnswer {
         self.now = self.now + REQUEST_INTERVAL;
-        let book = &mut self.gateways[gateway];
-        let request = request(gateway, book.next_id(), tenant);
-        let message = book.request_message(SCHEDULER, request);
+        let requested = &mut self.gateways[gateway];
+        let request = request(gateway, requested.next_id(), tenant);
+        let message = requested.request_message(SCHEDULER, request);
         let zone = ZoneName::new("z");
         let answer = self
-            .ledger
+            .granted
             .handle_message(self.now, &mut self.directory, &zone, message);
         answer.expect("an answer")
     }
@@ -85,17 +85,17 @@
 
     fn end(&mut self, gateway: usize, id: PlacementId) {
         let result = SendResult::Abandoned { silent: false };
-        let book = &mut self.gateways[gateway];
+        let requested = &mut self.gateways[gateway];
         let ended = PlacementNotice::Ended {
             id,
             result,
             worker_notice: WorkerNotice::default(),
             rate_limit: None,
         };
-        book.queue_notice(SCHEDULER, ended);
+        requested.queue_notice(SCHEDULER, ended);
         let zone = ZoneName::new("z");
-        for (_, message) in book.take_notice_messages() {
-            self.ledger
+        for (_, message) in requested.take_notice_messages() {
+            self.granted
                 .handle_message(self.now, &mut self.directory, &zone, message);
         }
     }
