--- a/crates/gateway/src/placement/codec.rs
+++ b/crates/gateway/src/placement/codec.rs
@@ -7,7 +7,7 @@
 use tansyhall_forwarding::{
     GatewayKey, Need, Objectives, Placement, PlacementAnswer, PlacementId, PlacementMessage,
     PlacementNeed, PlacementNotice, PlacementRequest, PromptPart, RefusalCause, SendResult,
-    StatedLimit, TenantKey, WorkerId, WorkerNotice, MAX_REST,
+    StatedLimit, TenantKey, WorkerId, WorkerNotice, MAX_BACKOFF,
 };
 
 use crate::load_messages::StatedLimitMessage;
@@ -78,7 +78,7 @@
             PlacementNotice::Ended {
                 id,
                 result,
-                said,
+                worker_notice,
                 rate_limit,
             } => Self {
                 id: id.0,
@@ -87,8 +87,8 @@
                     SendResult::Answered { latency } => micros(latency),
                     _ => 0,
                 },
-                worker_leaves: said.leaves,
-                rest_micros: said.rest.map_or(0, micros),
+                worker_leaves: worker_notice.is_leaving,
+                rest_micros: worker_notice.backoff.map_or(0, micros),
                 rate_limit: rate_limit.map(StatedLimitMessage::from),
             },
         }
@@ -112,16 +112,16 @@
             NoticeKind::AbandonedSilent => SendResult::Abandoned { silent: true },
             NoticeKind::Abandoned => SendResult::Abandoned { silent: false },
         };
-        let rest = Duration::from_micros(message.rest_micros).min(MAX_REST);
-        let said = WorkerNotice {
-            leaves: message.worker_leaves,
-            rest: (!rest.is_zero()).then_some(rest),
+        let rest = Duration::from_micros(message.rest_micros).min(MAX_BACKOFF);
+        let worker_notice = WorkerNotice {
+            is_leaving: message.worker_leaves,
+            backoff: (!rest.is_zero()).then_some(rest),
             rate_limit: None,
         };
         Ok(PlacementNotice::Ended {
             id,
             result,
-            said,
+            worker_notice,
             rate_limit: message.rate_limit.as_ref().map(StatedLimit::from),
         })
     }
@@ -141,7 +141,7 @@
             id: part.id.clone(),
             tokens: part.tokens,
         };
-        let life = |worker: &WorkerId| worker.life().to_owned();
+        let life = |worker: &WorkerId| worker.qualified_name().to_owned();
         Self {
             id: request.id.0,
             service: request.service.as_str().to_owned(),
@@ -251,12 +251,12 @@
     fn from(placement: &Placement) -> Self {
         let fetch_from = placement.fetch_from.map(|address| address.to_string());
         Self {
-            worker: placement.worker.life().to_owned(),
+            worker: placement.worker.qualified_name().to_owned(),
             read_apart: placement.read_apart,
             fetch_from: fetch_from.unwrap_or_default(),
             reading_tokens: placement.reading_tokens,
             short_reading: placement.short_reading,
-            expected_micros: micros(placement.expected),
+            expected_micros: micros(placement.expected_latency),
             has_rate_token: placement.has_rate_token,
             rate_limit: placement.rate_limit.map(StatedLimitMessage::from),
         }
@@ -276,7 +276,7 @@
             fetch_from,
             reading_tokens: self.reading_tokens,
             short_reading: self.short_reading,
-            expected: Duration::from_micros(self.expected_micros),
+            expected_latency: Duration::from_micros(self.expected_micros),
             has_rate_token: self.has_rate_token,
             rate_limit: self.rate_limit.as_ref().map(StatedLimit::from),
         })
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -21,7 +21,7 @@
 use tansyhall_forwarding::relay_plan::GATEWAYS_PER_RELAY;
 use tansyhall_forwarding::{Service, Worker, WorkerKind, WorkerScaling, WorkerState};
 use tansyhall_planner::{
-    affordable_workers, balance_workers, ChangeAllowance, WorkerLimits, WorkersWanted, ZoneGoal,
+    affordable_workers, balance_workers, ChangeAllowance, WorkerLimits, WorkerTargets, ZoneGoal,
     ZoneWorkers,
 };
 use tansyhall_store::{Compare, KeyValueStore, Operation, Revision, Transaction};
@@ -128,10 +128,10 @@
             .directory
             .lock()
             .engine_demand(now, &service.name);
-        let streams = demand.places / f64::from(engine.slots.max(1));
+        let streams = demand.decode_slots / f64::from(engine.slots.max(1));
         let least = f64::from(planned) * NEEDED_PART;
         let asked = self.asked.entry(service.name.clone()).or_default();
-        let busy = demand.readers + demand.decoders + streams;
+        let busy = demand.prefill_engines + demand.decode_engines + streams;
         asked.needed(now, busy, least)
     }
 
@@ -185,11 +185,11 @@
         let workers = self.workers(&service.name);
         let zones = self.zones(&service.name, scaling, &workers);
         let limits = WorkerLimits {
-            least: scaling.least,
-            most: scaling.most,
+            min_workers: scaling.min_workers,
+            max_workers: scaling.max_workers,
             spot_price: scaling.spot_price,
         };
-        let wanted = WorkersWanted {
+        let wanted = WorkerTargets {
             planned,
             wanted: affordable_workers(planned, zones.len(), &limits),
             needed: self.needed(service, planned),
@@ -202,7 +202,9 @@
                     WorkerKind::Spot => zone.spot,
                 };
                 let now = self.shared.now();
-                if order.desired == serving || !self.history.is_due(now, &order, scaling.start) {
+                if order.desired == serving
+                    || !self.history.is_due(now, &order, scaling.startup_time)
+                {
                     continue;
                 }
                 if let Some(order) = self.within_allowance(order, serving) {
@@ -218,9 +220,11 @@
     /// yet were taken of the allowance before.
     fn within_allowance(&mut self, order: WorkerOrder, serving: u32) -> Option<WorkerOrder> {
         let gateways = self.shared.gateways.load(Ordering::Relaxed);
-        let zones = self.shared.fleet.read().plan.zones().max(1);
+        let zones = self.shared.fleet.read().plan.zone_count().max(1);
         let subscribers = subscribers_of_a_relay(gateways, zones);
-        let allowed = self.allowance.workers(self.shared.now(), subscribers);
+        let allowed = self
+            .allowance
+            .affordable_changes(self.shared.now(), subscribers);
         let ordered = self.history.ordered(&order);
         let expected = ordered.map_or(serving, |ordered| ordered.max(serving));
         let desired = match order.desired > serving {
@@ -231,7 +235,7 @@
             true => desired.saturating_sub(expected),
             false => serving - desired,
         };
-        self.allowance.take(changes, subscribers);
+        self.allowance.spend(changes, subscribers);
         (desired != serving).then_some(WorkerOrder { desired, ..order })
     }
 
@@ -243,7 +247,7 @@
         service: &ServiceName,
         zones: &[ZoneWorkers],
         limits: &WorkerLimits,
-        wanted: WorkersWanted,
+        wanted: WorkerTargets,
     ) {
         let now = self.shared.now();
         let mut all_have_spot = zones.to_vec();
