--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets: a whole answer, a stream of parts, or the gateway's own word.
+//! The answer to a caller: a complete answer, a stream of parts, or an answer of the gateway itself.
 
 use std::time::Duration;
 
@@ -8,98 +8,98 @@
 
 use crate::headers::HeaderList;
 
-/// Parts of a streamed answer that wait for a slow caller.
-const WAITING_PARTS: usize = 8;
+/// Maximum number of parts of a streamed answer that are queued for a slow caller.
+const MAX_QUEUED_PARTS: usize = 8;
 
-/// The answer was cut off; the caller's connection must break.
+/// The answer was truncated. The caller's connection must be closed without a regular end of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the answer broke off")]
-pub struct BrokenOff;
+#[error("answer was truncated")]
+pub struct AnswerTruncated;
 
-/// A part of a streamed answer. An answer is whole only if its end was said: a task that vanishes
-/// breaks the answer off.
+/// A part of a streamed answer. An answer is complete only if [`Part::End`] was sent: if the sending task
+/// disappears before that, the answer is truncated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Part {
-    /// The next bytes.
+    /// The next bytes of the body.
     Bytes(Bytes),
-    /// The end of a whole answer.
+    /// The end of a complete answer.
     End,
 }
 
-/// An answer's status and headers.
+/// Status and headers of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// Headers without those of one connection.
+    /// The headers, without those that apply to a single connection.
     pub headers: HeaderList,
 }
 
-/// What the caller gets.
+/// The answer that the caller receives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// A worker's whole answer.
+    /// A complete answer of a worker.
     Whole(AnswerHead, Bytes),
-    /// A worker's answer whose parts follow.
+    /// The head of a worker's answer whose body follows in parts.
     Streamed(AnswerHead),
-    /// The gateway's own answer.
+    /// An answer of the gateway itself.
     Own(OwnAnswer),
 }
 
-/// The gateway's own answers.
+/// Answers of the gateway itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OwnAnswer {
-    /// The request did not run and will not; worth another try after this time.
+    /// The request did not run and will not run. The caller may retry it.
     NotRun {
-        /// When to come back.
+        /// The time after which the caller should retry.
         retry_after: Duration,
     },
-    /// The request may have run; its answer is lost.
+    /// The request may have run, but its answer is lost.
     Lost,
-    /// The time is over; the request may have run.
+    /// The deadline has passed. The request may have run.
     TimedOut,
-    /// Workers end under the request: it will not be sent again, and another try is of no use.
+    /// The request crashes workers. It will not be sent again, and a retry is useless.
     Barred,
 }
 
-/// The writing end of an answer.
+/// The sending end of an answer.
 #[derive(Debug)]
 pub struct AnswerSink {
     head: Option<oneshot::Sender<Answer>>,
     parts: mpsc::Sender<Part>,
 }
 
-/// The reading end of an answer; dropping it means that the caller has left.
+/// The receiving end of an answer. It is dropped when the caller has disconnected.
 #[derive(Debug)]
 pub struct AnswerSource {
-    /// Arrives once.
+    /// Receives exactly one message.
     head: oneshot::Receiver<Answer>,
     parts: mpsc::Receiver<Part>,
 }
 
 impl AnswerSource {
-    /// Waits for the answer, or its head; none if the request's task is gone.
+    /// Waits for the answer, or its head if it is streamed. Returns `None` if the request's task has ended without one.
     pub async fn head(&mut self) -> Option<Answer> {
         (&mut self.head).await.ok()
     }
 
-    /// The parts of a streamed answer; an error where it breaks off.
-    pub fn into_parts(self) -> impl Stream<Item = Result<Bytes, BrokenOff>> {
+    /// Returns the body of a streamed answer. The stream yields an error if the answer is truncated.
+    pub fn into_parts(self) -> impl Stream<Item = Result<Bytes, AnswerTruncated>> {
         stream::unfold(Some(self.parts), |parts| async move {
             let mut parts = parts?;
             match parts.recv().await {
                 Some(Part::Bytes(bytes)) => Some((Ok(bytes), Some(parts))),
                 Some(Part::End) => None,
-                None => Some((Err(BrokenOff), None)),
+                None => Some((Err(AnswerTruncated), None)),
             }
         })
     }
 }
 
-/// An answer's two ends.
+/// Creates the two ends of an answer.
 pub fn channel() -> (AnswerSink, AnswerSource) {
     let (head_sender, head) = oneshot::channel();
-    let (parts_sender, parts) = mpsc::channel(WAITING_PARTS);
+    let (parts_sender, parts) = mpsc::channel(MAX_QUEUED_PARTS);
     let sink = AnswerSink {
         head: Some(head_sender),
         parts: parts_sender,
@@ -108,29 +108,29 @@
 }
 
 impl AnswerSink {
-    /// Sends the answer, or its head.
+    /// Sends the answer, or its head if it is streamed. Only the first call has an effect.
     pub fn begin(&mut self, answer: Answer) {
         if let Some(head) = self.head.take() {
             let _ = head.send(answer);
         }
     }
 
-    /// Whether the answer has begun.
+    /// Returns whether the answer, or its head, has been sent.
     pub fn has_begun(&self) -> bool {
         self.head.is_none()
     }
 
-    /// Sends a part; waits while the caller is slow. False if the caller has left.
+    /// Sends a part; waits while the queue of a slow caller is full. Returns false if the caller has disconnected.
     pub async fn part(&self, bytes: Bytes) -> bool {
         self.parts.send(Part::Bytes(bytes)).await.is_ok()
     }
 
-    /// Says that a streamed answer is whole.
+    /// Marks the end of a streamed answer, which is complete.
     pub async fn end(&self) {
         let _ = self.parts.send(Part::End).await;
     }
 
-    /// A handle that resolves when the caller has left.
+    /// Returns a handle whose `closed()` resolves when the caller has disconnected.
     pub fn watch_caller(&self) -> mpsc::Sender<Part> {
         self.parts.clone()
     }
--- a/crates/gateway/src/answer_body.rs
+++ b/crates/gateway/src/answer_body.rs
@@ -1,4 +1,4 @@
-//! The body of a worker's answer, as it comes on its connection.
+//! The body of a worker's answer, as it arrives on its connection.
 
 use std::sync::Arc;
 
@@ -16,31 +16,32 @@
 #[derive(Debug)]
 pub struct AnswerBody {
     incoming: Incoming,
-    returning: Option<Returning>,
+    borrowed: Option<BorrowedConnection>,
     tells_its_end: bool,
-    /// None for a request without an id.
+    /// `None` for a request without an id.
     search: Option<SecondAnswerSearch>,
 }
 
-/// A connection on its way back; it counts as open until its answer is read, also where it is not kept.
+/// The connection on which an answer arrives. It counts as open until the answer has been read, even if it is not
+/// reused afterwards.
 #[derive(Debug)]
-pub struct Returning {
-    /// Where it goes back to.
+pub struct BorrowedConnection {
+    /// The connections that it is returned to.
     pub connections: Arc<Connections>,
-    /// Its worker.
+    /// The worker that it leads to.
     pub destination: Destination,
     /// The connection.
     pub connection: Connection,
-    /// Whether it is used again.
-    pub is_kept: bool,
+    /// Whether it is reused after the answer.
+    pub is_reusable: bool,
 }
 
 impl AnswerBody {
-    /// A body that is still to come on a connection. `search` looks for a second answer in it.
+    /// Creates the body of an answer that is still to be read from a connection. `search` looks for a second answer in it.
     pub fn new(
         incoming: Incoming,
         headers: &HeaderList,
-        returning: Returning,
+        borrowed: BorrowedConnection,
         search: Option<SecondAnswerSearch>,
     ) -> Self {
         let framing = ["content-length", "transfer-encoding"];
@@ -48,95 +49,95 @@
         Self {
             tells_its_end: has_framing || incoming.is_end_stream(),
             incoming,
-            returning: Some(returning),
+            borrowed: Some(borrowed),
             search,
         }
     }
 
-    /// Whether its end is told, and not that of its connection: otherwise a body that a worker's end cut off
-    /// looks whole.
+    /// Returns whether the end of the body is marked by its length or by chunked encoding, not by the end of the
+    /// connection. Otherwise a body that was cut off by the end of the worker's process looks complete.
     pub fn tells_its_end(&self) -> bool {
         self.tells_its_end
     }
 
-    /// The next bytes; none after the last. An error means that the body is not whole.
+    /// Returns the next bytes, or `None` after the last. An error means that the body is incomplete.
     pub async fn next(&mut self) -> Result<Option<Bytes>, SendError> {
         loop {
             match self.incoming.frame().await {
-                None => return self.end(),
+                None => return self.handle_end(),
                 Some(Ok(frame)) => match frame.into_data() {
-                    Ok(bytes) if !bytes.is_empty() => return self.checked(bytes).map(Some),
+                    Ok(bytes) if !bytes.is_empty() => return self.check_bytes(bytes).map(Some),
                     _ => continue,
                 },
                 Some(Err(error)) => {
-                    self.tell(Loss::Broken);
+                    self.report_loss(Loss::Broken);
                     return Err(SendError::NoAnswer(error.to_string()));
                 }
             }
         }
     }
 
-    /// The whole body, if it is whole and not longer than `most`.
-    pub async fn read_whole(&mut self, most: usize) -> Option<Bytes> {
-        let mut whole = BytesMut::new();
+    /// Reads the whole body. Returns `None` if it is incomplete or longer than `max_bytes`.
+    pub async fn read_whole(&mut self, max_bytes: usize) -> Option<Bytes> {
+        let mut body = BytesMut::new();
         while let Some(bytes) = self.next().await.ok()? {
-            if whole.len() + bytes.len() > most {
+            if body.len() + bytes.len() > max_bytes {
                 return None;
             }
-            whole.extend_from_slice(&bytes);
+            body.extend_from_slice(&bytes);
         }
-        Some(whole.freeze())
+        Some(body.freeze())
     }
 
-    /// The end of the body, unless it ends inside a second answer's head.
-    fn end(&mut self) -> Result<Option<Bytes>, SendError> {
+    /// Handles the end of the body. Returns an error if the body ends inside the head of a second answer.
+    fn handle_end(&mut self) -> Result<Option<Bytes>, SendError> {
         if self
             .search
             .take()
             .is_some_and(|search| search.ends_in_head())
         {
-            self.returning = None;
-            return Err(second_answer());
+            self.borrowed = None;
+            return Err(second_answer_error());
         }
         match self.tells_its_end {
-            true => self.give_back(),
-            false => self.tell(Loss::Broken),
+            true => self.return_connection(),
+            false => self.report_loss(Loss::Broken),
         }
         Ok(None)
     }
 
-    /// The same bytes, unless a second answer has begun in them.
-    fn checked(&mut self, bytes: Bytes) -> Result<Bytes, SendError> {
+    /// Returns the bytes unchanged, or an error if a second answer begins in them.
+    fn check_bytes(&mut self, bytes: Bytes) -> Result<Bytes, SendError> {
         let search = self.search.as_mut();
-        if search.is_some_and(|search| search.finds_in(&bytes)) {
-            self.returning = None;
-            return Err(second_answer());
+        if search.is_some_and(|search| search.detects_in(&bytes)) {
+            self.borrowed = None;
+            return Err(second_answer_error());
         }
         Ok(bytes)
     }
 
-    /// Waits for it no longer, as its worker has fallen silent.
+    /// Stops waiting for the body because its worker has been silent for too long.
     pub fn give_up(&mut self) {
-        self.tell(Loss::Silent);
+        self.report_loss(Loss::Silent);
     }
 
-    /// Tells that its connection is lost, and does not use it again.
-    fn tell(&mut self, loss: Loss) {
-        if let Some(returning) = self.returning.take() {
-            let losses = &returning.connections.losses;
-            losses.tell(loss, &returning.destination);
+    /// Reports that the connection is lost, and does not reuse it.
+    fn report_loss(&mut self, loss: Loss) {
+        if let Some(borrowed) = self.borrowed.take() {
+            let losses = &borrowed.connections.losses;
+            losses.tell(loss, &borrowed.destination);
         }
     }
 
-    fn give_back(&mut self) {
-        let Some(returning) = self.returning.take().filter(|one| one.is_kept) else {
+    fn return_connection(&mut self) {
+        let Some(borrowed) = self.borrowed.take().filter(|borrowed| borrowed.is_reusable) else {
             return;
         };
-        let connections = returning.connections;
-        connections.put(returning.destination.worker, returning.connection);
+        let connections = borrowed.connections;
+        connections.return_connection(borrowed.destination.worker, borrowed.connection);
     }
 }
 
-fn second_answer() -> SendError {
-    SendError::NoAnswer("a second answer in the body".into())
+fn second_answer_error() -> SendError {
+    SendError::NoAnswer("body contains a second answer".into())
 }
--- a/crates/gateway/src/connection_losses.rs
+++ b/crates/gateway/src/connection_losses.rs
@@ -1,26 +1,26 @@
-//! Connections to workers that were lost or given up under a request, and addresses where nothing listens:
-//! what tells that a worker may have ended, or may be about to.
+//! Connections to workers that were lost or abandoned during a request, and addresses that refuse connections. Both are
+//! signs that a worker's process may have ended or may be about to end.
 
 use tokio::sync::{mpsc, Mutex};
 
 use crate::connections::Destination;
 
-/// Losses that wait to be looked into. When a worker ends, each of its connections is one; what finds no
-/// room tells nothing that the others do not tell too.
-const WAITING: usize = 256;
+/// Maximum number of losses in the queue. When a worker ends, each of its connections is a loss; one that does not fit in
+/// the queue adds nothing to those that are queued.
+const MAX_QUEUED_LOSSES: usize = 256;
 
-/// What was lost.
+/// The kind of a loss.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Loss {
-    /// A connection, before the whole answer to the request on it.
+    /// A connection ended before the answer on it was complete.
     Broken,
-    /// The patience of a request: its worker has said nothing for so long that it was given up.
+    /// The worker sent nothing for so long that the request no longer waits for it.
     Silent,
-    /// The worker's address: a new connection to it was refused.
+    /// A new connection to the worker's address was refused.
     NothingListens,
 }
 
-/// Losses on their way to whoever looks into them.
+/// Queue of losses for the task that finds out whether workers have ended.
 #[derive(Debug)]
 pub struct ConnectionLosses {
     sender: mpsc::Sender<(Loss, Destination)>,
@@ -29,7 +29,7 @@
 
 impl Default for ConnectionLosses {
     fn default() -> Self {
-        let (sender, receiver) = mpsc::channel(WAITING);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_LOSSES);
         Self {
             sender,
             receiver: Mutex::new(receiver),
@@ -38,14 +38,17 @@
 }
 
 impl ConnectionLosses {
-    /// Tells a loss.
+    /// Reports a loss. It is dropped if the queue is full.
     pub fn tell(&self, loss: Loss, destination: &Destination) {
         if self.sender.try_send((loss, destination.clone())).is_err() {
-            log::debug!("no room for a loss at worker {}", destination.worker);
+            log::debug!(
+                "queue of connection losses is full; dropped a loss at worker {}",
+                destination.worker
+            );
         }
     }
 
-    /// The next loss.
+    /// Waits for the next loss.
     pub async fn next(&self) -> Option<(Loss, Destination)> {
         self.receiver.lock().await.recv().await
     }
--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to one worker that rest between two requests.
+//! Idle connections to one worker, kept for reuse.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
@@ -11,44 +11,44 @@
 
 use crate::correlation::CarriedIds;
 
-/// How long no connection to a worker is kept after one has brought the answer to another request: late
-/// answers then find no later request in whose place they come. Where all workers send two answers in
-/// five twice, 84 of 5,834 requests that may run only once lose their answer, without it 330, for
-/// twice as many new connections (sum of three seeds on two sites).
-const STUTTER_PAUSE: Duration = Duration::from_secs(30);
+/// How long no connection to a worker is kept for reuse after one of them has carried the answer to another request. A
+/// late answer then cannot arrive in place of the answer to a later request. When all workers send two of five answers
+/// twice, 84 of 5,834 requests that may run only once lose their answer, compared with 330 without this pause, at the
+/// cost of twice as many new connections (sum of three seeds on two sites).
+const REUSE_PAUSE: Duration = Duration::from_secs(30);
 
 /// A connection to a worker.
 #[derive(Debug)]
 pub struct Connection {
-    /// Where requests go in.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Until when it may rest.
+    /// When it becomes too old for reuse.
     pub usable_until: Timestamp,
-    /// When it came up or brought the head of its last answer.
-    pub heard: Timestamp,
-    /// What it has carried.
-    pub carried: CarriedIds,
-    _open: OpenCount,
+    /// When it was opened or last received the head of an answer.
+    pub last_received_at: Timestamp,
+    /// The ids of the requests that it has carried.
+    pub carried_ids: CarriedIds,
+    _open: OpenGuard,
 }
 
 /// Counts a connection as open until it is dropped.
 #[derive(Debug)]
-pub struct OpenCount(Arc<AtomicU32>);
+pub struct OpenGuard(Arc<AtomicU32>);
 
-impl Drop for OpenCount {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Connection {
-    /// A connection that has carried nothing.
-    pub fn new(sender: SendRequest<Full<Bytes>>, open: OpenCount, now: Timestamp) -> Self {
+    /// Creates a connection that has carried no request.
+    pub fn new(sender: SendRequest<Full<Bytes>>, open: OpenGuard, now: Timestamp) -> Self {
         Self {
             sender,
             usable_until: Timestamp::default(),
-            heard: now,
-            carried: CarriedIds::default(),
+            last_received_at: now,
+            carried_ids: CarriedIds::default(),
             _open: open,
         }
     }
@@ -63,59 +63,61 @@
 pub struct Pool {
     idle: Vec<Connection>,
     open: Arc<AtomicU32>,
-    /// Until when no connection is kept.
-    closes_until: Timestamp,
+    /// The time before which no connection is kept for reuse.
+    reuse_paused_until: Timestamp,
 }
 
 impl Pool {
-    /// Counts one more connection as open, if there may be so many. One that rests gives way: it may be
-    /// that none of those may carry the request that needs another.
-    pub fn count_open(&mut self, most: u32) -> Option<OpenCount> {
-        if self.open.load(Ordering::Relaxed) >= most && !self.idle.is_empty() {
+    /// Counts one more connection as open, or returns `None` if `max_open` are open. An idle connection is closed first if
+    /// the limit is reached: it may be that no idle connection may carry the request that needs another one.
+    pub fn try_open(&mut self, max_open: u32) -> Option<OpenGuard> {
+        if self.open.load(Ordering::Relaxed) >= max_open && !self.idle.is_empty() {
             self.idle.remove(0);
         }
-        if self.open.load(Ordering::Relaxed) >= most {
+        if self.open.load(Ordering::Relaxed) >= max_open {
             return None;
         }
         self.open.fetch_add(1, Ordering::Relaxed);
-        Some(OpenCount(Arc::clone(&self.open)))
+        Some(OpenGuard(Arc::clone(&self.open)))
     }
 
-    /// Whether any connection is open, in use or not.
+    /// Returns whether any connection is open, in use or idle.
     pub fn has_open(&self) -> bool {
         self.open.load(Ordering::Relaxed) > 0
     }
 
-    /// The connection that rested last and has not carried this id: a late second answer to an earlier
-    /// request under the same id could not be told from the answer to this one.
+    /// Takes the most recently used idle connection that has not carried this id: a late second answer to an earlier
+    /// request with the same id could not be distinguished from the answer to this one.
     pub fn take(&mut self, now: Timestamp, id: &str) -> Option<Connection> {
         self.prune(now);
-        let fits = |one: &Connection| one.sender.is_ready() && one.carried.allows(id);
-        let position = self.idle.iter().rposition(fits)?;
+        let is_suitable = |connection: &Connection| {
+            connection.sender.is_ready() && connection.carried_ids.allows(id)
+        };
+        let position = self.idle.iter().rposition(is_suitable)?;
         Some(self.idle.remove(position))
     }
 
-    /// Keeps a connection whose last answer is whole.
+    /// Keeps a connection for reuse after a complete answer.
     pub fn put(&mut self, now: Timestamp, connection: Connection) {
-        let is_of_use = connection.is_usable(now) && !connection.carried.is_full();
-        if is_of_use && now >= self.closes_until {
+        let is_reusable = connection.is_usable(now) && !connection.carried_ids.is_full();
+        if is_reusable && now >= self.reuse_paused_until {
             self.idle.push(connection);
         }
     }
 
-    /// Keeps no connection for some time, as the worker sends answers twice.
-    pub fn close_for_a_while(&mut self, now: Timestamp) {
-        self.closes_until = now + STUTTER_PAUSE;
+    /// Closes idle connections and keeps none for `REUSE_PAUSE`, because the worker sends answers twice.
+    pub fn pause_reuse(&mut self, now: Timestamp) {
+        self.reuse_paused_until = now + REUSE_PAUSE;
         self.idle.clear();
     }
 
-    /// Closes connections that have brought nothing for so long.
+    /// Closes idle connections that have received nothing for the time `silence`.
     pub fn give_up_unheard_for(&mut self, silence: Duration, now: Timestamp) {
         self.idle
-            .retain(|connection| now.since(connection.heard) < silence);
+            .retain(|connection| now.since(connection.last_received_at) < silence);
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes idle connections that are closed by the worker or too old for reuse.
     pub fn prune(&mut self, now: Timestamp) {
         self.idle.retain(|connection| connection.is_usable(now));
     }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,9 +1,9 @@
-//! Connections to workers: kept between requests, one request at a time on each, never more than
-//! this gateway's part of what a worker accepts.
+//! Connections to workers. They are kept open between requests and carry one request at a time. Their number never
+//! exceeds this gateway's share of the connections that a worker accepts.
 //!
-//! Errors say whether the request may have reached the worker. A connection that brought anything
-//! but one whole answer is not used again. Every answer that leaves this module is tied to its
-//! request as [`crate::correlation`] says.
+//! Errors say whether the request may have reached the worker. A connection that received anything other than one
+//! complete answer is not reused. Every answer that this module returns was matched to its request as described in
+//! [`crate::correlation`].
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -23,67 +23,68 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::answer_body::{AnswerBody, Returning};
+use crate::answer_body::{AnswerBody, BorrowedConnection};
 use crate::connection_losses::{ConnectionLosses, Loss};
-use crate::connection_pool::{Connection, OpenCount, Pool};
-use crate::correlation::{ComparedHead, Correlation, Foreign};
+use crate::connection_pool::{Connection, OpenGuard, Pool};
+use crate::correlation::{ComparedHead, Correlation, Mismatch};
 use crate::headers::HeaderList;
 use crate::second_answer::SecondAnswerSearch;
 use crate::worker_notices::WorkerNotices;
 use crate::worker_request::WorkerRequest;
 
-/// Time for a new connection to come up.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time after which unacknowledged bytes break a connection.
+/// Time after which the system closes a connection whose sent bytes are not acknowledged.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a connection is kept if the worker does not say.
-const DEFAULT_IDLE: Duration = Duration::from_millis(400);
-/// How much earlier than the worker a kept connection is given up.
-const IDLE_MARGIN: Duration = Duration::from_millis(700);
+/// How long an idle connection is kept if the worker names no time-out.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How much earlier than the worker this gateway stops using an idle connection.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
-/// Where a request goes.
+/// The destination of a request.
 #[derive(Debug, Clone)]
 pub struct Destination {
     /// The worker.
     pub worker: WorkerId,
     /// Its address.
     pub address: SocketAddr,
-    /// The most connections this gateway may have there.
+    /// Maximum number of connections that this gateway may have open to the worker.
     pub max_connections: u32,
 }
 
-/// Why a request brought no answer.
+/// Why a request has no answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// No byte of it was sent, as there is no connection.
+    /// No byte of it was sent.
     #[error("not sent: {0}")]
     NotSent(Unconnected),
-    /// It may have arrived.
+    /// It may have reached the worker.
     #[error("no answer: {0}")]
     NoAnswer(String),
 }
 
-/// Why there is no connection to a worker.
+/// Why a request was not sent to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Unconnected {
-    /// Nothing listens at its address.
-    #[error("nothing listens there")]
+    /// The worker's address refuses connections: no process listens there.
+    #[error("connection refused: no process listens at the worker's address")]
     NothingListens,
-    /// This gateway has as many as it may.
-    #[error("too many connections")]
+    /// This gateway has the maximum number of connections open to the worker.
+    #[error("maximum number of connections to the worker is open")]
     TooMany,
-    /// The worker has said that it wants nothing more.
+    /// The worker has stated that it accepts no further requests for now.
     #[error("{0}")]
     Unwanted(Unavailable),
-    /// It did not come up, or not in time, or was closed at once.
+    /// The request could not be built, or the connection could not be established in time, or it was closed
+    /// before the request was sent.
     #[error("{0}")]
     Failed(String),
 }
 
-/// The answer to a request, whose body is still to be read.
+/// The answer to a request. Its body is still to be read.
 #[derive(Debug)]
 pub struct WorkerAnswer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
     /// All headers.
     pub headers: HeaderList,
@@ -96,15 +97,15 @@
 pub struct Connections {
     clock: MonotonicClock,
     correlation: Correlation,
-    /// What workers say of themselves.
+    /// Notices that workers attach to their answers.
     pub notices: WorkerNotices,
     pools: Mutex<HashMap<WorkerId, Pool>>,
-    /// Connections that were lost under a request, and addresses where nothing listens.
+    /// Connections that were lost during a request, and addresses that refuse connections.
     pub losses: ConnectionLosses,
 }
 
 impl Connections {
-    /// No connection yet.
+    /// Creates a set without connections.
     pub fn new(clock: MonotonicClock, correlation: Correlation, notices: WorkerNotices) -> Self {
         Self {
             clock,
@@ -115,49 +116,61 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer. All that goes to workers goes through here, so that
-    /// what they said of themselves holds for all of it, whoever has chosen them and whenever.
+    /// Sends a request and waits for the head of its answer. Everything that is sent to workers passes through this
+    /// function, so that their notices apply to all of it, no matter who selected the worker and when.
     pub async fn send(
         self: &Arc<Self>,
         destination: &Destination,
         request: &WorkerRequest,
     ) -> Result<WorkerAnswer, SendError> {
-        self.notices.permit(&destination.worker, request.asked)?;
-        let built = build(destination, request)?;
+        self.notices
+            .check_permitted(&destination.worker, request.asked)?;
+        let http_request = build(destination, request)?;
         let token = self.notices.take_rate_token(&destination.worker, request)?;
-        let sent = self.send_built(destination, request, built).await;
+        let sent = self
+            .send_http_request(destination, request, http_request)
+            .await;
         if let (RateToken::Taken, Err(SendError::NotSent(_))) = (token, &sent) {
-            self.notices.give_back_rate_token(&destination.worker);
+            self.notices.return_rate_token(&destination.worker);
         }
         sent
     }
 
-    /// Sends it on a kept connection, or on a new one.
-    async fn send_built(
+    /// Sends the request on an idle connection, or on a new one.
+    async fn send_http_request(
         self: &Arc<Self>,
         destination: &Destination,
         request: &WorkerRequest,
-        mut built: hyper::Request<Full<Bytes>>,
+        mut http_request: hyper::Request<Full<Bytes>>,
     ) -> Result<WorkerAnswer, SendError> {
         let id = self.correlation.id_of(request);
-        while let Some(connection) = id.and_then(|id| self.take(&destination.worker, id)) {
-            match self.send_on(destination, connection, request, built).await {
+        while let Some(connection) = id.and_then(|id| self.take_idle(&destination.worker, id)) {
+            match self
+                .send_on(destination, connection, request, http_request)
+                .await
+            {
                 Ok(answer) => return Ok(answer),
-                Err(Attempt::Failed(error)) => return Err(error),
-                Err(Attempt::Unused(unused)) => built = *unused,
+                Err(AttemptError::Failed(error)) => return Err(error),
+                Err(AttemptError::Unsent(unsent)) => http_request = *unsent,
             }
         }
         let connection = self.connect(destination).await?;
-        // The worker may have said something while the connection came up.
-        self.notices.permit(&destination.worker, request.asked)?;
-        match self.send_on(destination, connection, request, built).await {
+        // A notice of the worker may have arrived while the connection was being established.
+        self.notices
+            .check_permitted(&destination.worker, request.asked)?;
+        match self
+            .send_on(destination, connection, request, http_request)
+            .await
+        {
             Ok(answer) => Ok(answer),
-            Err(Attempt::Failed(error)) => Err(error),
-            Err(Attempt::Unused(_)) => Err(not_sent("closed at once")),
+            Err(AttemptError::Failed(error)) => Err(error),
+            Err(AttemptError::Unsent(_)) => Err(not_sent(
+                "connection was closed before the request was sent",
+            )),
         }
     }
 
-    /// Closes connections that have rested too long, and those to workers that are gone.
+    /// Closes idle connections that are too old for reuse, and forgets workers that are gone and have no open connection.
     pub fn prune(&self, is_known: impl Fn(&WorkerId) -> bool) {
         let now = self.clock.now();
         self.pools.lock().retain(|worker, pool| {
@@ -166,8 +179,8 @@
         });
     }
 
-    /// Closes kept connections, to whatever worker, that have brought nothing for so long. Connections go
-    /// silent together: if one has, each of the others would cost a request of its own.
+    /// Closes idle connections to all workers that have received nothing for the time `silence`. Connections usually go
+    /// silent together: if one has, each of the others that is reused would cost one more request.
     pub fn give_up_unheard_for(&self, silence: Duration) {
         let now = self.clock.now();
         for pool in self.pools.lock().values_mut() {
@@ -175,37 +188,37 @@
         }
     }
 
-    fn take(&self, worker: &WorkerId, id: &str) -> Option<Connection> {
+    fn take_idle(&self, worker: &WorkerId, id: &str) -> Option<Connection> {
         let now = self.clock.now();
         self.pools.lock().get_mut(worker)?.take(now, id)
     }
 
-    /// Keeps a connection that has brought a whole answer for the next request.
-    pub fn put(&self, worker: WorkerId, connection: Connection) {
+    /// Keeps a connection for the next request after it has carried a complete answer.
+    pub fn return_connection(&self, worker: WorkerId, connection: Connection) {
         let now = self.clock.now();
         let mut pools = self.pools.lock();
         pools.entry(worker).or_default().put(now, connection);
     }
 
     async fn connect(&self, destination: &Destination) -> Result<Connection, SendError> {
-        let open = self.count_open(destination)?;
+        let open = self.try_open(destination)?;
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(destination.address))
             .await
-            .map_err(|_| not_sent("no connection in time"))?
-            .map_err(|error| self.unconnected(destination, &error))?;
+            .map_err(|_| not_sent("connection was not established in time"))?
+            .map_err(|error| self.connect_error(destination, &error))?;
         let _ = stream.set_nodelay(true);
         let _ = socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(not_sent)?;
         actix_rt::spawn(async move {
             if let Err(error) = driver.await {
-                log::debug!("connection to a worker: {error}");
+                log::debug!("connection to a worker failed: {error}");
             }
         });
         Ok(Connection::new(sender, open, self.clock.now()))
     }
 
-    fn unconnected(&self, destination: &Destination, error: &std::io::Error) -> SendError {
+    fn connect_error(&self, destination: &Destination, error: &std::io::Error) -> SendError {
         if error.kind() != ErrorKind::ConnectionRefused {
             return not_sent(error);
         }
@@ -213,10 +226,10 @@
         SendError::NotSent(Unconnected::NothingListens)
     }
 
-    fn count_open(&self, destination: &Destination) -> Result<OpenCount, SendError> {
+    fn try_open(&self, destination: &Destination) -> Result<OpenGuard, SendError> {
         let mut pools = self.pools.lock();
         let pool = pools.entry(destination.worker.clone()).or_default();
-        let counted = pool.count_open(destination.max_connections);
+        let counted = pool.try_open(destination.max_connections);
         counted.ok_or(SendError::NotSent(Unconnected::TooMany))
     }
 
@@ -225,64 +238,64 @@
         destination: &Destination,
         mut connection: Connection,
         request: &WorkerRequest,
-        built: hyper::Request<Full<Bytes>>,
-    ) -> Result<WorkerAnswer, Attempt> {
-        let sent = self.clock.now();
-        let response = match connection.sender.try_send_request(built).await {
+        http_request: hyper::Request<Full<Bytes>>,
+    ) -> Result<WorkerAnswer, AttemptError> {
+        let sent_at = self.clock.now();
+        let response = match connection.sender.try_send_request(http_request).await {
             Ok(response) => response,
             Err(mut error) => {
                 return Err(match error.take_message() {
-                    Some(unused) => Attempt::Unused(Box::new(unused)),
+                    Some(unsent) => AttemptError::Unsent(Box::new(unsent)),
                     None => {
                         self.losses.tell(Loss::Broken, destination);
-                        Attempt::Failed(SendError::NoAnswer(error.into_error().to_string()))
+                        AttemptError::Failed(SendError::NoAnswer(error.into_error().to_string()))
                     }
                 })
             }
         };
-        connection.heard = self.clock.now();
-        let answered = self.answer_of(destination, connection, request, sent, response);
-        answered.map_err(Attempt::Failed)
+        connection.last_received_at = self.clock.now();
+        let answered = self.matched_answer(destination, connection, request, sent_at, response);
+        answered.map_err(AttemptError::Failed)
     }
 
-    /// The answer that came on a connection, if it is the one to the request that was sent at `sent`.
-    fn answer_of(
+    /// Returns the answer that was received on a connection if it matches the request that was sent at `sent_at`.
+    fn matched_answer(
         self: &Arc<Self>,
         destination: &Destination,
         mut connection: Connection,
         request: &WorkerRequest,
-        sent: Timestamp,
+        sent_at: Timestamp,
         response: hyper::Response<Incoming>,
     ) -> Result<WorkerAnswer, SendError> {
         let (head, incoming) = response.into_parts();
-        let headers = header_list(&head.headers);
+        let headers = to_header_list(&head.headers);
         let reason = head.extensions.get::<ReasonPhrase>();
         let compared = ComparedHead {
             status: head.status.as_u16(),
             reason: reason.map_or(&[], |reason| reason.as_bytes()),
             headers: &headers,
-            answers_before: connection.carried.count(),
+            answers_before: connection.carried_ids.count(),
         };
         let worker = &destination.worker;
         let checked = self.correlation.check(worker, request, compared);
-        checked.map_err(|foreign| self.foreign_answer(worker, foreign))?;
+        checked.map_err(|mismatch| self.mismatch_error(worker, mismatch))?;
         let status = head.status.as_u16();
         self.notices
-            .hear(worker, request.asked, sent, status, &headers);
+            .record_answer(worker, request.asked, sent_at, status, &headers);
         let id = self.correlation.id_of(request);
         let usable_until = id.and_then(|id| {
-            connection.carried.note(id);
-            self.keep_until(&headers)
+            connection.carried_ids.record(id);
+            self.reusable_until(&headers)
         });
         connection.usable_until = usable_until.unwrap_or_default();
-        let returning = Returning {
+        let borrowed = BorrowedConnection {
             connections: Arc::clone(self),
             destination: destination.clone(),
             connection,
-            is_kept: usable_until.is_some(),
+            is_reusable: usable_until.is_some(),
         };
         let search = id.map(|id| SecondAnswerSearch::new(id, &headers));
-        let body = AnswerBody::new(incoming, &headers, returning, search);
+        let body = AnswerBody::new(incoming, &headers, borrowed, search);
         Ok(WorkerAnswer {
             status,
             headers,
@@ -290,18 +303,20 @@
         })
     }
 
-    /// What an answer that is not the request's means for it, and for the worker's connections.
-    fn foreign_answer(&self, worker: &WorkerId, foreign: Foreign) -> SendError {
-        if foreign == Foreign::Late {
+    /// Returns the error for a request that got a mismatched answer. If the answer was late, connections to the worker
+    /// are not reused for a while.
+    fn mismatch_error(&self, worker: &WorkerId, mismatch: Mismatch) -> SendError {
+        if mismatch == Mismatch::Late {
             let mut pools = self.pools.lock();
             let pool = pools.entry(worker.clone()).or_default();
-            pool.close_for_a_while(self.clock.now());
+            pool.pause_reuse(self.clock.now());
         }
-        SendError::NoAnswer(foreign.to_string())
+        SendError::NoAnswer(mismatch.to_string())
     }
 
-    /// How long a connection may rest after an answer with these headers.
-    fn keep_until(&self, headers: &HeaderList) -> Option<Timestamp> {
+    /// Returns the time until which a connection may be reused after an answer with these headers, or `None` if the worker
+    /// closes it.
+    fn reusable_until(&self, headers: &HeaderList) -> Option<Timestamp> {
         let closes = headers
             .get("connection")
             .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
@@ -309,8 +324,8 @@
             return None;
         }
         let idle = match headers.get("keep-alive").and_then(keep_alive_timeout) {
-            Some(given) => given.saturating_sub(IDLE_MARGIN),
-            None => DEFAULT_IDLE,
+            Some(worker_timeout) => worker_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN),
+            None => DEFAULT_IDLE_TIMEOUT,
         };
         Some(self.clock.now() + idle)
     }
@@ -320,8 +335,8 @@
     SendError::NotSent(Unconnected::Failed(reason.to_string()))
 }
 
-enum Attempt {
-    Unused(Box<hyper::Request<Full<Bytes>>>),
+enum AttemptError {
+    Unsent(Box<hyper::Request<Full<Bytes>>>),
     Failed(SendError),
 }
 
@@ -351,7 +366,7 @@
         .map_err(not_sent)
 }
 
-fn header_list(headers: &hyper::HeaderMap) -> HeaderList {
+fn to_header_list(headers: &hyper::HeaderMap) -> HeaderList {
     let mut list = HeaderList::default();
     for (name, value) in headers {
         list.push(name.as_str(), value.as_bytes());
--- a/crates/gateway/src/correlation.rs
+++ b/crates/gateway/src/correlation.rs
@@ -1,9 +1,9 @@
-//! What ties an answer to its request: both bear the same id, and a connection carries an id once.
-//! A request without an id has a connection to itself.
+//! Matches answers to requests: both contain the same id, and each connection carries an id at most once.
+//! A request without an id gets a connection of its own.
 //!
-//! The place of an answer on a connection that others use proves nothing: a worker may send an answer a
-//! second time, late, so that it arrives in the place of the next one that is due. Nor does an id alone,
-//! as callers may use one twice and a request may be sent to a worker twice.
+//! On a connection that is reused, the order of answers proves nothing: a worker may send an answer twice, and the late
+//! copy arrives when the answer to the next request is expected. The id alone proves nothing either: callers may use
+//! an id twice, and a request may be sent to a worker twice.
 
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -15,29 +15,30 @@
 use crate::events::{Event, EventLog, Weight};
 use crate::headers::HeaderList;
 use crate::protocol::Protocol;
-use crate::second_answer::holds_status_line;
+use crate::second_answer::contains_status_line;
 use crate::worker_request::WorkerRequest;
 
-/// Ids that a connection may carry before it is closed: at 8 bytes each it then holds 4 KiB of them,
-/// and one request in 512 pays for a new connection.
-const MOST_IDS: usize = 512;
+/// Maximum number of ids that a connection carries before it is closed. At 8 bytes each, the ids take at most 4 KiB per
+/// connection, and one request in 512 has the cost of a new connection.
+const MAX_IDS: usize = 512;
 
-/// Why an answer is not the request's.
+/// How an answer fails to match the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Foreign {
-    /// It bears the id of another one, and others went over its connection before: it came late.
-    #[error("the answer to another request")]
+pub enum Mismatch {
+    /// It contains the id of another request, and its connection has carried other answers before: it is a late copy of
+    /// one of them.
+    #[error("answer belongs to another request")]
     Late,
-    /// It bears another id, or none, or parts of two answers.
-    #[error("no answer to this request")]
+    /// It contains a different id on a new connection, or no id, or parts of two answers.
+    #[error("answer does not match the request")]
     Unrelated,
 }
 
-/// Compares answers with the requests before them, and records those of other requests.
+/// Compares the ids of answers and requests, and records mismatched answers.
 pub struct Correlation {
     protocol: Arc<dyn Protocol>,
     log: Arc<EventLog>,
-    foreign_answers: IntCounterVec,
+    mismatch_counter: IntCounterVec,
 }
 
 impl fmt::Debug for Correlation {
@@ -46,104 +47,105 @@
     }
 }
 
-/// The head of an answer, as far as it is compared.
+/// The parts of an answer's head that are compared with the request.
 #[derive(Debug, Clone, Copy)]
 pub struct ComparedHead<'a> {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The reason after the status, if it is not the usual one.
+    /// The reason phrase, if it differs from the standard one.
     pub reason: &'a [u8],
     /// All headers.
     pub headers: &'a HeaderList,
-    /// Answers that its connection had brought before.
+    /// The number of answers that its connection carried before.
     pub answers_before: usize,
 }
 
 impl Correlation {
-    /// Reads ids as this protocol says; writes lines and counts by what was asked.
+    /// Creates a check that reads ids with `protocol`, logs mismatched answers to `log` and counts them in
+    /// `mismatch_counter` by kind of request.
     pub fn new(
         protocol: Arc<dyn Protocol>,
         log: Arc<EventLog>,
-        foreign_answers: IntCounterVec,
+        mismatch_counter: IntCounterVec,
     ) -> Self {
         Self {
             protocol,
             log,
-            foreign_answers,
+            mismatch_counter,
         }
     }
 
-    /// The id that a request bears; none if its caller gave it none.
+    /// Returns the id in the headers of a request, or `None` if its caller set none.
     pub fn id_of<'a>(&self, request: &'a WorkerRequest) -> Option<&'a str> {
         self.protocol.correlation_id(&request.headers)
     }
 
-    /// Whether the answer bears the request's id.
+    /// Checks that the answer contains the request's id.
     pub fn check(
         &self,
         worker: &WorkerId,
         request: &WorkerRequest,
         answer: ComparedHead<'_>,
-    ) -> Result<(), Foreign> {
-        let asked = self.id_of(request);
-        let answered = self.protocol.correlation_id(answer.headers);
-        if asked == answered && !answer.holds_another() {
+    ) -> Result<(), Mismatch> {
+        let requested_id = self.id_of(request);
+        let answered_id = self.protocol.correlation_id(answer.headers);
+        if requested_id == answered_id && !answer.contains_another_answer() {
             return Ok(());
         }
         let work = request.asked.name();
-        self.foreign_answers.with_label_values(&[work]).inc();
+        self.mismatch_counter.with_label_values(&[work]).inc();
         let event = Event::ForeignAnswer {
-            request: asked.unwrap_or_default(),
-            answered: answered.unwrap_or_default(),
+            request: requested_id.unwrap_or_default(),
+            answered: answered_id.unwrap_or_default(),
             worker: worker.as_str(),
             work,
             status: answer.status,
             answers_before: answer.answers_before,
         };
         self.log.record(Weight::Important, &event);
-        match answered.is_some() && answer.answers_before > 0 {
-            true => Err(Foreign::Late),
-            false => Err(Foreign::Unrelated),
+        match answered_id.is_some() && answer.answers_before > 0 {
+            true => Err(Mismatch::Late),
+            false => Err(Mismatch::Unrelated),
         }
     }
 }
 
 impl ComparedHead<'_> {
-    /// Whether the head is a torn one with the next answer behind it.
-    fn holds_another(&self) -> bool {
+    /// Returns whether the head is truncated and followed by the start of another answer.
+    fn contains_another_answer(&self) -> bool {
         let mut values = self.headers.iter().map(|header| header.value.as_slice());
-        holds_status_line(self.reason) || values.any(holds_status_line)
+        contains_status_line(self.reason) || values.any(contains_status_line)
     }
 }
 
-/// The ids that a connection has carried, as hashes: two that are alike by chance only cost a new
+/// The ids that a connection has carried, as hashes. The only effect of a hash collision is an additional
 /// connection.
 #[derive(Debug, Default)]
 pub struct CarriedIds(Vec<u64>);
 
 impl CarriedIds {
-    /// Whether this id may go over the connection.
+    /// Returns whether a request with this id may be sent on the connection.
     pub fn allows(&self, id: &str) -> bool {
-        !self.is_full() && !self.0.contains(&hash_of(id))
+        !self.is_full() && !self.0.contains(&hash_id(id))
     }
 
-    /// Whether the connection has carried all that it may.
+    /// Returns whether the connection has carried the maximum number of ids.
     pub fn is_full(&self) -> bool {
-        self.0.len() >= MOST_IDS
+        self.0.len() >= MAX_IDS
     }
 
-    /// Notes an id that goes over the connection.
-    pub fn note(&mut self, id: &str) {
-        self.0.push(hash_of(id));
+    /// Records an id that is sent on the connection.
+    pub fn record(&mut self, id: &str) {
+        self.0.push(hash_id(id));
     }
 
-    /// How many requests with an id the connection has carried.
+    /// Returns the number of requests with an id that the connection has carried.
     pub fn count(&self) -> usize {
         self.0.len()
     }
 }
 
-fn hash_of(id: &str) -> u64 {
+fn hash_id(id: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     id.hash(&mut hasher);
     hasher.finish()
--- a/crates/gateway/src/departed_workers.rs
+++ b/crates/gateway/src/departed_workers.rs
@@ -1,4 +1,5 @@
-//! Workers whose entries went from the store. A restored store may say again that they are ready.
+//! Workers whose entries were removed from the store. A store that was restored from a backup may announce them as ready
+//! again.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,59 +7,62 @@
 use tansyhall_core::Timestamp;
 use tansyhall_forwarding::{Position, WorkerId};
 
-/// How long it is remembered that a worker's entry went: longer than the copies are old from which stores are restored.
-const MEMORY: Duration = Duration::from_secs(60);
-/// Time after which a worker that had left counts again if a restored store still has its entry: by then the entry of
-/// one that does not write any more is gone.
-const DOUBT: Duration = Duration::from_secs(8);
+/// How long the removal of a worker's entry is kept. This is longer than the age of the backups from which stores are
+/// restored.
+const DEPARTURE_TTL: Duration = Duration::from_secs(60);
+/// Time after which the entry of a departed worker is trusted again if a restored store still contains it. By then, the
+/// entry of a worker that no longer refreshes it has expired.
+const DISTRUST_WINDOW: Duration = Duration::from_secs(8);
 
-/// Workers whose entries went lately, and entries that are not believed because of it.
+/// Workers whose entries were removed recently, and entries that are distrusted for this reason.
 #[derive(Debug, Default)]
-pub struct LeftWorkers {
-    left: HashMap<WorkerId, Left>,
-    /// Names of entries of a restored store whose workers had left, and until when that counts.
-    doubted: HashMap<String, Timestamp>,
+pub struct DepartedWorkers {
+    departures: HashMap<WorkerId, Departure>,
+    /// Names of entries in a restored store whose workers had departed, each with the time until which it is distrusted.
+    distrusted: HashMap<String, Timestamp>,
 }
 
-/// That a worker's entry went.
+/// The removal of a worker's entry.
 #[derive(Debug)]
-struct Left {
-    /// The epoch of the store in which it went.
+struct Departure {
+    /// The epoch of the store in which it was removed.
     epoch: u64,
     at: Timestamp,
 }
 
-impl LeftWorkers {
-    /// A worker's entry went in this epoch of the store.
-    pub fn remember(&mut self, worker: &WorkerId, epoch: u64, at: Timestamp) {
-        self.left.insert(worker.clone(), Left { epoch, at });
+impl DepartedWorkers {
+    /// Records that a worker's entry was removed in this epoch of the store.
+    pub fn record(&mut self, worker: &WorkerId, epoch: u64, at: Timestamp) {
+        self.departures
+            .insert(worker.clone(), Departure { epoch, at });
     }
 
-    /// A worker is here again.
-    pub fn forget(&mut self, worker: &WorkerId) {
-        self.left.remove(worker);
+    /// Forgets the departure of a worker that has returned.
+    pub fn remove(&mut self, worker: &WorkerId) {
+        self.departures.remove(worker);
     }
 
-    /// Whether a worker, whose entry is in the store now, had left before the store was restored.
-    pub fn had_left(&self, worker: &WorkerId, written: Position) -> bool {
-        let left = self.left.get(worker);
-        left.is_some_and(|left| left.epoch < written.epoch)
+    /// Returns whether a worker whose entry is in the store now had departed before the store was restored.
+    pub fn had_departed(&self, worker: &WorkerId, written: Position) -> bool {
+        let departure = self.departures.get(worker);
+        departure.is_some_and(|departure| departure.epoch < written.epoch)
     }
 
-    /// The entry of that name is not believed for a while.
-    pub fn doubt(&mut self, name: &str, now: Timestamp) {
-        let until = now + DOUBT;
-        self.doubted.entry(name.to_owned()).or_insert(until);
+    /// Distrusts the entry with this name for a while.
+    pub fn distrust(&mut self, name: &str, now: Timestamp) {
+        let until = now + DISTRUST_WINDOW;
+        self.distrusted.entry(name.to_owned()).or_insert(until);
     }
 
-    /// Forgets what was long ago, and returns the names of entries that are believed from now on.
+    /// Forgets old departures, and returns the names of entries that are trusted again from now on.
     pub fn expire(&mut self, now: Timestamp) -> Vec<String> {
-        self.left.retain(|_, left| now.since(left.at) < MEMORY);
-        let over = self.doubted.iter().filter(|(_, until)| **until <= now);
-        let over: Vec<String> = over.map(|(name, _)| name.clone()).collect();
-        over.iter().for_each(|name| {
-            self.doubted.remove(name);
+        self.departures
+            .retain(|_, departure| now.since(departure.at) < DEPARTURE_TTL);
+        let trusted_again = self.distrusted.iter().filter(|(_, until)| **until <= now);
+        let trusted_again: Vec<String> = trusted_again.map(|(name, _)| name.clone()).collect();
+        trusted_again.iter().for_each(|name| {
+            self.distrusted.remove(name);
         });
-        over
+        trusted_again
     }
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,9 +1,8 @@
-//! Structured log lines: one JSON object for each decision that touches a request or changes what
-//! this gateway believes.
+//! Structured log: one JSON object per line for each decision that affects a request or changes what this gateway knows.
 //!
-//! Writing never blocks: lines wait in a bounded queue for one writer thread. Routine lines may
-//! fill half of it and come at a bounded rate, all others may fill the whole; what finds no room is
-//! dropped and counted, and the count is written when there is room again.
+//! Recording an event never blocks: lines are queued in a bounded queue for a single writer thread. Routine lines may fill
+//! half of the queue and are limited in rate; all other lines may fill the whole queue. Lines that do not fit are dropped
+//! and counted, and the count is written as soon as there is room again.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -14,11 +13,11 @@
 use parking_lot::{Condvar, Mutex};
 use serde::Serialize;
 
-/// What is logged. Field names are stable; operators' pages list them.
+/// A logged event. The field names are stable; the documentation for operators lists them.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
-    /// The process has read its settings and listens.
+    /// The process has read its settings and accepts connections.
     Started {
         /// The gateway's name.
         node: &'a str,
@@ -26,36 +25,36 @@
         zone: &'a str,
         /// The version of the program.
         version: &'a str,
-        /// The commit that it was built from, or `unknown`.
+        /// The commit that the program was built from, or `unknown`.
         commit: &'a str,
     },
-    /// SIGTERM came: no new callers, what is under way is finished.
+    /// SIGTERM was received: requests in progress are finished, and the gateway stops accepting new ones.
     Stopping {
-        /// Requests under way.
+        /// Number of requests in progress.
         in_flight: u64,
     },
-    /// The process ends.
+    /// The process exits.
     Stopped {
-        /// Requests that were cut.
+        /// Number of requests in progress that are aborted.
         in_flight: u64,
     },
-    /// Settings were read again.
+    /// The settings were reloaded.
     Reloaded {
-        /// `applied`, or why not.
+        /// `applied`, or the error.
         outcome: &'a str,
     },
-    /// A configuration is in force.
+    /// A configuration came into force.
     ConfigurationApplied {
         /// Its version.
         version: u64,
         /// The store's revision of it.
         revision: u64,
-        /// Its routes.
+        /// Number of its routes.
         routes: usize,
-        /// Its tenants.
+        /// Number of its tenants.
         tenants: usize,
     },
-    /// The store holds a configuration that is no later than the one in force, which stays so.
+    /// The configuration in the store is not later than the one in force, and is ignored.
     ConfigurationPassedOver {
         /// Its version.
         version: u64,
@@ -64,217 +63,217 @@
         /// The version in force.
         in_force: u64,
     },
-    /// An item of the store cannot be used; what was in force stays so.
+    /// An item of the store cannot be used; the state in force does not change.
     ItemRefused {
-        /// The item's key.
+        /// The key of the item.
         key: &'a str,
         /// Its revision.
         revision: u64,
-        /// Why.
+        /// The reason.
         reason: &'a str,
     },
-    /// The set of workers has changed.
+    /// The number of ready workers has changed.
     WorkersChanged {
-        /// Workers that take requests.
+        /// Number of workers that accept requests.
         ready: usize,
         /// The store's revision.
         revision: u64,
     },
-    /// The store, or a peer in its place, cannot be reached any more or again; or a scheduler has not
-    /// answered in time.
+    /// The store, or the peers in its place, became unreachable or reachable again; or a scheduler has not answered in
+    /// time.
     Dependency {
         /// `store`, `peers` or `scheduler`.
         name: &'a str,
         /// `lost` or `regained`; `silent` for a scheduler.
         state: &'a str,
-        /// The last error, or the scheduler's name.
+        /// The last error, or the name of the scheduler.
         reason: &'a str,
     },
-    /// The store names its epoch for the first time, or a later one: it was restored from an earlier copy of itself.
+    /// The store reports an epoch for the first time, or a later epoch, because it was restored from a backup.
     StoreEpoch {
         /// The epoch.
         epoch: u64,
-        /// The revision up to which this gateway knew the store before.
+        /// The revision of this gateway's mirror before the event.
         copy_revision: u64,
     },
-    /// The store was read whole, and its revision is lower than that of this gateway's copy.
+    /// The whole store was read, and its revision is lower than that of this gateway's mirror.
     StoreWentBack {
         /// The store's revision.
         store_revision: u64,
-        /// The copy's.
+        /// The revision of the mirror.
         copy_revision: u64,
     },
-    /// This gateway gets the store's changes from elsewhere now.
+    /// This gateway now receives the changes of the store from a different source.
     Upstream {
-        /// The relay that is asked, or empty for the store itself.
+        /// The relay that is queried; empty for the store itself.
         relay: &'a str,
-        /// Milliseconds since the store last answered, itself or through a relay.
+        /// Milliseconds since the store last answered, directly or through a relay.
         store_age_ms: u64,
     },
-    /// A worker has said in an answer that it leaves: it gets no new request.
+    /// A worker has stated in an answer that it is leaving. It gets no new requests.
     WorkerLeaving {
         /// The worker.
         worker: &'a str,
-        /// What the answer was to: `run`, `read_prompt`, `report`, `list_cache`, `order` or `release`; or `gateway`
-        /// if another one, whose requests this one places, has told it.
+        /// The kind of request that was answered: `run`, `read_prompt`, `report`, `list_cache`, `order` or `release`; or
+        /// `gateway` if another gateway, whose requests this one places, has forwarded the notice.
         source: &'a str,
     },
-    /// A worker has turned a gateway away, and wants nothing more for a while: it gets nothing meanwhile.
+    /// A worker has asked a gateway to back off. It gets no requests until the back-off ends.
     WorkerRests {
         /// The worker.
         worker: &'a str,
-        /// Who says so, as in `worker_leaving`.
+        /// The source of the notice, as in `worker_leaving`.
         source: &'a str,
-        /// For how many milliseconds.
+        /// The length of the back-off in milliseconds.
         rest_ms: u64,
     },
-    /// A worker names a rate limit, or another one than before.
+    /// A worker states a rate limit for the first time, or a different one.
     WorkerRateLimit {
         /// The worker.
         worker: &'a str,
-        /// Who says so, as in `worker_leaving`.
+        /// The source of the notice, as in `worker_leaving`.
         source: &'a str,
-        /// Requests a second that it takes from all gateways together.
+        /// Requests per second that it accepts from all gateways together.
         requests_per_second: f64,
     },
-    /// A worker that named a rate limit names none any more.
+    /// A worker that stated a rate limit no longer states one.
     WorkerRateLimitEnded {
         /// The worker.
         worker: &'a str,
-        /// Who says so, as in `worker_leaving`.
+        /// The source of the notice, as in `worker_leaving`.
         source: &'a str,
     },
-    /// A worker has ended under requests that this gateway had sent it.
+    /// A worker has ended while it ran requests of this gateway.
     WorkerEnded {
         /// The worker.
         worker: &'a str,
-        /// How many requests, tries of one counted once.
+        /// Number of these requests; several attempts of one request are counted once.
         requests: usize,
-        /// The fingerprints of the first of them.
+        /// The fingerprints of the first of these requests.
         fingerprints: &'a [String],
     },
-    /// A request is barred: no worker gets it any more, as workers end under it.
+    /// A request was barred: no worker gets it any more, because it crashes workers.
     Barred {
         /// The request's fingerprint.
         fingerprint: &'a str,
-        /// From where this gateway knows: `worker` (one ended under a send of its own), `gateway` or `store`.
+        /// The source of this knowledge: `worker` (one ended while it ran a request of this gateway), `gateway` or `store`.
         source: &'a str,
     },
     /// A send to a worker ended.
     Send {
-        /// The caller's id of the request.
+        /// The id that the caller gave the request.
         request: &'a str,
-        /// What the request asks for, equal for all its tries.
+        /// The fingerprint of the request's content, which is the same for all attempts.
         fingerprint: &'a str,
         /// The worker.
         worker: &'a str,
-        /// The gateway that has chosen it, or empty for the one that sends.
+        /// The gateway that has selected the worker; empty if the sending gateway did.
         scheduler: &'a str,
         /// `run` or `read_prompt`.
         work: &'a str,
-        /// How it ended.
+        /// The result of the send.
         outcome: &'a str,
-        /// What the worker or the connection said, if it failed.
+        /// The error of the worker or of the connection, if the send failed.
         detail: &'a str,
-        /// Prompt tokens that were expected to be read there.
+        /// Number of prompt tokens that the worker was expected to read.
         reading_tokens: u64,
-        /// Whether a part was to be fetched from another worker.
+        /// Whether the worker was to fetch prompt parts from another worker.
         fetched: bool,
-        /// Milliseconds after which the answer was expected to begin.
+        /// Expected milliseconds until the answer begins.
         expected_ms: u64,
         /// Milliseconds until the answer began; 0 if it did not.
         head_ms: u64,
-        /// Milliseconds it took.
+        /// Duration of the send in milliseconds.
         took_ms: u64,
     },
-    /// An answer came that does not bear the id of the request before it on its connection.
+    /// An answer was received that does not match the request sent before it on the same connection.
     ForeignAnswer {
-        /// The id of the request that waited for an answer; empty if it bore none.
+        /// The id of the request that waits for an answer; empty if it has none.
         request: &'a str,
-        /// The id that the answer bears; empty if it bears none.
+        /// The id in the answer; empty if it has none.
         answered: &'a str,
         /// The worker.
         worker: &'a str,
-        /// What was asked: `run`, `read_prompt`, `report`, `list_cache`, `order` or `release`.
+        /// The kind of the request: `run`, `read_prompt`, `report`, `list_cache`, `order` or `release`.
         work: &'a str,
-        /// The status of the answer.
+        /// The HTTP status of the answer.
         status: u16,
-        /// Answers that the connection had brought before.
+        /// Number of answers that the connection carried before.
         answers_before: usize,
     },
-    /// A request was refused before anything was tried.
+    /// A request was refused before any attempt to run it.
     Refused {
-        /// The caller's id of the request.
+        /// The id that the caller gave the request.
         request: &'a str,
-        /// Why.
+        /// The reason.
         reason: &'a str,
         /// The version of the configuration in force; 0 if none is.
         configuration: u64,
         /// Milliseconds since the store last answered.
         store_age_ms: u64,
     },
-    /// A request is over.
+    /// A request has ended.
     Request {
-        /// The caller's id of it.
+        /// The id that the caller gave it.
         request: &'a str,
-        /// What it asks for, equal for all its tries.
+        /// The fingerprint of its content, which is the same for all attempts.
         fingerprint: &'a str,
-        /// Its route.
+        /// The name of its route.
         route: &'a str,
-        /// The version of the configuration that chose the route.
+        /// The version of the configuration that determined the route.
         configuration: u64,
-        /// How it ended.
+        /// Its outcome.
         outcome: &'a str,
-        /// Why it was not sent, or not once more: `overload`, `tenant_share`, `rate_limit`, `no_worker`,
+        /// Why it was not sent, or not retried: `overload`, `tenant_share`, `rate_limit`, `no_worker`,
         /// `workers_rest`, `retry_budget`, or empty.
         cause: &'a str,
-        /// Milliseconds that its prompt would have waited, if that is why.
+        /// Milliseconds that its prompt would have waited, if this is the cause.
         waiting_ms: u64,
-        /// Workers it was sent to.
+        /// Number of sends to workers.
         sends: u32,
         /// The latency objective of its route in milliseconds.
         objective_ms: u64,
         /// Milliseconds from its arrival until its answer began; 0 if it did not.
         begun_ms: u64,
-        /// Milliseconds since it arrived.
+        /// Milliseconds from its arrival until its end.
         took_ms: u64,
-        /// Milliseconds that were left.
+        /// Milliseconds that were left until its deadline.
         left_ms: u64,
-        /// Retries that this gateway could still spend on the service.
+        /// Number of retries that this gateway still has for the service.
         retries_left: u64,
-        /// Gateways that share the budgets, as this one believes.
+        /// Number of gateways that share the budgets, as known to this one.
         gateways: u64,
         /// Milliseconds since the store last answered.
         store_age_ms: u64,
     },
-    /// This gateway came to hold the authority over roles, or lost it.
+    /// This gateway acquired or lost the authority over roles.
     Authority {
         /// `acquired` or `lost`.
         state: &'a str,
-        /// The fence of the claim; 0 when it is lost.
+        /// The fence token of the claim; 0 if the authority was lost.
         epoch: u64,
     },
-    /// The usage of a window was summed up to be reported.
+    /// The usage of a window was totalled for the report.
     UsageDecided {
         /// The window.
         window: u64,
-        /// Requests of all tenants.
+        /// Number of requests of all tenants.
         requests: u64,
-        /// Whether every gateway had counted past the window's end.
+        /// Whether every gateway had counted beyond the end of the window.
         complete: bool,
-        /// `decided`, `decided before`, or why it is not known.
+        /// `decided`, `decided before`, or why the total is unknown.
         outcome: &'a str,
     },
-    /// The usage of a window was reported.
+    /// The usage of a window was reported to the platform.
     UsageReported {
         /// The window.
         window: u64,
         /// `done`, `refused`, `not_done` or `unknown`.
         outcome: &'a str,
-        /// What the platform said.
+        /// The answer of the platform.
         detail: &'a str,
     },
-    /// The number of a zone's workers was ordered.
+    /// A number of workers in a zone was ordered from the platform.
     WorkersOrdered {
         /// Their service.
         service: &'a str,
@@ -282,50 +281,50 @@
         zone: &'a str,
         /// `reserved` or `spot`.
         kind: &'a str,
-        /// How many.
+        /// Number of workers that the zone should have.
         desired: u32,
-        /// Workers of all zones that the demand needs.
+        /// Number of workers in all zones that the demand requires.
         needed: u32,
         /// `done`, `refused`, `not_done` or `unknown`.
         outcome: &'a str,
-        /// What the platform said.
+        /// The answer of the platform.
         detail: &'a str,
     },
     /// An engine was ordered to change its role.
     Order {
         /// The engine.
         worker: &'a str,
-        /// The role.
+        /// The ordered role.
         role: &'a str,
-        /// The fence.
+        /// The fence token of the order.
         fence: u64,
-        /// Orders that the engine had taken before.
+        /// Number of orders that the engine had accepted before.
         orders_taken: u64,
         /// `taken` or `unknown`.
         outcome: &'a str,
     },
-    /// Lines were dropped for lack of room.
+    /// Lines were dropped because the queue was full or their rate was too high.
     LinesDropped {
-        /// How many.
+        /// Number of dropped lines.
         count: u64,
     },
 }
 
-/// How much a line matters when there is little room.
+/// The importance of a line when the queue is nearly full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weight {
-    /// A request that went well.
+    /// A request that succeeded.
     Routine,
-    /// A failure, or a change of what is believed.
+    /// A failure, or a change of what the gateway knows.
     Important,
 }
 
-/// The queue before the writer.
+/// The queue of lines for the writer thread.
 #[derive(Debug)]
 pub struct EventLog {
     node: String,
     queue: Mutex<Queue>,
-    filled: Condvar,
+    not_empty: Condvar,
     capacity: usize,
     routine_per_second: AtomicU32,
 }
@@ -339,14 +338,14 @@
 }
 
 impl Queue {
-    fn admits_routine(&mut self, at_ms: u64, most: u32) -> bool {
+    fn admits_routine(&mut self, at_ms: u64, max_per_second: u32) -> bool {
         let second = at_ms / 1_000;
         if second != self.second {
             self.second = second;
             self.routine_in_second = 0;
         }
         self.routine_in_second = self.routine_in_second.saturating_add(1);
-        self.routine_in_second <= most
+        self.routine_in_second <= max_per_second
     }
 }
 
@@ -359,23 +358,24 @@
 }
 
 impl EventLog {
-    /// A log without a writer; see [`EventLog::start_writer`].
+    /// Creates a log without a writer; see [`EventLog::start_writer`].
     pub fn new(node: &str, capacity: usize, routine_per_second: u32) -> Self {
         Self {
             node: node.to_owned(),
             queue: Mutex::default(),
-            filled: Condvar::new(),
+            not_empty: Condvar::new(),
             capacity,
             routine_per_second: AtomicU32::new(routine_per_second),
         }
     }
 
-    /// Changes how many routine lines are written in a second at the most.
-    pub fn set_routine_per_second(&self, most: u32) {
-        self.routine_per_second.store(most, Ordering::Relaxed);
+    /// Sets the maximum number of routine lines per second.
+    pub fn set_routine_per_second(&self, max_per_second: u32) {
+        self.routine_per_second
+            .store(max_per_second, Ordering::Relaxed);
     }
 
-    /// Writes lines to standard output from a thread of its own.
+    /// Starts a thread that writes the lines to standard output.
     pub fn start_writer(self: &Arc<Self>) -> std::io::Result<()> {
         let log = Arc::clone(self);
         std::thread::Builder::new()
@@ -384,35 +384,35 @@
         Ok(())
     }
 
-    /// Puts an event in the queue, if it has room.
+    /// Adds an event to the queue, or drops and counts it if it does not fit.
     pub fn record(&self, weight: Weight, event: &Event<'_>) {
-        let at_ms = since_epoch_ms();
+        let at_ms = unix_time_ms();
         let mut queue = self.queue.lock();
-        let room = match weight {
+        let max_lines = match weight {
             Weight::Important => self.capacity,
             Weight::Routine if !queue.admits_routine(at_ms, self.routine_limit()) => 0,
             Weight::Routine => self.capacity / 2,
         };
-        if queue.lines.len() >= room {
+        if queue.lines.len() >= max_lines {
             queue.dropped += 1;
             return;
         }
         queue.lines.push_back(self.encode(at_ms, event));
         drop(queue);
-        self.filled.notify_one();
+        self.not_empty.notify_one();
     }
 
-    /// Waits for lines and takes all of them.
+    /// Waits for lines and returns all of them.
     pub fn take(&self) -> Vec<String> {
         let mut queue = self.queue.lock();
         while queue.lines.is_empty() {
-            self.filled.wait(&mut queue);
+            self.not_empty.wait(&mut queue);
         }
         let mut lines: Vec<String> = queue.lines.drain(..).collect();
         let dropped = std::mem::take(&mut queue.dropped);
         if dropped > 0 {
             let event = Event::LinesDropped { count: dropped };
-            lines.push(self.encode(since_epoch_ms(), &event));
+            lines.push(self.encode(unix_time_ms(), &event));
         }
         lines
     }
@@ -443,7 +443,7 @@
     }
 }
 
-fn since_epoch_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |time| time.as_millis() as u64)
 }
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,7 +1,7 @@
-//! Headers as the gateway passes them on: names and values as they came, in order.
+//! HTTP headers as the gateway forwards them: names and values unchanged and in the original order.
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1) or the framing of a body,
-/// which each connection sets for itself.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), or to the framing of a body, which each connection
+/// sets for itself.
 const CONNECTION_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
@@ -15,11 +15,11 @@
     "content-length",
 ];
 
-/// A list of headers.
+/// An ordered list of headers.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct HeaderList(Vec<Header>);
 
-/// One header.
+/// A header.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Header {
     /// Its name.
@@ -37,40 +37,40 @@
         });
     }
 
-    /// The value of that name, if it has only one, which is text and not empty.
+    /// Returns the value of a header if it is text and not empty and all headers with this name have the same value.
     pub fn get_only(&self, name: &str) -> Option<&str> {
         let value = self.get(name).filter(|value| !value.is_empty())?;
-        let is_another = |header: &Header| {
+        let has_other_value = |header: &Header| {
             header.name.eq_ignore_ascii_case(name) && header.value.trim_ascii() != value.as_bytes()
         };
-        (!self.0.iter().any(is_another)).then_some(value)
+        (!self.0.iter().any(has_other_value)).then_some(value)
     }
 
-    /// The first value of that name, if it is text.
+    /// Returns the first value with this name, if it is text.
     pub fn get(&self, name: &str) -> Option<&str> {
         let header = self.0.iter().find(|h| h.name.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(&header.value).ok().map(str::trim)
     }
 
-    /// All values of that name that are text.
+    /// Returns all values with this name that are text.
     pub fn get_all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         let named = self.0.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
         let texts = named.filter_map(|header| std::str::from_utf8(&header.value).ok());
         texts.map(str::trim)
     }
 
-    /// Removes every header of that name.
+    /// Removes all headers with this name.
     pub fn remove(&mut self, name: &str) {
         self.0.retain(|h| !h.name.eq_ignore_ascii_case(name));
     }
 
-    /// Removes every header of that name and appends one.
+    /// Replaces all headers with this name by a single one.
     pub fn set(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.remove(name);
         self.push(name, value);
     }
 
-    /// Removes what concerns one connection only.
+    /// Removes the headers that apply to a single connection, including those that the `Connection` header names.
     pub fn remove_connection_headers(&mut self) {
         let named = self.get("connection").unwrap_or_default().to_owned();
         for name in named.split(',').map(str::trim).filter(|n| !n.is_empty()) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// All headers, in order.
+    /// Returns all headers, in order.
     pub fn iter(&self) -> impl Iterator<Item = &Header> {
         self.0.iter()
     }
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -1,4 +1,4 @@
-//! Callers' side: takes a request in, gives it an [`Exchange`] and passes its answer out.
+//! The callers' side of the gateway: reads a request, runs it in an [`Exchange`] and sends the answer to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,24 +12,24 @@
 use tansyhall_forwarding::{Fingerprint, RequestContent};
 use tokio::time::timeout;
 
-use crate::answer::{self, Answer, AnswerHead, AnswerSource, BrokenOff, OwnAnswer};
+use crate::answer::{self, Answer, AnswerHead, AnswerSource, AnswerTruncated, OwnAnswer};
 use crate::events::{Event, Weight};
 use crate::exchange::{CallerRequest, Exchange};
 use crate::headers::HeaderList;
 use crate::protocol::CallerTerms;
 use crate::state::{InFlight, InForce, NotRouted, Routed, Shared};
 
-/// When a caller should come back to a gateway that cannot serve yet. One that starts together with hundreds
-/// of others was seen to know the configuration after 0.8 s; callers that come back sooner are refused again.
+/// Retry time for callers of a gateway that cannot serve requests yet. A gateway that started together with hundreds of
+/// others had the configuration after 0.8 s; callers that retry earlier are refused again.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// When a caller of a gateway that leaves should come back; another takes it at once.
+/// Retry time for callers of a gateway that is shutting down. Another gateway accepts the request immediately.
 const LEAVING_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// The longest streamed answer that is gathered for a caller that knows no chunks.
-const MAX_GATHERED_BYTES: usize = 16 << 20;
+/// Maximum length of a streamed answer that is buffered for a caller that does not support chunked encoding.
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 
-/// Why a request is refused before it has an exchange.
+/// Why a request is refused before an exchange is created for it.
 enum Refusal {
     NotReady,
     Leaving,
@@ -37,11 +37,11 @@
     UnknownKey,
     BadRequest(String),
     BodyTooLong,
-    BodyBroken,
-    BodyLate,
+    BodyIncomplete,
+    BodyTimeout,
 }
 
-/// Serves one request.
+/// Handles one request of a caller.
 pub async fn serve(
     request: HttpRequest,
     payload: Payload,
@@ -49,18 +49,18 @@
 ) -> HttpResponse {
     let shared: &Arc<Shared> = &shared;
     let in_flight = InFlight::begin(shared);
-    let response = match take_in(&request, payload, shared).await {
+    let response = match read_request(&request, payload, shared).await {
         Ok(caller_request) => forward(shared, caller_request, request.version()).await,
         Err(refusal) => {
             record_refusal(&request, &refusal, shared);
-            refuse(&refusal)
+            refusal_response(&refusal)
         }
     };
     drop(in_flight);
     close_if_stopping(response, shared)
 }
 
-async fn take_in(
+async fn read_request(
     request: &HttpRequest,
     payload: Payload,
     shared: &Arc<Shared>,
@@ -78,11 +78,11 @@
         .map_err(|bad| Refusal::BadRequest(bad.to_string()))?;
     let routed = route(request, &terms, &in_force)?;
     let limits = in_force.limits();
-    let held = terms.patience.unwrap_or(routed.route.timeout);
-    let time = held.min(routed.route.timeout);
-    let body = timeout(time, read_body(payload, limits.body_bytes))
+    let caller_timeout = terms.patience.unwrap_or(routed.route.timeout);
+    let time_limit = caller_timeout.min(routed.route.timeout);
+    let body = timeout(time_limit, read_body(payload, limits.body_bytes))
         .await
-        .map_err(|_| Refusal::BodyLate)??;
+        .map_err(|_| Refusal::BodyTimeout)??;
     let target = target(request);
     let fingerprint = Fingerprint::of(&RequestContent {
         method: request.method().as_str(),
@@ -101,7 +101,7 @@
         terms,
         routed,
         arrived,
-        deadline: arrived + time,
+        deadline: arrived + time_limit,
     })
 }
 
@@ -119,8 +119,8 @@
 }
 
 fn host(request: &HttpRequest) -> Option<&str> {
-    let named = request.headers().get("host").and_then(|h| h.to_str().ok());
-    named.or_else(|| request.uri().host())
+    let header = request.headers().get("host").and_then(|h| h.to_str().ok());
+    header.or_else(|| request.uri().host())
 }
 
 fn target(request: &HttpRequest) -> String {
@@ -142,7 +142,7 @@
 async fn read_body(mut payload: Payload, limit: usize) -> Result<Bytes, Refusal> {
     let mut body = BytesMut::new();
     while let Some(part) = payload.next().await {
-        let part = part.map_err(|_| Refusal::BodyBroken)?;
+        let part = part.map_err(|_| Refusal::BodyIncomplete)?;
         if body.len() + part.len() > limit {
             return Err(Refusal::BodyTooLong);
         }
@@ -166,37 +166,41 @@
     response
 }
 
-/// The answer as a caller of that version of HTTP gets it.
+/// Converts an answer to the response for a caller with this version of HTTP.
 pub async fn answer_caller(version: Version, mut source: AnswerSource) -> HttpResponse {
     match source.head().await {
         Some(Answer::Whole(head, body)) => builder(&head).body(body),
-        Some(Answer::Streamed(head)) if version < Version::HTTP_11 => gathered(&head, source).await,
+        Some(Answer::Streamed(head)) if version < Version::HTTP_11 => {
+            buffered_response(&head, source).await
+        }
         Some(Answer::Streamed(head)) => builder(&head).body(BodyStream::new(source.into_parts())),
-        Some(Answer::Own(own)) => own_answer(own),
-        None => own_answer(OwnAnswer::Lost),
+        Some(Answer::Own(own)) => gateway_response(own),
+        None => gateway_response(OwnAnswer::Lost),
     }
 }
 
-/// A streamed answer for a caller that knows no chunks: for it, an answer that breaks off would end
-/// like a whole one. It gets the answer whole and with its length, or none of it.
-async fn gathered(head: &AnswerHead, source: AnswerSource) -> HttpResponse {
+/// Buffers a streamed answer for a caller that does not support chunked encoding. Such a caller cannot distinguish a
+/// truncated answer from a complete one, so it gets the complete answer with its length, or an error.
+async fn buffered_response(head: &AnswerHead, source: AnswerSource) -> HttpResponse {
     let parts = std::pin::pin!(source.into_parts());
-    match gather(parts).await {
+    match buffer_body(parts).await {
         Some(body) => builder(head).body(body),
-        None => own_answer(OwnAnswer::Lost),
+        None => gateway_response(OwnAnswer::Lost),
     }
 }
 
-async fn gather(mut parts: impl Stream<Item = Result<Bytes, BrokenOff>> + Unpin) -> Option<Bytes> {
-    let mut whole = BytesMut::new();
+async fn buffer_body(
+    mut parts: impl Stream<Item = Result<Bytes, AnswerTruncated>> + Unpin,
+) -> Option<Bytes> {
+    let mut body = BytesMut::new();
     while let Some(part) = parts.next().await {
         let part = part.ok()?;
-        if whole.len() + part.len() > MAX_GATHERED_BYTES {
+        if body.len() + part.len() > MAX_BUFFERED_BYTES {
             return None;
         }
-        whole.extend_from_slice(&part);
+        body.extend_from_slice(&part);
     }
-    Some(whole.freeze())
+    Some(body.freeze())
 }
 
 fn builder(head: &AnswerHead) -> HttpResponseBuilder {
@@ -208,23 +212,26 @@
     builder
 }
 
-fn own_answer(own: OwnAnswer) -> HttpResponse {
+fn gateway_response(own: OwnAnswer) -> HttpResponse {
     match own {
-        OwnAnswer::NotRun { retry_after } => not_run(retry_after, "no worker can take it now"),
-        OwnAnswer::Lost => HttpResponse::BadGateway().body("the answer is lost; it may have run\n"),
-        OwnAnswer::TimedOut => {
-            HttpResponse::GatewayTimeout().body("no answer in time; it may have run\n")
+        OwnAnswer::NotRun { retry_after } => {
+            not_run_response(retry_after, "no worker is available")
         }
-        // Not a status of 502 or 504, which callers try again, nor one that promises that it did not run.
+        OwnAnswer::Lost => {
+            HttpResponse::BadGateway().body("answer was lost; the request may have run\n")
+        }
+        OwnAnswer::TimedOut => HttpResponse::GatewayTimeout()
+            .body("no answer before the deadline; the request may have run\n"),
+        // Neither 502 nor 504, which callers retry, nor a status which promises that the request did not run.
         OwnAnswer::Barred => HttpResponse::InternalServerError()
-            .body("workers end under this request; it will not be sent again\n"),
+            .body("request crashes workers; it will not be sent again\n"),
     }
 }
 
-fn not_run(retry_after: Duration, reason: &'static str) -> HttpResponse {
+fn not_run_response(retry_after: Duration, reason: &'static str) -> HttpResponse {
     HttpResponse::ServiceUnavailable()
         .append_header(("Retry-After", format!("{:.3}", retry_after.as_secs_f64())))
-        .body(format!("not run: {reason}\n"))
+        .body(format!("request was not run: {reason}\n"))
 }
 
 fn record_refusal(request: &HttpRequest, refusal: &Refusal, shared: &Shared) {
@@ -249,26 +256,30 @@
             Refusal::UnknownKey => "unknown_key",
             Refusal::BadRequest(_) => "bad_request",
             Refusal::BodyTooLong => "body_too_long",
-            Refusal::BodyBroken => "body_broken",
-            Refusal::BodyLate => "body_late",
+            Refusal::BodyIncomplete => "body_broken",
+            Refusal::BodyTimeout => "body_late",
         }
     }
 }
 
-fn refuse(refusal: &Refusal) -> HttpResponse {
+fn refusal_response(refusal: &Refusal) -> HttpResponse {
     match refusal {
-        Refusal::NotReady => not_run(NOT_READY_RETRY_AFTER, "no configuration is known yet"),
-        Refusal::Leaving => not_run(LEAVING_RETRY_AFTER, "this gateway is leaving"),
+        Refusal::NotReady => {
+            not_run_response(NOT_READY_RETRY_AFTER, "gateway has no configuration yet")
+        }
+        Refusal::Leaving => not_run_response(LEAVING_RETRY_AFTER, "gateway is shutting down"),
         Refusal::NoRoute => HttpResponse::NotFound().body("no route for this host and path\n"),
-        Refusal::UnknownKey => HttpResponse::Unauthorized().body("a key that is known is needed\n"),
+        Refusal::UnknownKey => HttpResponse::Unauthorized().body("a valid API key is required\n"),
         Refusal::BadRequest(reason) => HttpResponse::BadRequest().body(format!("{reason}\n")),
-        Refusal::BodyTooLong => HttpResponse::PayloadTooLarge().body("the body is too long\n"),
-        Refusal::BodyBroken => HttpResponse::BadRequest().body("the body broke off\n"),
-        Refusal::BodyLate => HttpResponse::RequestTimeout().body("the body came too late\n"),
+        Refusal::BodyTooLong => HttpResponse::PayloadTooLarge().body("request body is too long\n"),
+        Refusal::BodyIncomplete => HttpResponse::BadRequest().body("request body is incomplete\n"),
+        Refusal::BodyTimeout => {
+            HttpResponse::RequestTimeout().body("request body was not received in time\n")
+        }
     }
 }
 
-/// A gateway that stops asks callers for a new connection, which reaches another gateway.
+/// Closes the connection if the gateway is stopping: the caller's next connection reaches another gateway.
 fn close_if_stopping(mut response: HttpResponse, shared: &Shared) -> HttpResponse {
     if shared.is_stopping() {
         response
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway: sockets, tasks and state around the decisions of `tansyhall-forwarding`.
+//! The gateway: the sockets, tasks and state around the decisions made by `tansyhall-forwarding`.
 //!
-//! Callers' requests come in through [`ingress`], each lives in a [`exchange`], and leaves through
-//! [`connections`] to a worker. [`follower`] keeps a copy of the store, [`store_copy`] makes it the
-//! configuration in force, [`peers`] tells other gateways what is new in it, [`presence`] announces
-//! this gateway. In a large fleet, [`placement`] asks a scheduler where requests go.
+//! [`ingress`] receives callers' requests, [`exchange`] runs each of them, and [`connections`] sends them to workers.
+//! [`follower`] keeps a mirror of the store up to date, [`store_copy`] derives the configuration in force from it,
+//! [`peers`] sends its changes to other gateways, and [`presence`] announces this gateway. In a large fleet,
+//! [`placement`] asks a scheduler where to send requests.
 
 #![forbid(unsafe_code)]
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,67 +1,67 @@
-//! Counters and histograms of a gateway, served as text on its metrics address.
+//! Metrics of a gateway, served as text on its metrics address.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts,
     Registry, TextEncoder,
 };
 
-/// All metrics.
+/// All metrics of a gateway.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by route, service, outcome (which tells the verdict) and cause.
+    /// Requests by route, service, outcome and cause. The outcome says what the caller was told.
     pub requests: IntCounterVec,
-    /// Seconds from a request's arrival to the head of its answer, by route.
+    /// Seconds from the arrival of a request to the head of its answer, by route.
     pub latency: HistogramVec,
     /// Sends to workers by service and outcome.
     pub sends: IntCounterVec,
-    /// Answers that do not bear the id of the request before them, by what was asked.
+    /// Answers that do not match the request sent before them, by kind of request.
     pub foreign_answers: IntCounterVec,
-    /// What workers said of themselves in answers: `leaving`, `rest` or `rate_limit`.
+    /// New notices of workers, by kind: `leaving`, `rest` (back-off) or `rate_limit`.
     pub worker_notices: IntCounterVec,
-    /// Workers that ended under requests which this gateway had sent them.
+    /// Workers that ended while they ran requests of this gateway.
     pub worker_ends: IntCounter,
-    /// Requests that workers may get no more, as workers end under them.
+    /// Requests that are not sent to workers because they crash workers.
     pub barred_requests: IntGauge,
-    /// Questions to schedulers by outcome.
+    /// Placement requests to schedulers, by outcome.
     pub placements: IntCounterVec,
     /// The version of the configuration in force.
     pub configuration_version: IntGauge,
-    /// Workers that take requests.
+    /// Workers that accept requests.
     pub ready_workers: IntGauge,
-    /// The revision of the copy of the store.
+    /// The revision of the mirror of the store.
     pub mirror_revision: IntGauge,
-    /// The epoch of the copy of the store.
+    /// The epoch of the mirror of the store.
     pub mirror_epoch: IntGauge,
-    /// The latest epoch that the store has named to this gateway.
+    /// The latest epoch that the store has reported to this gateway.
     pub store_epoch: IntGauge,
-    /// The revision of the store when this gateway last read it whole.
+    /// The revision of the store when this gateway last read all of it.
     pub store_revision: IntGauge,
-    /// Calls for the store's changes, by outcome: `answered`, `history_gone` or `failed`.
+    /// Requests for changes of the store, by outcome: `answered`, `history_gone` or `failed`.
     pub store_reads: IntCounterVec,
     /// Gateways that share the fleet's budgets.
     pub gateways: IntGauge,
-    /// Workers by service and state, as the store says.
+    /// Workers by service and state, as announced by the store.
     pub workers: IntGaugeVec,
     /// Whether this gateway holds the authority over roles.
     pub holds_authority: IntGauge,
-    /// Orders of workers by kind and outcome.
+    /// Orders of workers from the platform, by kind and outcome.
     pub worker_orders: IntCounterVec,
-    /// Reports of usage by outcome.
+    /// Usage reports to the platform, by outcome.
     pub usage_reports: IntCounterVec,
     /// Milliseconds since the store last answered.
     pub store_age_ms: IntGauge,
-    /// Whether this gateway asks the store itself for changes, and not a relay.
+    /// Whether this gateway requests changes from the store itself and not from a relay.
     pub follows_store: IntGauge,
-    /// Whether what caches held before the start has been recovered.
+    /// Whether the contents of caches from before the start have been recovered.
     pub caches_recovered: IntGauge,
-    /// Retries that this gateway could still spend, by service.
+    /// Retries that this gateway still has, by service.
     pub retries_left: IntGaugeVec,
-    /// Requests under way.
+    /// Requests in progress.
     pub in_flight: IntGauge,
 }
 
 impl Metrics {
-    /// Metrics at zero.
+    /// Creates and registers the metrics.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let metrics = Self {
@@ -73,7 +73,10 @@
                 &["route", "service", "outcome", "cause"],
             )?,
             latency: HistogramVec::new(
-                HistogramOpts::new("gateway_latency_seconds", "Arrival to the answer's head"),
+                HistogramOpts::new(
+                    "gateway_latency_seconds",
+                    "Seconds from a request's arrival to the head of its answer",
+                ),
                 &["route"],
             )?,
             sends: IntCounterVec::new(
@@ -83,29 +86,29 @@
             foreign_answers: IntCounterVec::new(
                 Opts::new(
                     "gateway_foreign_answers_total",
-                    "Answers that do not bear the id of the request before them",
+                    "Answers that do not match the request sent before them",
                 ),
                 &["work"],
             )?,
             worker_notices: IntCounterVec::new(
                 Opts::new(
                     "gateway_worker_notices_total",
-                    "What workers said of themselves in answers",
+                    "New notices that workers attached to answers, by kind",
                 ),
                 &["notice"],
             )?,
             worker_ends: IntCounter::new(
                 "gateway_worker_ends_total",
-                "Workers that ended under requests",
+                "Workers that ended while they ran requests",
             )?,
             barred_requests: IntGauge::new(
                 "gateway_barred_requests",
-                "Requests that workers may get no more",
+                "Requests that are not sent to workers because they crash workers",
             )?,
             placements: IntCounterVec::new(
                 Opts::new(
                     "gateway_placements_total",
-                    "Questions to schedulers by outcome",
+                    "Placement requests to schedulers by outcome",
                 ),
                 &["outcome"],
             )?,
@@ -113,25 +116,34 @@
                 "gateway_configuration_version",
                 "Version of the configuration in force",
             )?,
-            ready_workers: IntGauge::new("gateway_ready_workers", "Workers that take requests")?,
+            ready_workers: IntGauge::new("gateway_ready_workers", "Workers that accept requests")?,
             mirror_revision: IntGauge::new(
                 "gateway_mirror_revision",
-                "Revision of the copy of the store",
+                "Revision of the mirror of the store",
+            )?,
+            mirror_epoch: IntGauge::new(
+                "gateway_mirror_epoch",
+                "Epoch of the mirror of the store",
+            )?,
+            store_epoch: IntGauge::new(
+                "gateway_store_epoch",
+                "Latest epoch that the store reported",
             )?,
-            mirror_epoch: IntGauge::new("gateway_mirror_epoch", "Epoch of the copy of the store")?,
-            store_epoch: IntGauge::new("gateway_store_epoch", "Latest epoch that the store named")?,
             store_revision: IntGauge::new(
                 "gateway_store_revision",
-                "Revision of the store when it was last read whole",
+                "Revision of the store when all of it was last read",
             )?,
             store_reads: IntCounterVec::new(
                 Opts::new(
                     "gateway_store_reads_total",
-                    "Calls for changes of the store",
+                    "Requests for changes of the store by outcome",
                 ),
                 &["outcome"],
             )?,
-            gateways: IntGauge::new("gateway_gateways", "Gateways that share budgets")?,
+            gateways: IntGauge::new(
+                "gateway_gateways",
+                "Gateways that share the budgets of the fleet",
+            )?,
             workers: IntGaugeVec::new(
                 Opts::new("gateway_workers", "Workers by service and state"),
                 &["service", "state"],
@@ -143,12 +155,12 @@
             worker_orders: IntCounterVec::new(
                 Opts::new(
                     "gateway_worker_orders_total",
-                    "Orders of workers by kind and outcome",
+                    "Orders of workers from the platform by kind and outcome",
                 ),
                 &["kind", "outcome"],
             )?,
             usage_reports: IntCounterVec::new(
-                Opts::new("gateway_usage_reports_total", "Reports of usage by outcome"),
+                Opts::new("gateway_usage_reports_total", "Usage reports by outcome"),
                 &["outcome"],
             )?,
             store_age_ms: IntGauge::new(
@@ -157,34 +169,37 @@
             )?,
             follows_store: IntGauge::new(
                 "gateway_follows_store",
-                "Whether this gateway asks the store itself for changes",
+                "Whether this gateway requests changes from the store itself",
             )?,
             caches_recovered: IntGauge::new(
                 "gateway_caches_recovered",
-                "Whether what caches held before the start is known",
+                "Whether the contents of caches from before the start are known",
             )?,
             retries_left: IntGaugeVec::new(
-                Opts::new("gateway_retries_left", "Retries that could still be spent"),
+                Opts::new(
+                    "gateway_retries_left",
+                    "Retries that this gateway still has",
+                ),
                 &["service"],
             )?,
-            in_flight: IntGauge::new("gateway_in_flight", "Requests under way")?,
+            in_flight: IntGauge::new("gateway_in_flight", "Requests in progress")?,
             registry,
         };
         metrics.register()?;
         Ok(metrics)
     }
 
-    /// Counts a question to a scheduler by how it ended.
+    /// Counts a placement request to a scheduler by its outcome.
     pub fn count_placement(&self, outcome: &str) {
         self.placements.with_label_values(&[outcome]).inc();
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
         let families = self.registry.gather();
         if let Err(error) = TextEncoder::new().encode(&families, &mut text) {
-            log::warn!("metrics cannot be encoded: {error}");
+            log::warn!("cannot encode metrics: {error}");
         }
         text
     }
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers whoever distributes callers: ready while this gateway can serve and does not stop.
+//! Endpoints for load balancers and monitoring: the readiness check and the metrics.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -9,8 +9,8 @@
 
 use crate::state::Shared;
 
-/// Answers 200 or 503.
-pub async fn answer(shared: web::Data<Arc<Shared>>) -> HttpResponse {
+/// Answers load balancers: 200 while this gateway can serve requests and is not stopping, otherwise 503.
+pub async fn check(shared: web::Data<Arc<Shared>>) -> HttpResponse {
     if shared.can_serve() && !shared.is_stopping() {
         HttpResponse::Ok().finish()
     } else {
@@ -20,14 +20,14 @@
 
 /// Serves the metrics as text.
 pub async fn metrics(shared: web::Data<Arc<Shared>>) -> HttpResponse {
-    refresh_gauges(&shared);
+    update_gauges(&shared);
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
         .body(shared.metrics.render())
 }
 
-/// Gauges of what changes too often to be set at each change.
-fn refresh_gauges(shared: &Shared) {
+/// Updates the gauges of values that change too often to be set at each change.
+fn update_gauges(shared: &Shared) {
     let metrics = &shared.metrics;
     let gauge = |value: u64| i64::try_from(value).unwrap_or(i64::MAX);
     metrics.store_age_ms.set(gauge(shared.store_age_ms()));
@@ -45,11 +45,11 @@
         metrics.workers.with_label_values(&labels).inc();
     }
     let now = shared.now();
-    for (service, left) in shared.retries.lock().remaining_by_service(now) {
+    for (service, remaining) in shared.retries.lock().remaining_by_service(now) {
         let labels = [service.as_str()];
         metrics
             .retries_left
             .with_label_values(&labels)
-            .set(left as i64);
+            .set(remaining as i64);
     }
 }
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Wires a gateway and runs it until it is told to stop.
+//! Assembles a gateway and runs it until it receives a signal to stop.
 
 use std::any::Any;
 use std::net::SocketAddr;
@@ -47,45 +47,45 @@
     usage, worker_ends, worker_entries, worker_orders,
 };
 
-/// Time that callers' connections may rest.
-const CALLER_IDLE: Duration = Duration::from_secs(75);
-/// Time for a request's head.
-const CALLER_HEAD: Duration = Duration::from_secs(10);
-/// Time after which a caller that takes nothing of what it is sent has left without a word. Only this ends
-/// its connection: while bytes wait to be taken, the server looks at nothing else. Callers wait 5 s at most
-/// as a rule, and one that reads slowly takes something now and then.
-const CALLER_TAKES_NOTHING: Duration = Duration::from_secs(10);
-/// New connections that wait to be accepted.
-const BACKLOG: u32 = 1024;
-/// Pause between two looks at what is under way.
-const STOP_PACE: Duration = Duration::from_millis(20);
-/// Pause between two sweeps of kept connections.
-const PRUNE_PACE: Duration = Duration::from_millis(1_000);
-/// Gateways that share the fleet's budgets before the store has been read.
-const ASSUMED_GATEWAYS: u32 = 16;
+/// Time after which idle connections of callers are closed.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(75);
+/// Maximum time to receive the head of a request.
+const CALLER_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which a caller that acknowledges none of the bytes sent to it is considered gone without having closed its
+/// connection. Nothing else closes such a connection: while the server waits to write, it checks nothing else. Callers
+/// usually wait at most 5 s, and a caller that reads slowly still acknowledges some bytes from time to time.
+const CALLER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of connections that wait to be accepted.
+const ACCEPT_BACKLOG: u32 = 1024;
+/// Interval at which a stopping gateway checks whether requests are in progress.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which idle connections and other expired state are removed.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Number of gateways that are assumed to share the fleet's budgets until the store has been read.
+const ASSUMED_GATEWAY_COUNT: u32 = 16;
 
-/// The world around a gateway.
+/// The protocols and services that a gateway is connected to.
 pub struct Adapter {
-    /// How callers and workers speak.
+    /// The protocol of callers and workers.
     pub protocol: Arc<dyn Protocol>,
-    /// How the store's items read.
+    /// The format of the items in the store.
     pub catalogue: Arc<dyn Catalogue>,
     /// The store.
     pub store: Rc<dyn KeyValueStore>,
-    /// The platform's operations, if it has any.
+    /// The operations that the platform offers, if any.
     pub duties: Option<Rc<dyn DutyService>>,
 }
 
-/// What the running program was built from. While a fleet is upgraded, two builds run side by side.
+/// Version and commit of the running program. During an upgrade of a fleet, two builds run at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Build {
-    /// Its version.
+    /// The version.
     pub version: &'static str,
-    /// The commit of its sources, or `unknown`.
+    /// The commit of the sources, or `unknown`.
     pub commit: &'static str,
 }
 
-/// Runs a gateway until SIGTERM or SIGINT; SIGHUP reads the settings again.
+/// Runs a gateway until SIGTERM or SIGINT. SIGHUP reloads the settings.
 pub async fn run(
     build: Build,
     file: &Path,
@@ -97,12 +97,13 @@
         settings.log.queue_lines,
         settings.log.routine_per_second,
     ));
-    log.start_writer().context("no thread for the log")?;
+    log.start_writer()
+        .context("cannot start the log writer thread")?;
     let shared = share(settings, &adapter, log)?;
     let settings = shared.settings.read().clone();
     serve_callers(&shared, &settings)?;
     serve_peers(&shared, settings.listen.peers)?;
-    serve_checks(&shared, settings.listen.ready, settings.listen.metrics)?;
+    serve_readiness_and_metrics(&shared, settings.listen.ready, settings.listen.metrics)?;
     actix_rt::spawn(follower::follow(
         Arc::clone(&shared),
         Rc::clone(&adapter.store),
@@ -117,15 +118,17 @@
         Arc::clone(&shared),
         Rc::clone(&adapter.store),
     ));
-    actix_rt::spawn(prune(Arc::clone(&shared)));
-    actix_rt::spawn(worker_entries::end_lapses(Arc::clone(&shared)));
+    actix_rt::spawn(run_maintenance(Arc::clone(&shared)));
+    actix_rt::spawn(worker_entries::withdraw_overdue_workers(Arc::clone(
+        &shared,
+    )));
     actix_rt::spawn(worker_entries::log_worker_changes(Arc::clone(&shared)));
     actix_rt::spawn(usage::tell_collector(Arc::clone(&shared)));
     actix_rt::spawn(usage::write_collected(
         Arc::clone(&shared),
         Rc::clone(&adapter.store),
     ));
-    spawn_under_leases(&shared, &adapter);
+    spawn_lease_tasks(&shared, &adapter);
     let event = Event::Started {
         node: &settings.node.name,
         zone: settings.node.zone.as_str(),
@@ -133,30 +136,30 @@
         commit: build.commit,
     };
     shared.log.record(Weight::Important, &event);
-    until_told_to_stop(&shared, file).await?;
+    wait_for_stop_signal(&shared, file).await?;
     stop(&shared).await;
     Ok(())
 }
 
-/// Starts what hangs on a lease; each task ends when the gateway stops.
-fn spawn_under_leases(shared: &Arc<Shared>, adapter: &Adapter) {
+/// Starts the tasks that depend on a lease. Each ends when the gateway stops.
+fn spawn_lease_tasks(shared: &Arc<Shared>, adapter: &Adapter) {
     let store = &adapter.store;
     let own_key = presence::key(&shared.settings.read().node.name);
     let presence = NodeLease::new(&own_key, lease::PRESENCE, true);
     let authority = NodeLease::new(authority_claim::KEY, lease::AUTHORITY, false);
     for lease in [&presence, &authority] {
-        let kept = lease.clone().keep(Arc::clone(shared), Rc::clone(store));
-        actix_rt::spawn(kept);
+        let renewal = lease.clone().keep(Arc::clone(shared), Rc::clone(store));
+        actix_rt::spawn(renewal);
     }
-    let announced = presence::announce(Arc::clone(shared), Rc::clone(store), presence);
-    actix_rt::spawn(announced);
+    let announcement = presence::announce(Arc::clone(shared), Rc::clone(store), presence);
+    actix_rt::spawn(announcement);
     let authority = Authority::new(authority);
-    let seeking = authority.clone().seek(Arc::clone(shared), Rc::clone(store));
-    actix_rt::spawn(seeking);
+    let acquisition = authority.clone().seek(Arc::clone(shared), Rc::clone(store));
+    actix_rt::spawn(acquisition);
     spawn_duties(shared, adapter, &authority);
 }
 
-/// Starts what the holder of the authority does for the site.
+/// Starts the tasks that the holder of the authority performs for the site.
 fn spawn_duties(shared: &Arc<Shared>, adapter: &Adapter, authority: &Authority) {
     let store = || Rc::clone(&adapter.store);
     let roles = role_orders::run(Arc::clone(shared), store(), authority.clone());
@@ -171,7 +174,7 @@
     actix_rt::spawn(workers);
 }
 
-/// What the tasks of a gateway share, before the store was read.
+/// Creates the state that the tasks of a gateway share, as it is before the store has been read.
 pub fn share(
     settings: GatewaySettings,
     adapter: &Adapter,
@@ -189,7 +192,7 @@
         };
         Usage::new(source, timing)
     });
-    let retries = RetryShares::new(settings.retry_share(), ASSUMED_GATEWAYS);
+    let retries = RetryShares::new(settings.retry_share(), ASSUMED_GATEWAY_COUNT);
     let metrics = Metrics::new()?;
     let correlation = Correlation::new(
         Arc::clone(&adapter.protocol),
@@ -231,7 +234,7 @@
         usage,
         log,
         metrics,
-        gateways: AtomicU64::new(u64::from(ASSUMED_GATEWAYS)),
+        gateways: AtomicU64::new(u64::from(ASSUMED_GATEWAY_COUNT)),
         stopping_since: OnceLock::new(),
         in_flight: AtomicU64::new(0),
     }))
@@ -245,25 +248,25 @@
             .default_service(web::to(ingress::serve))
     })
     .workers(settings.node.threads)
-    .backlog(BACKLOG)
-    .keep_alive(CALLER_IDLE)
-    .client_request_timeout(CALLER_HEAD)
+    .backlog(ACCEPT_BACKLOG)
+    .keep_alive(CALLER_IDLE_TIMEOUT)
+    .client_request_timeout(CALLER_HEAD_TIMEOUT)
     .h1_allow_half_closed(false)
-    .on_connect(|connection, _| end_if_nothing_is_taken(connection))
+    .on_connect(|connection, _| set_stall_timeout(connection))
     .disable_signals()
     .bind(settings.listen.callers)
     .with_context(|| format!("listen.callers = {}", settings.listen.callers))?;
-    detach(server.run());
+    spawn_server(server.run());
     Ok(())
 }
 
-fn end_if_nothing_is_taken(connection: &dyn Any) {
+fn set_stall_timeout(connection: &dyn Any) {
     let Some(stream) = connection.downcast_ref::<TcpStream>() else {
         return;
     };
-    let limited = SockRef::from(stream).set_tcp_user_timeout(Some(CALLER_TAKES_NOTHING));
-    if let Err(error) = limited {
-        log::warn!("a silent caller will hold its connection: {error}");
+    let result = SockRef::from(stream).set_tcp_user_timeout(Some(CALLER_STALL_TIMEOUT));
+    if let Err(error) = result {
+        log::warn!("cannot limit the time that a silent caller holds its connection: {error}");
     }
 }
 
@@ -279,23 +282,27 @@
     .disable_signals()
     .bind(address)
     .with_context(|| format!("listen.peers = {address}"))?;
-    detach(server.run());
+    spawn_server(server.run());
     Ok(())
 }
 
-fn serve_checks(shared: &Arc<Shared>, ready: SocketAddr, metrics: SocketAddr) -> Result<()> {
+fn serve_readiness_and_metrics(
+    shared: &Arc<Shared>,
+    ready: SocketAddr,
+    metrics: SocketAddr,
+) -> Result<()> {
     let data = web::Data::new(Arc::clone(shared));
     let server = HttpServer::new(move || {
         App::new()
             .app_data(data.clone())
             .route("/metrics", web::get().to(readiness::metrics))
-            .default_service(web::to(readiness::answer))
+            .default_service(web::to(readiness::check))
     })
     .workers(1)
     .disable_signals()
     .bind(ready)
     .with_context(|| format!("listen.ready = {ready}"))?;
-    // Metrics are worth a warning, not the gateway, if their port is taken.
+    // If the port for metrics is in use, the gateway logs a warning and runs without metrics on that port.
     let server = match std::net::TcpListener::bind(metrics) {
         Ok(listener) => server.listen(listener)?,
         Err(error) => {
@@ -303,21 +310,21 @@
             server
         }
     };
-    detach(server.run());
+    spawn_server(server.run());
     Ok(())
 }
 
-fn detach(server: Server) {
+fn spawn_server(server: Server) {
     actix_rt::spawn(async move {
         if let Err(error) = server.await {
-            log::error!("a server ended: {error}");
+            log::error!("an HTTP server stopped: {error}");
         }
     });
 }
 
-async fn prune(shared: Arc<Shared>) {
+async fn run_maintenance(shared: Arc<Shared>) {
     loop {
-        sleep(PRUNE_PACE).await;
+        sleep(MAINTENANCE_INTERVAL).await;
         shared
             .connections
             .prune(|worker| shared.directory.lock().get(worker).is_some());
@@ -329,10 +336,12 @@
     }
 }
 
-async fn until_told_to_stop(shared: &Shared, file: &Path) -> Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).context("no signal handler")?;
-    let mut interrupt = signal(SignalKind::interrupt()).context("no signal handler")?;
-    let mut hangup = signal(SignalKind::hangup()).context("no signal handler")?;
+async fn wait_for_stop_signal(shared: &Shared, file: &Path) -> Result<()> {
+    let mut terminate =
+        signal(SignalKind::terminate()).context("cannot install a signal handler")?;
+    let mut interrupt =
+        signal(SignalKind::interrupt()).context("cannot install a signal handler")?;
+    let mut hangup = signal(SignalKind::hangup()).context("cannot install a signal handler")?;
     let file: PathBuf = file.to_owned();
     loop {
         tokio::select! {
@@ -343,8 +352,8 @@
     }
 }
 
-/// Reads the settings again; what was in force stays so if they are faulty. Addresses and threads
-/// take effect at the next start.
+/// Reloads the settings. If they are invalid, the current ones remain in force. Changed addresses and thread counts take
+/// effect at the next start.
 fn reload(shared: &Shared, file: &Path) {
     let name = file.display().to_string();
     let outcome = std::fs::read_to_string(file)
@@ -365,7 +374,8 @@
     shared.log.record(Weight::Important, &event);
 }
 
-/// Finishes what is under way. New callers are served until whoever distributes them has noticed.
+/// Waits for requests in progress. New callers are served until the load balancer has noticed that this gateway is
+/// stopping.
 async fn stop(shared: &Shared) {
     let in_flight = || shared.in_flight.load(Ordering::Relaxed);
     let since = *shared.stopping_since.get_or_init(|| shared.now());
@@ -375,11 +385,11 @@
     shared.log.record(Weight::Important, &event);
     let plan = shared.stop_plan();
     while !plan.may_exit(shared.now().since(since), in_flight()) {
-        sleep(STOP_PACE).await;
+        sleep(STOP_CHECK_INTERVAL).await;
     }
     let event = Event::Stopped {
         in_flight: in_flight(),
     };
     shared.log.record(Weight::Important, &event);
-    sleep(STOP_PACE).await;
+    sleep(STOP_CHECK_INTERVAL).await;
 }
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -1,4 +1,4 @@
-//! Accounts for one send to a worker, also when its task is dropped in the middle.
+//! Accounting for one send to a worker. It also takes place if the task of the send is dropped before the end.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::state::{whole_millis, Shared};
 use crate::worker_request::Asked;
 
-/// What a send that was not sent says of its worker.
+/// Returns the result of a send that failed before anything was sent.
 pub fn result_of(reason: &Unconnected) -> SendResult {
     match reason {
         Unconnected::NothingListens => SendResult::Absent,
@@ -26,45 +26,45 @@
     }
 }
 
-/// What is sent where.
+/// What is sent, and to which worker.
 pub struct Sent {
-    /// The caller's id of the request.
+    /// The id that the caller gave the request.
     pub request_id: String,
-    /// What the request asks for.
+    /// The fingerprint of the request's content.
     pub fingerprint: Fingerprint,
     /// The name of its route.
     pub route: String,
     /// The worker.
     pub worker: WorkerId,
-    /// Its service.
+    /// The service of the worker.
     pub service: ServiceName,
-    /// What is asked: running the request, or reading its prompt.
+    /// The kind of the request to the worker: running the request, or reading its prompt.
     pub asked: Asked,
-    /// The prompt, for model engines.
+    /// The prompt of a request to a model engine.
     pub prompt: Vec<PromptPart>,
-    /// What is needed of the worker.
+    /// What the worker is needed for.
     pub need: Need,
 }
 
-/// One send under way.
+/// A send in progress. Dropping the guard records the end of the send.
 pub struct SendGuard {
     shared: Arc<Shared>,
     sent: Sent,
     ticket: SendTicket,
-    /// What a scheduler said of the send, if it has chosen the worker.
+    /// The placement by a scheduler, if one has selected the worker.
     placement: Option<OpenPlacement>,
     planned_tokens: u64,
     began: Timestamp,
-    number: SendId,
+    send_id: SendId,
     result: SendResult,
-    /// Whether the worker has answered whole, so that it runs the request no more.
-    is_whole: bool,
+    /// Whether the worker has answered completely and therefore no longer runs the request.
+    is_answer_complete: bool,
     detail: String,
-    head: Option<Duration>,
+    head_latency: Option<Duration>,
 }
 
 impl SendGuard {
-    /// Counts a send as begun; `placement` is the scheduler's, if it has chosen the worker.
+    /// Records the start of a send. `placement` is set if a scheduler has selected the worker.
     pub fn begin(shared: &Arc<Shared>, sent: Sent, placement: Option<OpenPlacement>) -> Self {
         let now = shared.now();
         let zone = shared.zone();
@@ -81,9 +81,9 @@
         let mut directory = shared.directory.lock();
         let ticket = directory.begin_send(now, &sent.worker, demand, &sent.need);
         drop(directory);
-        let number = shared.sends.lock().begin(&sent.worker, sent.fingerprint);
-        let placed = placement.as_ref().map(OpenPlacement::placement);
-        let planned_tokens = placed.map(|placed| placed.reading_tokens);
+        let send_id = shared.sends.lock().begin(&sent.worker, sent.fingerprint);
+        let scheduled = placement.as_ref().map(OpenPlacement::placement);
+        let planned_tokens = scheduled.map(|placement| placement.reading_tokens);
         Self {
             shared: Arc::clone(shared),
             planned_tokens: planned_tokens.unwrap_or(ticket.reading_tokens()),
@@ -91,54 +91,55 @@
             ticket,
             placement,
             began: now,
-            number,
-            is_whole: false,
+            send_id,
+            is_answer_complete: false,
             result: SendResult::Abandoned { silent: true },
             detail: String::new(),
-            head: None,
+            head_latency: None,
         }
     }
 
-    /// The worker from which the chosen one should fetch what it lacks of the prompt.
+    /// Returns the address of the worker from which the selected one should fetch prompt parts that it lacks.
     pub fn fetch_from(&self) -> Option<SocketAddr> {
-        match self.placed() {
-            Some(placed) => placed.fetch_from,
+        match self.scheduled_placement() {
+            Some(placement) => placement.fetch_from,
             None => self.ticket.fetch_from(),
         }
     }
 
-    /// Whether reading what is still to be read costs an engine hardly more than any prompt does.
+    /// Returns whether reading the remaining prompt tokens costs an engine hardly more than any prompt does.
     pub fn is_short_reading(&self) -> bool {
-        match self.placed() {
-            Some(placed) => placed.short_reading,
+        match self.scheduled_placement() {
+            Some(placement) => placement.short_reading,
             None => self.ticket.is_short_reading(),
         }
     }
 
-    /// Whether the scheduler that placed it has taken it off the worker's rate limit.
+    /// Returns whether the scheduler that placed it has taken a token of the worker's rate limit for it.
     pub fn has_rate_token(&self) -> bool {
-        self.placed().is_some_and(|placed| placed.has_rate_token)
+        self.scheduled_placement()
+            .is_some_and(|placement| placement.has_rate_token)
     }
 
-    /// The time after which the answer was expected when the send began.
+    /// Returns the latency of the answer that was expected when the send began.
     pub fn expected(&self) -> Duration {
-        match self.placed() {
-            Some(placed) => placed.expected_latency,
+        match self.scheduled_placement() {
+            Some(placement) => placement.expected_latency,
             None => self.ticket.expected_latency(),
         }
     }
 
-    /// What is asked of the worker.
+    /// Returns the kind of the request to the worker.
     pub fn asked(&self) -> Asked {
         self.sent.asked
     }
 
-    /// When the send began.
+    /// Returns when the send began.
     pub fn began(&self) -> Timestamp {
         self.began
     }
 
-    /// Whether the worker may still run the request.
+    /// Returns whether the worker may still be running the request.
     fn may_run(&self) -> bool {
         let is_unsent = matches!(
             self.result,
@@ -147,22 +148,22 @@
                 | SendResult::Unreachable
                 | SendResult::Absent
         );
-        !self.is_whole && !is_unsent
+        !self.is_answer_complete && !is_unsent
     }
 
-    fn leave_ledger(&self, now: Timestamp) {
+    fn update_send_tracker(&self, now: Timestamp) {
         let mut sends = self.shared.sends.lock();
         match self.may_run() {
-            true => sends.abandon(now, &self.sent.worker, self.number),
-            false => sends.finish(&self.sent.worker, self.number),
+            true => sends.abandon(now, &self.sent.worker, self.send_id),
+            false => sends.finish(&self.sent.worker, self.send_id),
         }
     }
 
-    fn placed(&self) -> Option<&Placement> {
+    fn scheduled_placement(&self) -> Option<&Placement> {
         self.placement.as_ref().map(OpenPlacement::placement)
     }
 
-    /// The answer begins: the prompt has been read.
+    /// Records that the answer has begun, which means that the prompt has been read.
     pub fn answered(&mut self) {
         let now = self.shared.now();
         let latency = now.since(self.began);
@@ -172,13 +173,13 @@
         if let Some(placement) = &self.placement {
             placement.prompt_was_read(latency);
         }
-        self.head = Some(latency);
+        self.head_latency = Some(latency);
         self.result = SendResult::Answered { latency };
     }
 
-    /// The worker has answered whole, be it with a failure.
+    /// Records that the worker has answered completely, even with an error.
     pub fn answered_whole(&mut self) {
-        self.is_whole = true;
+        self.is_answer_complete = true;
         if self.sent.asked == Asked::Run {
             let now = self.shared.now();
             let mut quarantine = self.shared.quarantine.lock();
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Sets how the send ended, and what the worker or the connection said.
+    /// Sets the result of the send, and the detail that the worker or the connection reported.
     pub fn ended(&mut self, result: SendResult, detail: impl Into<String>) {
         self.result = result;
         self.detail = detail.into();
@@ -199,7 +200,7 @@
         let mut directory = self.shared.directory.lock();
         directory.end_send(now, &self.ticket, &self.sent.prompt, self.result);
         drop(directory);
-        self.leave_ledger(now);
+        self.update_send_tracker(now);
         if let Some(placement) = &mut self.placement {
             placement.end(self.result);
         }
@@ -224,7 +225,7 @@
             reading_tokens: self.planned_tokens,
             fetched: self.fetch_from().is_some(),
             expected_ms: whole_millis(self.expected()),
-            head_ms: self.head.map_or(0, whole_millis),
+            head_ms: self.head_latency.map_or(0, whole_millis),
             took_ms: whole_millis(now.since(self.began)),
         };
         self.shared.log.record(weight, &event);
--- a/crates/gateway/src/worker_ends.rs
+++ b/crates/gateway/src/worker_ends.rs
@@ -1,14 +1,14 @@
-//! Finds out which workers have ended under requests, and tells which requests these were.
+//! Detects workers that ended while they ran requests, and reports these requests to the quarantine.
 //!
-//! A connection that is lost proves nothing: links break, and a faulty worker closes connections and lives.
-//! So the worker is looked after for a while. It has ended if the store announces it as ready and
+//! A lost connection alone proves nothing: network links fail, and a faulty worker may close connections and continue to
+//! run. The worker is therefore watched for a while. It has ended if the store announces it as ready and
 //!
-//! - nothing listens at its address, or
-//! - its entry goes, or says that it has started again, and another life of it or another worker is announced at
-//!   its address: it was back before this gateway, frozen perhaps, could look.
+//! - its address refuses connections, or
+//! - its entry disappears, or says that the worker has restarted, and another incarnation of it or another worker is
+//!   announced at its address: it returned before this gateway, which may have been frozen, could check the address.
 //!
-//! One that leaves as planned says so first, in the store or in an answer, or its entry goes before its connections;
-//! one that was cut off does not refuse.
+//! A worker that leaves as planned announces it first, in the store or in an answer, or its entry disappears before its
+//! connections do. A worker that is unreachable because of the network does not refuse connections.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -28,37 +28,43 @@
 use crate::quarantine;
 use crate::state::Shared;
 
-/// Time for a worker that lives to accept a connection, or for the machine of one that does not to refuse it.
+/// Maximum time for a running worker to accept a connection, or for the machine of an ended one to refuse it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a worker is looked after: an entry runs out after three silent beats, some 4 s.
-const WATCH: Duration = Duration::from_secs(5);
-/// Pause between two looks at what the store announces.
-const PACE: Duration = Duration::from_millis(250);
-/// The least time between two connections to a worker that loses connections again and again.
-const CONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// Requests that a log line names.
-const MAX_NAMED: usize = 16;
+/// How long a worker is watched. This is longer than the time after which an entry expires: three missed refreshes, about
+/// 4 s.
+const WATCH_WINDOW: Duration = Duration::from_secs(5);
+/// Interval at which the announcements of the store are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time between two connection attempts to a worker that repeatedly loses connections.
+const MIN_CONNECT_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of requests that a log line lists.
+const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// Workers that are looked after, and how to tell that another of their connections was lost.
-type Watched = Arc<Mutex<HashMap<WorkerId, Arc<Notify>>>>;
+/// Workers that are being watched, each with the notification that another of its connections was lost.
+type WatchedWorkers = Arc<Mutex<HashMap<WorkerId, Arc<Notify>>>>;
 
-/// Looks into losses for ever.
+/// Processes reported losses for as long as the gateway runs.
 pub async fn watch(shared: Arc<Shared>) {
-    let watched = Watched::default();
+    let watched = WatchedWorkers::default();
     while let Some((loss, destination)) = shared.connections.losses.next().await {
-        match (announced(&shared, &destination), loss) {
-            (Announced::Leaving | Announced::Gone | Announced::Replaced, _) => {}
-            (Announced::Reborn, _) | (Announced::Ready, Loss::NothingListens) => {
-                note_end(&shared, &destination.worker);
+        match (announced_state(&shared, &destination), loss) {
+            (AnnouncedState::Leaving | AnnouncedState::Gone | AnnouncedState::Replaced, _) => {}
+            (AnnouncedState::Restarted, _) | (AnnouncedState::Ready, Loss::NothingListens) => {
+                record_end(&shared, &destination.worker);
             }
-            (Announced::Ready, Loss::Broken | Loss::Silent) => {
-                look_after(&shared, &watched, loss, destination);
+            (AnnouncedState::Ready, Loss::Broken | Loss::Silent) => {
+                watch_worker(&shared, &watched, loss, destination);
             }
         }
     }
 }
 
-fn look_after(shared: &Arc<Shared>, watched: &Watched, loss: Loss, destination: Destination) {
+fn watch_worker(
+    shared: &Arc<Shared>,
+    watched: &WatchedWorkers,
+    loss: Loss,
+    destination: Destination,
+) {
     let mut by_worker = watched.lock();
     if let Some(lost_again) = by_worker.get(&destination.worker) {
         if loss == Loss::Broken {
@@ -72,67 +78,76 @@
     let shared = Arc::clone(shared);
     let watched = Arc::clone(watched);
     actix_rt::spawn(async move {
-        if ends(&shared, loss, &destination, &lost_again).await {
-            note_end(&shared, &destination.worker);
+        if has_ended(&shared, loss, &destination, &lost_again).await {
+            record_end(&shared, &destination.worker);
         }
         watched.lock().remove(&destination.worker);
     });
 }
 
-/// Whether a worker turns out to have ended. One that is only silent is busy as a rule, and is not kept from
-/// its work by a connection: what the store says of it is enough.
-async fn ends(shared: &Shared, loss: Loss, destination: &Destination, lost_again: &Notify) -> bool {
+/// Watches a worker and returns whether it has ended. A worker that is only silent is usually busy, and connection
+/// attempts would keep it from its work: its state in the store is checked instead.
+async fn has_ended(
+    shared: &Shared,
+    loss: Loss,
+    destination: &Destination,
+    lost_again: &Notify,
+) -> bool {
     let began = shared.now();
-    let mut looks = loss == Loss::Broken;
-    while shared.now().since(began) < WATCH {
-        if looks && nothing_listens(destination.address).await {
+    let mut should_connect = loss == Loss::Broken;
+    while shared.now().since(began) < WATCH_WINDOW {
+        if should_connect && refuses_connections(destination.address).await {
             return true;
         }
-        match announced(shared, destination) {
-            Announced::Replaced | Announced::Reborn => return true,
-            Announced::Leaving => return false,
-            Announced::Ready | Announced::Gone => {}
+        match announced_state(shared, destination) {
+            AnnouncedState::Replaced | AnnouncedState::Restarted => return true,
+            AnnouncedState::Leaving => return false,
+            AnnouncedState::Ready | AnnouncedState::Gone => {}
         }
-        sleep(CONNECT_PAUSE).await;
-        looks = timeout(PACE, lost_again.notified()).await.is_ok();
+        sleep(MIN_CONNECT_INTERVAL).await;
+        should_connect = timeout(CHECK_INTERVAL, lost_again.notified()).await.is_ok();
     }
     false
 }
 
-async fn nothing_listens(address: SocketAddr) -> bool {
+async fn refuses_connections(address: SocketAddr) -> bool {
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connected, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// What the store says of a worker.
-enum Announced {
+/// The state of a worker as the store announces it.
+enum AnnouncedState {
     Ready,
     Leaving,
     Gone,
-    /// It is gone, and another one is at its address.
+    /// It is gone, and another worker is announced at its address.
     Replaced,
-    /// It was ready, and has started again under its name.
-    Reborn,
+    /// It was ready, and has restarted under the same name.
+    Restarted,
 }
 
-fn announced(shared: &Shared, destination: &Destination) -> Announced {
-    if shared.worker_entries.lock().was_reborn(&destination.worker) {
-        return Announced::Reborn;
+fn announced_state(shared: &Shared, destination: &Destination) -> AnnouncedState {
+    if shared
+        .worker_entries
+        .lock()
+        .has_restarted(&destination.worker)
+    {
+        return AnnouncedState::Restarted;
     }
     let directory = shared.directory.lock();
     let last = directory.last_announced(&destination.worker);
-    let is_announced_so = last.is_some_and(|worker| worker.state == WorkerState::Draining);
-    if is_announced_so || directory.has_stated_leaving(&destination.worker) {
-        return Announced::Leaving;
+    let is_announced_as_leaving = last.is_some_and(|worker| worker.state == WorkerState::Draining);
+    if is_announced_as_leaving || directory.has_stated_leaving(&destination.worker) {
+        return AnnouncedState::Leaving;
     }
     match directory.get(&destination.worker) {
-        Some(_) => Announced::Ready,
-        None if directory.is_announced_at(destination.address) => Announced::Replaced,
-        None => Announced::Gone,
+        Some(_) => AnnouncedState::Ready,
+        None if directory.is_announced_at(destination.address) => AnnouncedState::Replaced,
+        None => AnnouncedState::Gone,
     }
 }
 
-fn note_end(shared: &Shared, worker: &WorkerId) {
+fn record_end(shared: &Shared, worker: &WorkerId) {
     let requests = shared
         .sends
         .lock()
@@ -141,24 +156,24 @@
         return;
     }
     shared.metrics.worker_ends.inc();
-    record(shared, worker, requests.iter());
+    log_end(shared, worker, requests.iter());
     quarantine::worker_ended(shared, worker, requests);
 }
 
-fn record<'a>(
+fn log_end<'a>(
     shared: &Shared,
     worker: &WorkerId,
     requests: impl ExactSizeIterator<Item = &'a Fingerprint>,
 ) {
     let count = requests.len();
-    let named: Vec<String> = requests
-        .take(MAX_NAMED)
+    let fingerprints: Vec<String> = requests
+        .take(MAX_LOGGED_REQUESTS)
         .map(Fingerprint::to_string)
         .collect();
     let event = Event::WorkerEnded {
         worker: worker.as_str(),
         requests: count,
-        fingerprints: &named,
+        fingerprints: &fingerprints,
     };
     shared.log.record(Weight::Important, &event);
 }
--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -1,10 +1,10 @@
-//! Workers' entries in the copy of the store become the workers that this gateway knows, entry by entry.
+//! Updates the directory of workers from the workers' entries in the mirror of the store, entry by entry.
 //!
-//! An entry belongs to the worker whose name its key is; each start of the worker is another life ([`WorkerId`]).
-//! Entries that name no worker that could be used are passed over.
+//! The key of an entry is the worker's name; each start of the worker is another incarnation ([`WorkerId`]). Entries that
+//! do not describe a usable worker are ignored.
 //!
-//! A restored store says again what it said some seconds before: also of workers that have said since that they leave,
-//! or that have left. Those stay known as leaving.
+//! A store that was restored from a backup announces its state of some seconds earlier, including workers that have since
+//! said that they are leaving, or that have departed. These remain known as leaving.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,37 +14,37 @@
 use tansyhall_forwarding::{Item, Position, Touched, Worker, WorkerId, WorkerState};
 use tokio::time::sleep;
 
-use crate::departed_workers::LeftWorkers;
+use crate::departed_workers::DepartedWorkers;
 use crate::events::{Event, Weight};
 use crate::state::Shared;
 use crate::store_copy::record_refused;
 
-/// The least time between two lines about changes of the workers.
-const CHANGES_PACE: Duration = Duration::from_millis(1_000);
-/// Pause between two looks for workers that are overdue.
-const LAPSE_PACE: Duration = Duration::from_millis(200);
+/// Minimum time between two log lines about changes of the workers.
+const CHANGE_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval at which overdue workers and distrusted entries are checked.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The workers' entries as they were decoded last, by name.
+/// The workers' entries as last decoded, by name.
 #[derive(Debug, Default)]
 pub struct WorkerEntries {
     entries: HashMap<String, WorkerEntry>,
-    left: LeftWorkers,
+    departed: DepartedWorkers,
 }
 
-/// An entry.
+/// A decoded entry.
 #[derive(Debug)]
 struct WorkerEntry {
     written: Position,
-    /// The worker that it names, if it names one.
+    /// The worker that it describes, if it describes a usable one.
     worker: Option<Worker>,
-    /// Whether that worker was announced to the directory: its service is one of the configuration's.
-    announced: bool,
-    /// The life before this one, if it took requests until this one began.
-    ended_life: Option<WorkerId>,
+    /// Whether the worker was announced to the directory: its service is part of the configuration.
+    is_announced: bool,
+    /// The previous incarnation, if it ended without notice: it was ready until this one started.
+    ended_incarnation: Option<WorkerId>,
 }
 
 impl WorkerEntry {
-    /// Whether it says that this worker leaves.
+    /// Returns whether it says that this worker is leaving.
     fn says_leaving(&self, id: &WorkerId) -> bool {
         let worker = self.worker.as_ref();
         worker.is_some_and(|worker| worker.id == *id && worker.state == WorkerState::Draining)
@@ -52,26 +52,28 @@
 }
 
 impl WorkerEntries {
-    /// Whether a life of a worker has ended without notice: another one has begun under its name.
-    pub fn was_reborn(&self, id: &WorkerId) -> bool {
+    /// Returns whether an incarnation of a worker has ended without notice, because another one has started under the same
+    /// name.
+    pub fn has_restarted(&self, id: &WorkerId) -> bool {
         let entry = self.entries.get(id.as_str());
-        entry.is_some_and(|entry| entry.ended_life.as_ref() == Some(id))
+        entry.is_some_and(|entry| entry.ended_incarnation.as_ref() == Some(id))
     }
 
-    /// Forgets workers that have left long ago, and returns the names of entries that count again, to be taken in anew.
+    /// Forgets workers that departed long ago, and returns the names of entries that are trusted again and must be
+    /// refreshed.
     fn expire(&mut self, now: Timestamp) -> Vec<String> {
-        let credible = self.left.expire(now);
-        for name in &credible {
+        let trusted_again = self.departed.expire(now);
+        for name in &trusted_again {
             let entry = self.entries.remove(name);
             if let Some(worker) = entry.and_then(|entry| entry.worker) {
-                self.left.forget(&worker.id);
+                self.departed.remove(&worker.id);
             }
         }
-        credible
+        trusted_again
     }
 }
 
-/// Takes in the entries that were touched. `services_changed` tells that the configuration names other services.
+/// Applies the entries that were touched. `services_changed` says that the services of the configuration have changed.
 pub fn refresh(shared: &Arc<Shared>, touched: &Touched, services_changed: bool) {
     let prefix = shared.catalogue.worker_prefix();
     match touched {
@@ -93,7 +95,7 @@
     log_if_changed(shared);
 }
 
-/// The names of all entries, those that are gone included.
+/// Returns the names of all entries, including those that were removed from the store.
 fn all_names(shared: &Shared, prefix: &str) -> Vec<String> {
     let mirror = shared.mirror.lock();
     let listed = mirror.items_with_prefix(prefix);
@@ -107,7 +109,7 @@
     names
 }
 
-/// Takes in what the copy of the store says under a name now.
+/// Applies the current state of one entry in the mirror of the store.
 fn refresh_entry(shared: &Shared, name: &str) {
     let key = format!("{}{name}", shared.catalogue.worker_prefix());
     let mirror = shared.mirror.lock();
@@ -115,113 +117,125 @@
     let epoch = mirror.position().epoch;
     drop(mirror);
     let mut known = shared.worker_entries.lock();
-    let before = known.entries.remove(name);
+    let previous = known.entries.remove(name);
     let Some(item) = item else {
-        let announced = before.filter(|entry| entry.announced);
+        let announced = previous.filter(|entry| entry.is_announced);
         if let Some(worker) = announced.and_then(|entry| entry.worker) {
-            known.left.remember(&worker.id, epoch, shared.now());
+            known.departed.record(&worker.id, epoch, shared.now());
             drop(known);
-            entry_gone(shared, &worker);
+            handle_removed_entry(shared, &worker);
         }
         return;
     };
-    let entry = match before {
+    let entry = match previous {
         Some(unchanged) if unchanged.written == item.written => unchanged,
-        before => changed_entry(shared, &mut known, name, &item, before),
+        previous => apply_written_entry(shared, &mut known, name, &item, previous),
     };
     known.entries.insert(name.to_owned(), entry);
 }
 
-/// Takes in an entry that was written.
-fn changed_entry(
+/// Decodes and applies an entry that was written.
+fn apply_written_entry(
     shared: &Shared,
     known: &mut WorkerEntries,
     name: &str,
     item: &Item,
-    before: Option<WorkerEntry>,
+    previous: Option<WorkerEntry>,
 ) -> WorkerEntry {
     let decoded = shared.catalogue.worker(name, &item.value);
     let worker = decoded.map_err(|error| record_refused(shared, item, &error));
     let worker = worker.map(|worker| {
-        let left = &mut known.left;
-        match leaves_still(left, shared.now(), &worker, item.written, before.as_ref()) {
-            true => leaving(worker),
+        let departed = &mut known.departed;
+        match is_still_leaving(
+            departed,
+            shared.now(),
+            &worker,
+            item.written,
+            previous.as_ref(),
+        ) {
+            true => as_leaving(worker),
             false => worker,
         }
     });
-    let before_worker = before.as_ref().and_then(|entry| entry.worker.as_ref());
-    let worker = match (worker.ok(), before_worker) {
-        // What an earlier life wrote came late: the later one is there.
+    let previous_worker = previous.as_ref().and_then(|entry| entry.worker.as_ref());
+    let worker = match (worker.ok(), previous_worker) {
+        // A late write by an earlier incarnation: the later one remains.
         (Some(worker), Some(later)) if worker.id.is_earlier_incarnation_of(&later.id) => {
             Some(later.clone())
         }
         (worker, _) => worker,
     };
-    let ended_life = ended_life(shared, before.as_ref(), worker.as_ref());
-    let announced_before = before.filter(|entry| entry.announced);
-    if let Some(gone) = announced_before.and_then(|entry| entry.worker) {
+    let ended_incarnation = ended_incarnation(shared, previous.as_ref(), worker.as_ref());
+    let announced_previously = previous.filter(|entry| entry.is_announced);
+    if let Some(gone) = announced_previously.and_then(|entry| entry.worker) {
         if worker.as_ref().is_none_or(|worker| worker.id != gone.id) {
             shared.directory.lock().withdraw(&gone.id);
         }
     }
-    let announced = worker
+    let is_announced = worker
         .as_ref()
         .is_some_and(|worker| announce(shared, worker));
     WorkerEntry {
         written: item.written,
         worker,
-        announced,
-        ended_life,
+        is_announced,
+        ended_incarnation,
     }
 }
 
-/// Whether a worker leaves, or has left, though a restored store says that it is ready. What was written since the
-/// restore is believed.
-fn leaves_still(
-    left: &mut LeftWorkers,
+/// Returns whether a worker is leaving or has departed although a restored store says that it is ready. Entries that were
+/// written since the restore are trusted.
+fn is_still_leaving(
+    departed: &mut DepartedWorkers,
     now: Timestamp,
     worker: &Worker,
     written: Position,
-    before: Option<&WorkerEntry>,
+    previous: Option<&WorkerEntry>,
 ) -> bool {
-    match before {
-        Some(before) if before.written.epoch == written.epoch => false,
-        Some(before) => before.says_leaving(&worker.id),
-        None if left.had_left(&worker.id, written) => {
-            left.doubt(worker.id.as_str(), now);
+    match previous {
+        Some(previous) if previous.written.epoch == written.epoch => false,
+        Some(previous) => previous.says_leaving(&worker.id),
+        None if departed.had_departed(&worker.id, written) => {
+            departed.distrust(worker.id.as_str(), now);
             true
         }
         None => false,
     }
 }
 
-fn leaving(worker: Worker) -> Worker {
+fn as_leaving(worker: Worker) -> Worker {
     Worker {
         state: WorkerState::Draining,
         ..worker
     }
 }
 
-/// The life that has ended without notice as an entry names another, or had ended so before.
-fn ended_life(
+/// Returns the incarnation that has ended without notice, because an entry names another one now or did so before.
+fn ended_incarnation(
     shared: &Shared,
-    before: Option<&WorkerEntry>,
+    previous: Option<&WorkerEntry>,
     worker: Option<&Worker>,
 ) -> Option<WorkerId> {
-    let before = before?;
-    let was = before.worker.as_ref()?;
+    let previous = previous?;
+    let previous_worker = previous.worker.as_ref()?;
     match worker {
-        Some(worker) if worker.id != was.id => {
-            let has_said = || shared.directory.lock().has_stated_leaving(&was.id);
-            let is_without_notice = was.state == WorkerState::Ready && !has_said();
-            is_without_notice.then(|| was.id.clone())
+        Some(worker) if worker.id != previous_worker.id => {
+            let has_stated_leaving = || {
+                shared
+                    .directory
+                    .lock()
+                    .has_stated_leaving(&previous_worker.id)
+            };
+            let ended_without_notice =
+                previous_worker.state == WorkerState::Ready && !has_stated_leaving();
+            ended_without_notice.then(|| previous_worker.id.clone())
         }
-        _ => before.ended_life.clone(),
+        _ => previous.ended_incarnation.clone(),
     }
 }
 
-/// Announces a worker to the directory if the configuration names its service. An entry may come from anybody;
-/// nothing is to be sent to a worker of a service that is none.
+/// Announces a worker to the directory if its service is part of the configuration, and returns whether it is. Anyone may
+/// write an entry; nothing may be sent to a worker of an unknown service.
 fn announce(shared: &Shared, worker: &Worker) -> bool {
     let lapsed = shared
         .lapsed_workers
@@ -232,65 +246,70 @@
         directory.withdraw(&lapsed);
     }
     let in_force = shared.in_force();
-    let is_named =
+    let is_known_service =
         in_force.is_some_and(|in_force| in_force.configuration.service(&worker.service).is_some());
-    match is_named {
+    match is_known_service {
         true => directory.announce_one(worker.clone()),
         false => directory.withdraw(&worker.id),
     }
-    is_named
+    is_known_service
 }
 
-fn entry_gone(shared: &Shared, worker: &Worker) {
+fn handle_removed_entry(shared: &Shared, worker: &Worker) {
     let returned = shared.store_contact.returned();
-    let leaves = shared.directory.lock().has_stated_leaving(&worker.id);
+    let is_leaving = shared.directory.lock().has_stated_leaving(&worker.id);
     let mut lapsed = shared.lapsed_workers.lock();
-    let counts = !leaves && lapsed.record_missing_entry(shared.now(), returned, worker);
+    let is_usable = !is_leaving && lapsed.record_missing_entry(shared.now(), returned, worker);
     drop(lapsed);
-    if !counts {
+    if !is_usable {
         shared.directory.lock().withdraw(&worker.id);
     }
 }
 
-/// Announces all workers anew, as other services are named than before.
+/// Announces all workers again after the services of the configuration have changed.
 fn announce_all(shared: &Shared) {
     let mut known = shared.worker_entries.lock();
     for entry in known.entries.values_mut() {
-        entry.announced = entry
+        entry.is_announced = entry
             .worker
             .as_ref()
             .is_some_and(|worker| announce(shared, worker));
     }
 }
 
-/// Takes workers whose entries ran out while the store was away for gone once they are overdue.
-pub async fn end_lapses(shared: Arc<Shared>) {
+/// Withdraws workers whose entries expired while the store was unavailable, once they are overdue. Also refreshes entries
+/// that are trusted again.
+pub async fn withdraw_overdue_workers(shared: Arc<Shared>) {
     loop {
-        sleep(LAPSE_PACE).await;
+        sleep(EXPIRY_CHECK_INTERVAL).await;
         let returned = shared.store_contact.returned();
         let now = shared.now();
         let overdue = shared.lapsed_workers.lock().take_overdue(now, returned);
         let mut directory = shared.directory.lock();
         overdue.iter().for_each(|worker| directory.withdraw(worker));
         drop(directory);
-        let credible = shared.worker_entries.lock().expire(now);
-        credible
+        let trusted_again = shared.worker_entries.lock().expire(now);
+        trusted_again
             .iter()
             .for_each(|name| refresh_entry(&shared, name));
     }
 }
 
-/// Logs changes of the workers that take requests which came too soon after a line about others.
+/// Logs changes in the number of ready workers that followed another log line too quickly to be logged at once.
 pub async fn log_worker_changes(shared: Arc<Shared>) {
     loop {
-        sleep(CHANGES_PACE).await;
+        sleep(CHANGE_LOG_INTERVAL).await;
         log_if_changed(&shared);
     }
 }
 
 fn log_if_changed(shared: &Shared) {
     let ready = shared.directory.lock().ready_workers();
-    if !shared.logged_workers.lock().is_due(shared.now(), ready) {
+    if !shared
+        .logged_workers
+        .lock()
+        .record_if_due(shared.now(), ready)
+    {
         return;
     }
     let revision = shared.mirror.lock().position().revision;
@@ -298,20 +317,21 @@
     shared.log.record(Weight::Important, &event);
 }
 
-/// The number of workers that take requests as it was logged last.
+/// The number of ready workers that was logged last.
 #[derive(Debug, Default)]
 pub struct LoggedWorkers {
-    ready: usize,
-    next: Timestamp,
+    logged_ready: usize,
+    next_log_at: Timestamp,
 }
 
 impl LoggedWorkers {
-    /// Whether a line is due: the number is another, and the last line is long enough ago.
-    pub fn is_due(&mut self, now: Timestamp, ready: usize) -> bool {
-        let is_due = ready != self.ready && now >= self.next;
+    /// Returns whether a log line is due, because the number has changed and the last line is old enough. If so, records
+    /// that the line is logged.
+    pub fn record_if_due(&mut self, now: Timestamp, ready: usize) -> bool {
+        let is_due = ready != self.logged_ready && now >= self.next_log_at;
         if is_due {
-            self.ready = ready;
-            self.next = now + CHANGES_PACE;
+            self.logged_ready = ready;
+            self.next_log_at = now + CHANGE_LOG_INTERVAL;
         }
         is_due
     }
--- a/crates/gateway/src/worker_notices.rs
+++ b/crates/gateway/src/worker_notices.rs
@@ -1,5 +1,6 @@
-//! What workers say of themselves along with their answers: that they leave, want rest, or take so many requests a
-//! second. The directory of workers keeps it; here it is read off answers, and holds for all that is about to be sent.
+//! Notices that workers attach to their answers: that they are leaving, are backing off, or have a rate limit. This module
+//! reads the notices from answers, records them in the directory of workers, and applies them to every request that is
+//! about to be sent.
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -18,20 +19,20 @@
 use crate::state::whole_millis;
 use crate::worker_request::{Asked, WorkerRequest};
 
-/// Statuses of answers that tell a success.
-const SUCCESSES: RangeInclusive<u16> = 200..=299;
+/// Statuses of successful answers.
+const SUCCESS_STATUSES: RangeInclusive<u16> = 200..=299;
 
-/// Where a notice comes from.
+/// The source of a notice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeSource {
-    /// The worker's answer to this.
+    /// The worker's answer to a request of this kind.
     Answer(Asked),
-    /// A gateway whose requests this one places.
+    /// Another gateway, whose requests this one places.
     Gateway,
 }
 
 impl NoticeSource {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     fn name(self) -> &'static str {
         match self {
             NoticeSource::Answer(asked) => asked.name(),
@@ -40,13 +41,13 @@
     }
 }
 
-/// Reads what workers say along with answers that are their requests' own, and keeps to it.
+/// Reads notices from answers that match their requests, and applies them.
 pub struct WorkerNotices {
     clock: MonotonicClock,
     protocol: Arc<dyn Protocol>,
     directory: Arc<Mutex<Directory>>,
     log: Arc<EventLog>,
-    heard: IntCounterVec,
+    notice_counter: IntCounterVec,
 }
 
 impl fmt::Debug for WorkerNotices {
@@ -56,29 +57,30 @@
 }
 
 impl WorkerNotices {
-    /// Reads notices as this protocol says and tells this directory; writes lines and counts what is new.
+    /// Creates a reader of notices that decodes them with `protocol` and records them in `directory`. Changes are logged to
+    /// `log` and counted in `notice_counter`.
     pub fn new(
         clock: MonotonicClock,
         protocol: Arc<dyn Protocol>,
         directory: Arc<Mutex<Directory>>,
         log: Arc<EventLog>,
-        heard: IntCounterVec,
+        notice_counter: IntCounterVec,
     ) -> Self {
         Self {
             clock,
             protocol,
             directory,
             log,
-            heard,
+            notice_counter,
         }
     }
 
-    /// A worker has answered what was sent at `sent`.
-    pub fn hear(
+    /// Reads the notice in a worker's answer to a request that was sent at `sent_at`.
+    pub fn record_answer(
         &self,
         worker: &WorkerId,
         asked: Asked,
-        sent: Timestamp,
+        sent_at: Timestamp,
         status: u16,
         headers: &HeaderList,
     ) {
@@ -87,18 +89,19 @@
         if notice != WorkerNotice::default() {
             self.take(worker, notice, source);
         }
-        // A worker that turns work away, or answers something else, may not name its limit there.
-        let is_success = SUCCESSES.contains(&status);
-        if asked.is_work() && is_success && notice.rate_limit.is_none() {
-            self.rate_limit_not_named(worker, sent, source);
+        // An error, or an answer to a different kind of request, need not name the rate limit: only its absence from a
+        // successful answer to work means that the limit has ended.
+        let is_success = SUCCESS_STATUSES.contains(&status);
+        if asked.is_caller_work() && is_success && notice.rate_limit.is_none() {
+            self.record_no_rate_limit(worker, sent_at, source);
         }
     }
 
-    /// A worker named no rate limit in its answer to what was sent at `sent`.
-    fn rate_limit_not_named(&self, worker: &WorkerId, sent: Timestamp, source: NoticeSource) {
+    /// Records that a worker named no rate limit in its answer to a request that was sent at `sent_at`.
+    fn record_no_rate_limit(&self, worker: &WorkerId, sent_at: Timestamp, source: NoticeSource) {
         let now = self.clock.now();
         let mut directory = self.directory.lock();
-        let ended = directory.record_no_rate_limit(now, worker, sent);
+        let ended = directory.record_no_rate_limit(now, worker, sent_at);
         drop(directory);
         if ended {
             let event = Event::WorkerRateLimitEnded {
@@ -109,29 +112,29 @@
         }
     }
 
-    /// A worker has said something of itself.
+    /// Applies a notice of a worker.
     pub fn take(&self, worker: &WorkerId, notice: WorkerNotice, source: NoticeSource) {
         let now = self.clock.now();
-        let news = self.directory.lock().apply_notice(now, worker, notice);
-        if news.is_leaving {
-            self.heard.with_label_values(&["leaving"]).inc();
+        let changes = self.directory.lock().apply_notice(now, worker, notice);
+        if changes.is_leaving {
+            self.notice_counter.with_label_values(&["leaving"]).inc();
             let event = Event::WorkerLeaving {
                 worker: worker.as_str(),
                 source: source.name(),
             };
             self.log.record(Weight::Important, &event);
         }
-        if let Some(rest) = news.backoff {
-            self.heard.with_label_values(&["rest"]).inc();
+        if let Some(backoff) = changes.backoff {
+            self.notice_counter.with_label_values(&["rest"]).inc();
             let event = Event::WorkerRests {
                 worker: worker.as_str(),
                 source: source.name(),
-                rest_ms: whole_millis(rest),
+                rest_ms: whole_millis(backoff),
             };
             self.log.record(Weight::Important, &event);
         }
-        if let Some(limit) = news.rate_limit {
-            self.heard.with_label_values(&["rate_limit"]).inc();
+        if let Some(limit) = changes.rate_limit {
+            self.notice_counter.with_label_values(&["rate_limit"]).inc();
             let event = Event::WorkerRateLimit {
                 worker: worker.as_str(),
                 source: source.name(),
@@ -141,34 +144,35 @@
         }
     }
 
-    /// Takes a token of the worker's rate limit for a request that is about to be sent, unless it has one.
+    /// Takes a token of the worker's rate limit for a request that is about to be sent, unless the request already has one
+    /// or needs none.
     pub fn take_rate_token(
         &self,
         worker: &WorkerId,
         request: &WorkerRequest,
     ) -> Result<RateToken, SendError> {
-        if request.has_rate_token || !request.asked.is_work() {
+        if request.has_rate_token || !request.asked.is_caller_work() {
             return Ok(RateToken::Unlimited);
         }
         let now = self.clock.now();
         match self.directory.lock().take_rate_token(now, worker) {
             RateToken::Missing => {
-                let reached = Unconnected::Unwanted(Unavailable::RateLimited);
-                Err(SendError::NotSent(reached))
+                let reason = Unconnected::Unwanted(Unavailable::RateLimited);
+                Err(SendError::NotSent(reason))
             }
             token => Ok(token),
         }
     }
 
-    /// A request for which a token was taken was not sent.
-    pub fn give_back_rate_token(&self, worker: &WorkerId) {
+    /// Returns the token of a request that was not sent.
+    pub fn return_rate_token(&self, worker: &WorkerId) {
         let now = self.clock.now();
         self.directory.lock().return_rate_token(now, worker);
     }
 
-    /// Whether something may be sent to a worker, as far as it has said. One that leaves still frees what it keeps
-    /// for requests that went on elsewhere.
-    pub fn permit(&self, worker: &WorkerId, asked: Asked) -> Result<(), SendError> {
+    /// Checks whether the worker's notices permit a request of this kind. A worker that is leaving still frees the KV
+    /// caches that it keeps for requests which continued on other workers.
+    pub fn check_permitted(&self, worker: &WorkerId, asked: Asked) -> Result<(), SendError> {
         let now = self.clock.now();
         match self.directory.lock().unavailable(now, worker) {
             None => Ok(()),
--- a/crates/gateway/src/worker_request.rs
+++ b/crates/gateway/src/worker_request.rs
@@ -1,34 +1,34 @@
-//! Requests as they go to workers: callers' requests, and the gateway's own calls.
+//! Requests to workers: those of callers, and those of the gateway itself.
 
 use bytes::Bytes;
 
 use crate::headers::HeaderList;
 use crate::protocol::WorkerCall;
 
-/// What is asked of a worker, as logs and metrics name it.
+/// The kind of a request to a worker, as named in logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Asked {
-    /// Running a request.
+    /// Runs a caller's request.
     Run,
-    /// Reading a prompt for another worker.
+    /// Reads a prompt on behalf of another worker.
     ReadPrompt,
-    /// Its report.
+    /// Gets the engine's report.
     Report,
-    /// The list of its cache.
+    /// Lists the contents of the engine's cache.
     ListCache,
-    /// A change of its role.
+    /// Orders the engine to change its role.
     Order,
-    /// Freeing a KV cache that nobody takes over.
+    /// Frees a KV cache that no worker will use.
     Release,
 }
 
 impl Asked {
-    /// Whether it is a caller's work, which counts against the worker's rate limit.
-    pub fn is_work(self) -> bool {
+    /// Returns whether it does work for a caller, which counts against the worker's rate limit.
+    pub fn is_caller_work(self) -> bool {
         matches!(self, Asked::Run | Asked::ReadPrompt)
     }
 
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Asked::Run => "run",
@@ -41,25 +41,25 @@
     }
 }
 
-/// A request for a worker.
+/// A request to a worker.
 #[derive(Debug, Clone)]
 pub struct WorkerRequest {
-    /// What is asked.
+    /// Its kind.
     pub asked: Asked,
-    /// Whether a scheduler has taken it off the worker's rate limit already.
+    /// Whether a scheduler has already taken a token of the worker's rate limit for it.
     pub has_rate_token: bool,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query as the caller sent them.
+    /// Path and query, as the caller sent them.
     pub target: String,
-    /// Headers without those of one connection.
+    /// The headers, without those that apply to a single connection.
     pub headers: HeaderList,
     /// The body.
     pub body: Bytes,
 }
 
 impl WorkerRequest {
-    /// A call beside callers' requests.
+    /// Creates a request of the gateway itself.
     pub fn of_call(asked: Asked, call: WorkerCall) -> Self {
         Self {
             asked,
--- a/crates/gateway/tests/callers_answers.rs
+++ b/crates/gateway/tests/callers_answers.rs
@@ -1,5 +1,5 @@
-//! What reaches a caller's connection: an answer that broke off never looks whole, and what is left of a
-//! refused request is not taken for another.
+//! Bytes on a caller's connection: a truncated answer never looks complete, and the unread remainder of a refused request
+//! is not parsed as another request.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,13 +12,13 @@
 use tansyhall_gateway::headers::HeaderList;
 use tansyhall_gateway::ingress::answer_caller;
 
-/// Time for an answer.
+/// Maximum time to wait for bytes of an answer.
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Streams two parts to each caller; the answer is whole only at the path `/whole`.
+/// Streams two parts to each caller. The answer is complete only at the path `/whole`; otherwise it is truncated.
 async fn stream(request: HttpRequest) -> HttpResponse {
     let (mut sink, source) = answer::channel();
-    let is_whole = request.path() == "/whole";
+    let is_complete = request.path() == "/whole";
     actix_rt::spawn(async move {
         sink.begin(Answer::Streamed(AnswerHead {
             status: 200,
@@ -27,7 +27,7 @@
         sink.part(Bytes::from_static(b"one ")).await;
         actix_rt::time::sleep(Duration::from_millis(30)).await;
         sink.part(Bytes::from_static(b"two")).await;
-        if is_whole {
+        if is_complete {
             sink.end().await;
         }
     });
@@ -52,7 +52,7 @@
     address
 }
 
-/// Sends these parts with a pause between them, and reads until the connection ends.
+/// Sends these parts with pauses between them, and reads until the connection is closed.
 async fn answers_to(address: SocketAddr, parts: &'static [&'static str]) -> String {
     let exchange = move || {
         let mut connection = TcpStream::connect(address).expect("a connection");
@@ -72,7 +72,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_that_broke_off_does_not_look_whole_to_an_older_caller() {
+async fn an_http_1_0_caller_gets_an_error_instead_of_a_truncated_answer() {
     let address = serve();
     let whole = answers_to(address, &["GET /whole HTTP/1.0\r\n\r\n"]).await;
     assert!(whole.starts_with("HTTP/1.0 200"), "{whole}");
@@ -82,7 +82,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_that_broke_off_has_no_last_chunk() {
+async fn a_truncated_answer_has_no_last_chunk() {
     let address = serve();
     let request = &["GET /whole HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n"];
     let whole = answers_to(address, request).await;
@@ -97,7 +97,7 @@
 }
 
 #[actix_rt::test]
-async fn what_is_left_of_a_refused_request_is_not_another() {
+async fn the_unread_body_of_a_refused_request_is_not_parsed_as_another_request() {
     let address = serve();
     let hidden = "GET /whole HTTP/1.1\r\nhost: a\r\n\r\n";
     assert_eq!(hidden.len(), 32);
--- a/crates/gateway/tests/event_log.rs
+++ b/crates/gateway/tests/event_log.rs
@@ -1,5 +1,5 @@
-//! Lines are bounded in number and rate, failures keep room of their own, and nothing waits for a
-//! reader.
+//! The event log: lines are limited in number and rate, half of the queue is reserved for important lines, and recording
+//! never blocks if nobody reads.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     }
 }
 
-fn parsed(log: &EventLog) -> Vec<Value> {
+fn take_parsed(log: &EventLog) -> Vec<Value> {
     let lines = log.take();
     let parse = |line: &String| serde_json::from_str(line).expect("one JSON object a line");
     lines.iter().map(parse).collect()
@@ -25,7 +25,7 @@
 fn a_line_carries_time_node_event_and_its_fields() {
     let log = EventLog::new("gateway-1", 16, 100);
     log.record(Weight::Important, &event("r"));
-    let lines = parsed(&log);
+    let lines = take_parsed(&log);
     assert_eq!(lines[0]["node"], "gateway-1");
     assert_eq!(lines[0]["event"], "refused");
     assert_eq!(lines[0]["request"], "r");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn nobody_reads_and_nothing_blocks_or_grows() {
+fn without_a_reader_recording_does_not_block_and_the_queue_stays_bounded() {
     let log = EventLog::new("gateway-1", 100, u32::MAX);
     for _ in 0..10_000 {
         log.record(Weight::Routine, &event("routine"));
@@ -42,7 +42,7 @@
     for _ in 0..10_000 {
         log.record(Weight::Important, &event("important"));
     }
-    let lines = parsed(&log);
+    let lines = take_parsed(&log);
     assert_eq!(lines.len(), 101);
     let count = |request: &str| {
         lines
@@ -62,21 +62,21 @@
     log.set_routine_per_second(0);
     log.record(Weight::Routine, &event("routine"));
     log.record(Weight::Important, &event("important"));
-    let lines = parsed(&log);
+    let lines = take_parsed(&log);
     assert_eq!(lines[0]["request"], "important");
     assert_eq!(lines[1]["count"], 1);
 }
 
-/// A reader that takes lines now and then gets every important one while there is room.
+/// A reader that drains the queue only when it is full still gets every important line.
 #[test]
-fn a_slow_reader_loses_nothing_that_fits() {
+fn a_slow_reader_gets_every_line_that_fits_in_the_queue() {
     let log = Arc::new(EventLog::new("gateway-1", 64, 0));
     let mut read = 0;
     for _ in 0..20 {
         for _ in 0..64 {
             log.record(Weight::Important, &event("r"));
         }
-        read += parsed(&log).len();
+        read += take_parsed(&log).len();
     }
     assert_eq!(read, 20 * 64);
 }
