--- a/crates/authority/tests/order_machine.rs
+++ b/crates/authority/tests/order_machine.rs
@@ -22,9 +22,9 @@
     /// The holder claims a new epoch, after the other holder's lease has lapsed.
     Claim(usize),
     /// The holder reads the engine's state and takes its next step.
-    StepOnNewState(usize),
+    OnNewState(usize),
     /// The holder takes its next step based on the state that it read last, which may be outdated.
-    StepOnOldState(usize),
+    OnOldState(usize),
     /// An order on the link arrives. It stays on the link if `keep`, and may arrive again.
     Deliver { index: usize, keep: bool },
     /// An order is lost.
@@ -54,8 +54,8 @@
         let holder = || 0..HOLDERS;
         prop_oneof![
             1 => holder().prop_map(Step::Claim),
-            8 => holder().prop_map(Step::StepOnNewState),
-            2 => holder().prop_map(Step::StepOnOldState),
+            8 => holder().prop_map(Step::OnNewState),
+            2 => holder().prop_map(Step::OnOldState),
             8 => (0..LINK_CAPACITY, any::<bool>())
                 .prop_map(|(index, keep)| Step::Deliver { index, keep }),
             1 => (0..LINK_CAPACITY).prop_map(Step::Lose),
@@ -219,8 +219,8 @@
     fn apply(mut pool: Self, (): &(), step: Step) -> Self {
         match step {
             Step::Claim(index) => pool.claim(index),
-            Step::StepOnNewState(index) => pool.step_holder(index, true),
-            Step::StepOnOldState(index) => pool.step_holder(index, false),
+            Step::OnNewState(index) => pool.step_holder(index, true),
+            Step::OnOldState(index) => pool.step_holder(index, false),
             Step::Deliver { index, keep } => pool.deliver(index, keep),
             Step::Lose(index) => drop(pool.link.remove(index)),
             Step::FinishChange => {
