--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -7,8 +7,8 @@
 //! that is over. How many the operator planned stands in the store, so that a new holder does not take a
 //! zone that was just withdrawn for the fleet's size.
 
-mod asked;
 mod history;
+mod needed_engines;
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -27,8 +27,8 @@
 use tansyhall_store::{Compare, KeyValueStore, Operation, Revision, Transaction};
 use tokio::time::sleep;
 
-use self::asked::Asked;
 use self::history::OrderHistory;
+use self::needed_engines::Asked;
 use crate::authority_claim;
 use crate::duties::{DutyOutcome, WorkerOrder};
 use crate::duty_calls::DutyCalls;
