--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -19,11 +19,11 @@
 use tokio::time::sleep;
 
 use crate::events::{Event, Weight};
+use crate::mirror_refresh::refresh;
 use crate::peers::{self, RELAY_WAIT};
 use crate::presence::{self, Member};
 use crate::state::Shared;
 use crate::store_call::in_time;
-use crate::store_copy::refresh;
 
 mod first_copy;
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gateway: sockets, tasks and state around the decisions of `tansyhall-forwarding`.
 //!
 //! Callers' requests come in through [`ingress`], each lives in a [`exchange`], and leaves through
-//! [`connections`] to a worker. [`follower`] keeps a copy of the store, [`store_copy`] makes it the
+//! [`connections`] to a worker. [`follower`] keeps a copy of the store, [`mirror_refresh`] makes it the
 //! configuration in force, [`peers`] tells other gateways what is new in it, [`presence`] announces
 //! this gateway. In a large fleet, [`placement`] asks a scheduler where requests go.
 
@@ -15,8 +15,6 @@
 pub mod connection_losses;
 pub mod connection_pool;
 pub mod connections;
-pub mod copy_answers;
-pub mod copy_message;
 pub mod correlation;
 pub mod datagrams;
 pub mod deflated_values;
@@ -34,6 +32,7 @@
 pub mod load_exchange;
 pub mod load_messages;
 pub mod metrics;
+pub mod mirror_refresh;
 pub mod peers;
 pub mod placement;
 pub mod presence;
@@ -48,7 +47,8 @@
 pub mod state;
 pub mod store_call;
 pub mod store_contact;
-pub mod store_copy;
+pub mod update_cache;
+pub mod update_message;
 pub mod usage;
 pub mod worker_ends;
 pub mod worker_entries;
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -22,12 +22,12 @@
 use tansyhall_forwarding::{MirrorUpdate, Position, Touched};
 use tokio::time::{sleep, timeout};
 
-use crate::copy_answers::CopyAnswer;
-use crate::copy_message::{Received, UpdateHead, UpdateMessage};
 use crate::events::{Event, Weight};
+use crate::mirror_refresh::refresh;
 use crate::presence::Member;
 use crate::state::Shared;
-use crate::store_copy::refresh;
+use crate::update_cache::CopyAnswer;
+use crate::update_message::{Received, UpdateHead, UpdateMessage};
 
 /// Age of this gateway's knowledge at which any gateway is asked.
 const STALE_AFTER: Duration = Duration::from_millis(1_500);
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -34,12 +34,12 @@
 use crate::follower;
 use crate::lease::{self, NodeLease};
 use crate::metrics::Metrics;
+use crate::mirror_refresh;
 use crate::placement::{self, PlacementClient};
 use crate::protocol::{Catalogue, Protocol};
 use crate::settings::GatewaySettings;
 use crate::state::Shared;
 use crate::store_contact::StoreContact;
-use crate::store_copy;
 use crate::usage::Usage;
 use crate::worker_notices::WorkerNotices;
 use crate::{
@@ -321,7 +321,7 @@
         shared
             .connections
             .prune(|worker| shared.directory.lock().get(worker).is_some());
-        store_copy::share_budgets_anew(&shared);
+        mirror_refresh::share_budgets_anew(&shared);
         let now = shared.now();
         shared.directory.lock().expire_notices(now);
         shared.sends.lock().expire(now);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -17,7 +17,6 @@
 use tokio::sync::watch;
 
 use crate::connections::{Connections, Destination};
-use crate::copy_answers::CopyAnswers;
 use crate::datagrams::Datagrams;
 use crate::deflated_values::DeflatedValues;
 use crate::events::EventLog;
@@ -27,6 +26,7 @@
 use crate::protocol::{Catalogue, Protocol};
 use crate::settings::GatewaySettings;
 use crate::store_contact::StoreContact;
+use crate::update_cache::CopyAnswers;
 use crate::usage::Usage;
 use crate::worker_entries::{LoggedWorkers, WorkerEntries};
 
--- a/crates/gateway/src/copy_answers.rs
+++ b/crates/gateway/src/update_cache.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use tansyhall_forwarding::{Mirror, MirrorUpdate, Position};
 
-use crate::copy_message::deflate_items;
+use crate::update_message::deflate_items;
 
 /// Shorter updates are sent as they are, in bytes.
 const MIN_DEFLATED_BYTES: usize = 1 << 10;
--- a/crates/gateway/src/copy_message.rs
+++ b/crates/gateway/src/update_message.rs
@@ -6,8 +6,8 @@
 use prost::Message;
 use tansyhall_forwarding::{Item, MirrorChange, MirrorUpdate, Position, Snapshot};
 
-use crate::copy_answers::DeflatedUpdate;
 use crate::deflated_values::{deflate, inflate, DeflatedValues};
+use crate::update_cache::DeflatedUpdate;
 
 /// What a gateway tells another of the store.
 #[derive(Clone, PartialEq, Message)]
--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -16,8 +16,8 @@
 
 use crate::events::{Event, Weight};
 use crate::left_workers::LeftWorkers;
+use crate::mirror_refresh::record_refused;
 use crate::state::Shared;
-use crate::store_copy::record_refused;
 
 /// The least time between two lines about changes of the workers.
 const CHANGES_PACE: Duration = Duration::from_millis(1_000);
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -4,8 +4,8 @@
 
 use prost::Message;
 use tansyhall_forwarding::{Item, MirrorChange, MirrorUpdate, Position, Snapshot};
-use tansyhall_gateway::copy_message::{Incomplete, Received, UpdateHead, UpdateMessage};
 use tansyhall_gateway::deflated_values::DeflatedValues;
+use tansyhall_gateway::update_message::{Incomplete, Received, UpdateHead, UpdateMessage};
 
 const AGE: Duration = Duration::from_millis(420);
 /// The epoch of the updates.
--- a/crates/gateway/tests/copy_growth.rs
+++ b/crates/gateway/tests/copy_growth.rs
@@ -5,9 +5,9 @@
 
 use prost::Message;
 use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
-use tansyhall_gateway::copy_answers::{CopyAnswer, CopyAnswers, DeflatedUpdate};
-use tansyhall_gateway::copy_message::{Incomplete, UpdateHead, UpdateMessage};
 use tansyhall_gateway::deflated_values::DeflatedValues;
+use tansyhall_gateway::update_cache::{CopyAnswer, CopyAnswers, DeflatedUpdate};
+use tansyhall_gateway::update_message::{Incomplete, UpdateHead, UpdateMessage};
 
 const AGE: Duration = Duration::from_millis(420);
 /// Subscribers of a relay.
--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -13,7 +13,6 @@
 };
 use tansyhall_gateway::authority_claim::AuthorityClaim;
 use tansyhall_gateway::cache_recovery::CachesMessage;
-use tansyhall_gateway::copy_message::{ItemMessage, UpdateMessage};
 use tansyhall_gateway::datagrams::Datagram;
 use tansyhall_gateway::desired_roles::{self, DesiredRoles};
 use tansyhall_gateway::load_messages::{
@@ -21,6 +20,7 @@
 };
 use tansyhall_gateway::placement::QuestionMessage;
 use tansyhall_gateway::presence;
+use tansyhall_gateway::update_message::{ItemMessage, UpdateMessage};
 
 /// Seed of the property tests.
 const SEED: u64 = 20_261_203;
--- a/crates/gateway/tests/questions_to_gateways.rs
+++ b/crates/gateway/tests/questions_to_gateways.rs
@@ -4,9 +4,9 @@
 
 use prost::Message;
 use tansyhall_forwarding::{MirrorUpdate, Position, Snapshot};
-use tansyhall_gateway::copy_message::UpdateMessage;
 use tansyhall_gateway::deflated_values::DeflatedValues;
 use tansyhall_gateway::peers;
+use tansyhall_gateway::update_message::UpdateMessage;
 use tansyhall_twice_answering::{Answer, Second, TwiceAnswering, ARRIVAL};
 use tokio::time::sleep;
 
