--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! The gateway: the sockets, tasks and state around the decisions made by `tansyhall-forwarding`.
 //!
 //! [`ingress`] receives callers' requests, [`exchange`] runs each of them, and [`connections`] sends them to workers.
-//! [`follower`] keeps a mirror of the store up to date, [`store_copy`] derives the configuration in force from it,
+//! [`follower`] keeps a mirror of the store up to date, [`mirror_refresh`] derives the configuration in force from it,
 //! [`peers`] sends its changes to other gateways, and [`presence`] announces this gateway. In a large fleet,
 //! [`placement`] asks a scheduler where to send requests.
 
@@ -15,8 +15,6 @@
 pub mod connection_losses;
 pub mod connection_pool;
 pub mod connections;
-pub mod copy_answers;
-pub mod copy_message;
 pub mod correlation;
 pub mod datagrams;
 pub mod deflated_values;
@@ -34,6 +32,7 @@
 pub mod load_exchange;
 pub mod load_messages;
 pub mod metrics;
+pub mod mirror_refresh;
 pub mod peers;
 pub mod placement;
 pub mod presence;
@@ -48,7 +47,8 @@
 pub mod state;
 pub mod store_call;
 pub mod store_contact;
-pub mod store_copy;
+pub mod update_cache;
+pub mod update_message;
 pub mod usage;
 pub mod worker_ends;
 pub mod worker_entries;
--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -16,8 +16,8 @@
 
 use crate::departed_workers::DepartedWorkers;
 use crate::events::{Event, Weight};
+use crate::mirror_refresh::record_refused;
 use crate::state::Shared;
-use crate::store_copy::record_refused;
 
 /// Minimum time between two log lines about changes of the workers.
 const CHANGE_LOG_INTERVAL: Duration = Duration::from_millis(1_000);
