--- a/crates/gateway/src/exchange/deliver.rs
+++ b/crates/gateway/src/exchange/deliver.rs
@@ -1,4 +1,4 @@
-//! Delivering the body of an answer, whole or part by part.
+//! Delivery of an answer's body to the caller, at once or in parts.
 
 use std::time::Duration;
 
@@ -11,12 +11,13 @@
 use crate::connections::{SendError, WorkerAnswer};
 use crate::headers::HeaderList;
 
-/// Answers up to this length are held until they are whole, so that a broken one can be replaced.
-const MAX_HELD_BYTES: usize = 256 << 10;
-/// A resumable stream whose worker is silent for this long goes on elsewhere.
-const STREAM_SILENCE: Duration = Duration::from_millis(1_000);
+/// Answers up to this length are buffered until they are complete, so that another worker's answer can replace one that
+/// breaks off.
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
+/// A resumable stream is continued by another worker after its worker was silent for this long.
+const STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What came of waiting for the next bytes of a body.
+/// Result of waiting for the next bytes of a body.
 enum NextBytes {
     Bytes(Bytes),
     End,
@@ -25,16 +26,16 @@
 }
 
 impl Exchange {
-    /// Keeps a worker's own failure for the caller.
-    pub(super) async fn keep_error(
+    /// Reads the error that a worker answered with and keeps it for the caller.
+    pub(super) async fn keep_error_answer(
         &mut self,
         mut answer: WorkerAnswer,
-        silence: Option<Duration>,
+        max_silence: Option<Duration>,
     ) -> RequestEvent {
         let mut body = BytesMut::new();
         loop {
-            match self.next_held(&mut answer, silence).await {
-                NextBytes::Bytes(bytes) if body.len() + bytes.len() <= MAX_HELD_BYTES => {
+            match self.next_buffered(&mut answer, max_silence).await {
+                NextBytes::Bytes(bytes) if body.len() + bytes.len() <= MAX_BUFFERED_BYTES => {
                     body.extend_from_slice(&bytes);
                 }
                 NextBytes::End => break,
@@ -42,37 +43,36 @@
                 _ => return failed(SendFailure::MayHaveRun),
             }
         }
-        self.error_answer = Some((head_of(answer.status, answer.headers), body.freeze()));
+        self.error_answer = Some((answer_head(answer.status, answer.headers), body.freeze()));
         failed(SendFailure::ErrorAnswer)
     }
 
-    /// Delivers an answer that is no stream: at once when it is whole, or part by part when it is
-    /// too long to be held. One that says nothing for the time of `silence` may come from another
-    /// worker.
-    pub(super) async fn deliver_whole(
+    /// Delivers an answer that is not a stream: at once when it is complete, or in parts if it is too long to be
+    /// buffered. If the worker is silent for `max_silence`, another worker may run the request.
+    pub(super) async fn deliver_complete(
         &mut self,
         mut answer: WorkerAnswer,
-        silence: Option<Duration>,
+        max_silence: Option<Duration>,
     ) -> RequestEvent {
-        let mut held = BytesMut::new();
+        let mut buffered = BytesMut::new();
         loop {
-            match self.next_held(&mut answer, silence).await {
-                NextBytes::Bytes(bytes) => held.extend_from_slice(&bytes),
+            match self.next_buffered(&mut answer, max_silence).await {
+                NextBytes::Bytes(bytes) => buffered.extend_from_slice(&bytes),
                 NextBytes::End => {
-                    let head = head_of(answer.status, answer.headers);
-                    self.begin_answer(Answer::Whole(head, held.freeze()));
+                    let head = answer_head(answer.status, answer.headers);
+                    self.begin_answer(Answer::Whole(head, buffered.freeze()));
                     return RequestEvent::Completed;
                 }
                 NextBytes::Broken => return failed(SendFailure::MayHaveRun),
                 NextBytes::DeadlinePassed => return RequestEvent::DeadlinePassed,
             }
-            if held.len() > MAX_HELD_BYTES {
-                return self.deliver_parts(answer, held.freeze()).await;
+            if buffered.len() > MAX_BUFFERED_BYTES {
+                return self.deliver_parts(answer, buffered.freeze()).await;
             }
         }
     }
 
-    /// Delivers a stream of events as they come.
+    /// Delivers a stream as it arrives.
     pub(super) async fn deliver_stream(&mut self, mut answer: WorkerAnswer) -> RequestEvent {
         let resumable = Repeatability::Stream { resumable: true };
         if self.route().repeatability == resumable {
@@ -90,11 +90,11 @@
     }
 
     async fn deliver_parts(&mut self, mut answer: WorkerAnswer, first: Bytes) -> RequestEvent {
-        let head = head_of(answer.status, std::mem::take(&mut answer.headers));
+        let head = answer_head(answer.status, std::mem::take(&mut answer.headers));
         self.begin_answer(Answer::Streamed(head));
         let mut part = first;
         loop {
-            if !part.is_empty() && !self.pass_on(part).await {
+            if !part.is_empty() && !self.send_part(part).await {
                 return RequestEvent::Interrupted(None);
             }
             part = match self.next_bytes(&mut answer, self.deadline()).await {
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Delivers whole events only, so that another worker can go on after the last of them.
+    /// Delivers only complete events, so that another worker can continue after the last one delivered.
     async fn deliver_events(&mut self, mut answer: WorkerAnswer) -> RequestEvent {
         let mut framer = EventFramer::default();
         let mut last_event: Option<EventId> = None;
         loop {
-            let bytes = match self.next_within(&mut answer, STREAM_SILENCE).await {
+            let bytes = match self.next_within(&mut answer, STREAM_SILENCE_TIMEOUT).await {
                 NextBytes::Bytes(bytes) => {
                     self.count_usage(self.shared.now());
                     bytes
@@ -135,11 +135,11 @@
                 continue;
             }
             if !self.sink.has_begun() {
-                let head = head_of(answer.status, std::mem::take(&mut answer.headers));
+                let head = answer_head(answer.status, std::mem::take(&mut answer.headers));
                 self.begin_answer(Answer::Streamed(head));
             }
             last_event = events.last_id.or(last_event);
-            if !self.pass_on(Bytes::from(events.bytes)).await {
+            if !self.send_part(Bytes::from(events.bytes)).await {
                 return match self.time_left().is_zero() {
                     true => RequestEvent::DeadlinePassed,
                     false => RequestEvent::Interrupted(last_event),
@@ -148,30 +148,34 @@
         }
     }
 
-    /// Passes a part on to the caller. One that has gone silent takes nothing more, and would hold its
-    /// worker for ever: at the deadline, its request is over.
-    async fn pass_on(&self, part: Bytes) -> bool {
-        let taken = timeout_at(self.deadline(), self.sink.part(part)).await;
-        taken.unwrap_or(false)
+    /// Sends a part to the caller and returns whether it was accepted. A caller that stops reading would otherwise
+    /// occupy its worker forever, so the request ends at its deadline.
+    async fn send_part(&self, part: Bytes) -> bool {
+        let accepted = timeout_at(self.deadline(), self.sink.part(part)).await;
+        accepted.unwrap_or(false)
     }
 
-    /// The next bytes of an answer that is held; one that is silent for too long is broken if the request
-    /// may go elsewhere.
-    async fn next_held(&self, answer: &mut WorkerAnswer, silence: Option<Duration>) -> NextBytes {
+    /// Returns the next bytes of a buffered answer. An answer that is silent for `max_silence` counts as broken if the
+    /// retry budget allows another send.
+    async fn next_buffered(
+        &self,
+        answer: &mut WorkerAnswer,
+        max_silence: Option<Duration>,
+    ) -> NextBytes {
         let may_retry = self.retries_left(self.shared.now()) > 0;
-        match silence.filter(|_| may_retry) {
-            Some(silence) => self.next_within(answer, silence).await,
+        match max_silence.filter(|_| may_retry) {
+            Some(max_silence) => self.next_within(answer, max_silence).await,
             None => self.next_bytes(answer, self.deadline()).await,
         }
     }
 
-    /// The next bytes, if they come within this time: a connection that goes silent in the middle of an answer
-    /// says nothing of it.
-    async fn next_within(&self, answer: &mut WorkerAnswer, silence: Duration) -> NextBytes {
-        let limit = (Instant::now() + silence).min(self.deadline());
-        match self.next_bytes(answer, limit).await {
+    /// Returns the next bytes if they arrive within `max_silence`, and [`NextBytes::Broken`] otherwise: a connection
+    /// that stalls in the middle of an answer reports no error.
+    async fn next_within(&self, answer: &mut WorkerAnswer, max_silence: Duration) -> NextBytes {
+        let time_limit = (Instant::now() + max_silence).min(self.deadline());
+        match self.next_bytes(answer, time_limit).await {
             NextBytes::DeadlinePassed if !self.time_left().is_zero() => {
-                self.shared.connections.give_up_unheard_for(silence);
+                self.shared.connections.give_up_unheard_for(max_silence);
                 answer.body.give_up();
                 NextBytes::Broken
             }
@@ -179,8 +183,8 @@
         }
     }
 
-    async fn next_bytes(&self, answer: &mut WorkerAnswer, limit: Instant) -> NextBytes {
-        match timeout_at(limit, answer.body.next()).await {
+    async fn next_bytes(&self, answer: &mut WorkerAnswer, time_limit: Instant) -> NextBytes {
+        match timeout_at(time_limit, answer.body.next()).await {
             Ok(Ok(Some(bytes))) => NextBytes::Bytes(bytes),
             Ok(Ok(None)) => NextBytes::End,
             Ok(Err(SendError::NotSent(_) | SendError::NoAnswer(_))) => NextBytes::Broken,
@@ -189,7 +193,7 @@
     }
 }
 
-fn head_of(status: u16, mut headers: HeaderList) -> AnswerHead {
+fn answer_head(status: u16, mut headers: HeaderList) -> AnswerHead {
     headers.remove_connection_headers();
     AnswerHead { status, headers }
 }
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -1,5 +1,5 @@
-//! One request from its arrival to its end: performs the actions of its
-//! [`RequestMachine`] and reports back what came of them.
+//! Handling of one caller's request, from its arrival to the end of its answer. An [`Exchange`] performs the
+//! actions that the [`RequestMachine`] returns and passes their results back to it.
 
 mod deliver;
 mod placing;
@@ -27,61 +27,63 @@
 use crate::state::{whole_millis, InFlight, Routed, Shared};
 use crate::worker_request::{Asked, WorkerRequest};
 
-/// When a refused caller should come back, if nothing better is known.
-const RETRY_AFTER: Duration = Duration::from_millis(150);
-/// The longest time after which a refused caller should come back.
+/// Time after which a refused caller should retry if there is no better estimate; also the shortest such time
+/// for requests that are refused at admission.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// The longest time after which a caller that is refused at admission should retry.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// The rank of what goes before all else.
-const MOST_URGENT: u8 = 0;
-/// A silent worker is given up after this many times the latency objective, where another may try,
-const SILENCE_FACTOR: u32 = 2;
-/// but not before this many times the time that was expected.
-const EXPECTED_FACTOR: u32 = 4;
+/// The rank of requests that workers serve before all others.
+const MOST_URGENT_RANK: u8 = 0;
+/// A silent worker is abandoned after this multiple of the latency objective if another worker may run the request,
+/// but not before [`EXPECTED_LATENCY_FACTOR`] allows it.
+const LATENCY_OBJECTIVE_FACTOR: u32 = 2;
+/// A silent worker is not abandoned before this multiple of the expected latency.
+const EXPECTED_LATENCY_FACTOR: u32 = 4;
 
-/// A request as it came from its caller, with its route.
+/// A request as received from its caller, with its route.
 pub struct CallerRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query as sent.
+    /// Path and query as the caller sent them.
     pub target: String,
-    /// Headers without those of one connection.
+    /// Headers without hop-by-hop headers.
     pub headers: HeaderList,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// What it asks for, equal for all its tries.
+    /// Identifies the content of the request; it is equal for all attempts.
     pub fingerprint: Fingerprint,
-    /// What the caller says of it.
+    /// The conditions that the caller's headers and body state.
     pub terms: CallerTerms,
-    /// Where it goes.
+    /// The matching route and its service.
     pub routed: Routed,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Timestamp,
-    /// When its time is over.
+    /// Time until which the caller waits for the answer.
     pub deadline: Timestamp,
 }
 
-/// A request under way.
+/// A request in progress.
 pub struct Exchange {
     shared: Arc<Shared>,
     request: CallerRequest,
     sink: AnswerSink,
     error_answer: Option<(AnswerHead, Bytes)>,
     unused_handle: Option<PromptHandle>,
-    /// Where a scheduler has placed the next send.
+    /// The placement of the next send, if a scheduler has chosen its worker.
     placed: Option<OpenPlacement>,
     retry_after: Duration,
     waiting: Duration,
     cause: &'static str,
-    begun_after: Option<Duration>,
-    /// Whether it counts in its tenant's usage already.
-    counted: bool,
-    /// Draws the compared workers, and one of nearly equal engines.
+    answer_started_after: Option<Duration>,
+    /// Whether the request has been counted in its tenant's usage.
+    usage_counted: bool,
+    /// Random number that determines which workers are compared, and which of several nearly equal engines is chosen.
     draw: u64,
     _in_flight: InFlight,
 }
 
 impl Exchange {
-    /// A request that is about to begin.
+    /// Creates the exchange for a request that starts now.
     pub fn new(shared: &Arc<Shared>, request: CallerRequest, sink: AnswerSink) -> Self {
         Self {
             _in_flight: InFlight::begin(shared),
@@ -91,23 +93,23 @@
             error_answer: None,
             unused_handle: None,
             placed: None,
-            retry_after: RETRY_AFTER,
+            retry_after: DEFAULT_RETRY_AFTER,
             waiting: Duration::ZERO,
             cause: "",
-            begun_after: None,
-            counted: false,
+            answer_started_after: None,
+            usage_counted: false,
             draw: rand::random(),
         }
     }
 
-    /// Sends the answer, or its head, to the caller.
+    /// Sends the complete answer, or the head of a streamed one, to the caller.
     fn begin_answer(&mut self, answer: Answer) {
         let elapsed = self.shared.now().since(self.request.arrived);
-        self.begun_after.get_or_insert(elapsed);
+        self.answer_started_after.get_or_insert(elapsed);
         self.sink.begin(answer);
     }
 
-    /// Runs the request to its end, or until its caller leaves.
+    /// Runs the request to its end, or until its caller disconnects.
     pub async fn run(mut self) {
         let caller = self.sink.watch_caller();
         let ended = tokio::select! {
@@ -139,7 +141,7 @@
                 waiting,
                 retry_after,
             } => {
-                self.retry_after = retry_after.clamp(RETRY_AFTER, MAX_RETRY_AFTER);
+                self.retry_after = retry_after.clamp(DEFAULT_RETRY_AFTER, MAX_RETRY_AFTER);
                 self.waiting = waiting;
                 self.cause = refusal_cause(cause);
                 return (Conclusion::Refused, 0);
@@ -152,12 +154,12 @@
                 Action::Select { need, avoid } => {
                     let selected = self.select(need.clone(), avoid).await;
                     if selected.is_none() && need != Need::ReadPrompt {
-                        self.note_no_worker(&need);
+                        self.record_no_worker(&need);
                     }
                     RequestEvent::Selected(selected)
                 }
                 Action::CheckRetryBudget => {
-                    let allowed = self.ask_budget();
+                    let allowed = self.check_retry_budget();
                     if !allowed {
                         self.cause = "retry_budget";
                     }
@@ -172,20 +174,22 @@
                     source,
                     resume_after,
                 } => {
-                    let patient = !machine.may_retry_on_another_worker();
-                    self.run_on(&worker, source, resume_after, patient).await
+                    let wait_until_deadline = !machine.may_retry_on_another_worker();
+                    self.run_on(&worker, source, resume_after, wait_until_deadline)
+                        .await
                 }
                 Action::Finish(conclusion) => return (conclusion, machine.sends()),
             };
         }
     }
 
-    /// Counts the request in its tenant's usage, once, as having begun to run at `began`.
+    /// Counts the request in its tenant's usage as started at `began`, unless it has been counted before.
     fn count_usage(&mut self, began: Timestamp) {
         let tenant = self.request.routed.tenant.as_ref();
-        if let (Some(usage), Some(tenant), false) = (&self.shared.usage, tenant, self.counted) {
+        if let (Some(usage), Some(tenant), false) = (&self.shared.usage, tenant, self.usage_counted)
+        {
             usage.count(began, tenant);
-            self.counted = true;
+            self.usage_counted = true;
         }
     }
 
@@ -205,17 +209,18 @@
         }
     }
 
-    /// Whether workers end under the request, as far as this gateway has heard by now.
+    /// Returns whether the request is barred because it crashes workers, as far as this gateway knows now.
     fn is_barred(&self) -> bool {
-        let bars = self.shared.settings.read().decisions.quarantine;
-        bars && self
-            .shared
-            .quarantine
-            .lock()
-            .is_barred(self.request.fingerprint)
+        let is_enabled = self.shared.settings.read().decisions.quarantine;
+        is_enabled
+            && self
+                .shared
+                .quarantine
+                .lock()
+                .is_barred(self.request.fingerprint)
     }
 
-    fn ask_budget(&self) -> bool {
+    fn check_retry_budget(&self) -> bool {
         let now = self.shared.now();
         let service = &self.request.routed.service;
         self.shared.retries.lock().try_retry(now, service)
@@ -223,8 +228,8 @@
 
     fn retries_left(&self, now: Timestamp) -> u64 {
         let service = &self.request.routed.service;
-        let left = self.shared.retries.lock().remaining(now, service);
-        left.max(0.0) as u64
+        let remaining = self.shared.retries.lock().remaining(now, service);
+        remaining.max(0.0) as u64
     }
 
     fn worker(&self, id: &WorkerId) -> Option<Worker> {
@@ -232,8 +237,8 @@
     }
 
     fn begin_send(&mut self, worker: &Worker, asked: Asked, need: Need) -> SendGuard {
-        let chosen = |placed: &OpenPlacement| placed.placement().worker == worker.id;
-        let placement = self.placed.take().filter(chosen);
+        let is_for_worker = |placed: &OpenPlacement| placed.placement().worker == worker.id;
+        let placement = self.placed.take().filter(is_for_worker);
         let sent = Sent {
             request_id: self.request_id().to_owned(),
             fingerprint: self.request.fingerprint,
@@ -255,16 +260,16 @@
         Instant::now() + self.time_left()
     }
 
-    /// The moment at which a worker that has said nothing is given up.
-    fn silence_limit(&self, guard: &SendGuard) -> Instant {
-        Instant::now() + self.longest_silence(guard)
+    /// Returns the time at which a silent worker is abandoned.
+    fn silence_deadline(&self, guard: &SendGuard) -> Instant {
+        Instant::now() + self.max_silence(guard)
     }
 
-    /// How long a worker that says nothing is waited for where another may try.
-    fn longest_silence(&self, guard: &SendGuard) -> Duration {
-        let usual = self.route().latency_objective * SILENCE_FACTOR;
-        let expected = guard.expected() * EXPECTED_FACTOR;
-        usual.max(expected)
+    /// Returns how long to wait for a silent worker if another worker may run the request.
+    fn max_silence(&self, guard: &SendGuard) -> Duration {
+        let by_objective = self.route().latency_objective * LATENCY_OBJECTIVE_FACTOR;
+        let by_expectation = guard.expected() * EXPECTED_LATENCY_FACTOR;
+        by_objective.max(by_expectation)
     }
 
     fn worker_request(&self, worker: &Worker, work: Work, guard: &SendGuard) -> WorkerRequest {
@@ -287,18 +292,18 @@
         }
     }
 
-    /// The rank that a worker is told. Readings that cost hardly anything go before all others: they
-    /// keep nobody waiting, and behind long ones of a higher rank they would wait without end.
+    /// Returns the rank to send to the worker. Prompt reads that cost hardly anything get the most urgent rank:
+    /// they delay no other request, and behind long reads of a more urgent rank they could wait forever.
     fn rank_of(&self, work: &Work, guard: &SendGuard) -> u8 {
-        let first = *work == Work::ReadPrompt && guard.is_short_reading();
-        if first {
-            return MOST_URGENT;
+        let goes_first = *work == Work::ReadPrompt && guard.is_short_reading();
+        if goes_first {
+            return MOST_URGENT_RANK;
         }
         self.request.routed.rank
     }
 
     async fn conclude(&mut self, conclusion: Conclusion, sends: u32) {
-        let (outcome, own) = match conclusion {
+        let (outcome, own_answer) = match conclusion {
             Conclusion::Delivered => ("delivered", None),
             Conclusion::WorkerError => ("worker_error", None),
             Conclusion::Refused => {
@@ -315,8 +320,8 @@
             _ => Weight::Important,
         };
         self.record(outcome, sends, weight);
-        if let Some(own) = own {
-            self.sink.begin(Answer::Own(own));
+        if let Some(own_answer) = own_answer {
+            self.sink.begin(Answer::Own(own_answer));
         }
         match (conclusion, self.error_answer.take()) {
             (Conclusion::WorkerError, Some((head, body))) => {
@@ -350,7 +355,7 @@
             waiting_ms: whole_millis(self.waiting),
             sends,
             objective_ms: whole_millis(self.route().latency_objective),
-            begun_ms: whole_millis(self.begun_after.unwrap_or_default()),
+            begun_ms: whole_millis(self.answer_started_after.unwrap_or_default()),
             took_ms: whole_millis(now.since(self.request.arrived)),
             left_ms: whole_millis(self.request.deadline.since(now)),
             retries_left: self.retries_left(now),
@@ -361,7 +366,7 @@
     }
 }
 
-/// A refusal's cause as log and metrics name it.
+/// Returns the name of a refusal cause in logs and metrics.
 fn refusal_cause(cause: RefusalCause) -> &'static str {
     match cause {
         RefusalCause::Overload => "overload",
@@ -370,7 +375,7 @@
     }
 }
 
-/// The event for a send that failed.
+/// Returns the event for a failed send.
 fn failed(failure: SendFailure) -> RequestEvent {
     RequestEvent::Failed(failure)
 }
--- a/crates/gateway/src/exchange/placing.rs
+++ b/crates/gateway/src/exchange/placing.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: a scheduler says so, or this gateway decides by itself.
+//! Admission of a request and selection of its workers, by a scheduler or by this gateway itself.
 
 use tansyhall_core::{Timestamp, ZoneName};
 use tansyhall_forwarding::{
@@ -7,24 +7,24 @@
 };
 
 use super::Exchange;
-use crate::placement::{self, Answered, OpenPlacement};
+use crate::placement::{self, OpenPlacement, SchedulerAnswer};
 
-/// The part of the time until a worker takes requests again by which callers come later at the most.
-const RETURN_SPREAD: f64 = 0.25;
+/// Maximum random addition to a caller's retry time, as a fraction of the time until a worker is available again.
+const MAX_RETRY_JITTER: f64 = 0.25;
 
 impl Exchange {
-    /// Whether the request is taken: a scheduler says so, and where it goes first, or this gateway
-    /// decides by itself.
+    /// Decides whether the request is admitted. A scheduler decides and also places the first send; without an answer
+    /// of a scheduler, this gateway decides.
     pub(super) async fn admit(&mut self, now: Timestamp) -> Admission {
         match self.ask_scheduler(PlacementNeed::Admission, &[]).await {
-            Some(Answered::Placed(placed)) => {
+            Some(SchedulerAnswer::Placed(placed)) => {
                 let read_apart = placed.placement().read_apart;
-                // One that is not available is chosen anew with the first send.
+                // If this worker is not available, the first send selects another one.
                 self.placed = Some(placed).filter(OpenPlacement::is_available);
                 let draw = self.draw;
                 return Admission::Admitted { read_apart, draw };
             }
-            Some(Answered::Refused {
+            Some(SchedulerAnswer::Refused {
                 cause,
                 waiting,
                 retry_after,
@@ -68,7 +68,11 @@
         }
     }
 
-    async fn ask_scheduler(&self, need: PlacementNeed, tried: &[WorkerId]) -> Option<Answered> {
+    async fn ask_scheduler(
+        &self,
+        need: PlacementNeed,
+        tried: &[WorkerId],
+    ) -> Option<SchedulerAnswer> {
         let now = self.shared.now();
         let mut avoid = self.shared.directory.lock().unavailable_workers(now);
         avoid.extend_from_slice(tried);
@@ -84,38 +88,40 @@
             need: need.clone(),
             avoid: avoid.clone(),
         };
-        placement::ask(&self.shared, request).await
+        placement::request_placement(&self.shared, request).await
     }
 
-    /// The worker for the next send. The first one has been chosen with the admission, if a scheduler
-    /// has said that.
+    /// Selects the worker for the next send. If a scheduler admitted the request, it has selected the first worker
+    /// already.
     pub(super) async fn select(&mut self, need: Need, avoid: Vec<WorkerId>) -> Option<WorkerId> {
         let fits = |placed: &OpenPlacement| {
             let placement = placed.placement();
-            let reads = need == Need::ReadPrompt;
-            avoid.is_empty() && need.reads_prompt() && placement.read_apart == reads
+            let is_prompt_read = need == Need::ReadPrompt;
+            avoid.is_empty() && need.reads_prompt() && placement.read_apart == is_prompt_read
         };
         if let Some(placed) = self.placed.take().filter(fits) {
-            return Some(self.go_to(placed));
+            return Some(self.use_placement(placed));
         }
-        let asked = PlacementNeed::Worker { need: need.clone() };
-        match self.ask_scheduler(asked, &avoid).await {
-            Some(Answered::Placed(placed)) if placed.is_available() => Some(self.go_to(placed)),
-            Some(Answered::Refused {
+        let placement_need = PlacementNeed::Worker { need: need.clone() };
+        match self.ask_scheduler(placement_need, &avoid).await {
+            Some(SchedulerAnswer::Placed(placed)) if placed.is_available() => {
+                Some(self.use_placement(placed))
+            }
+            Some(SchedulerAnswer::Refused {
                 cause: RefusalCause::RateLimit,
                 ..
             }) => None,
-            _ => self.select_by_itself(&need, &avoid),
+            _ => self.select_locally(&need, &avoid),
         }
     }
 
-    fn go_to(&mut self, placed: OpenPlacement) -> WorkerId {
+    fn use_placement(&mut self, placed: OpenPlacement) -> WorkerId {
         let worker = placed.placement().worker.clone();
         self.placed = Some(placed);
         worker
     }
 
-    fn select_by_itself(&self, need: &Need, avoid: &[WorkerId]) -> Option<WorkerId> {
+    fn select_locally(&self, need: &Need, avoid: &[WorkerId]) -> Option<WorkerId> {
         let now = self.shared.now();
         let zone = self.shared.zone();
         let directory = self.shared.directory.lock();
@@ -123,9 +129,10 @@
         Some(worker.id.clone())
     }
 
-    /// No worker is left for a need. If that is for what all have said of themselves, the caller learns when the first
-    /// is back; a little later for some, so that they do not come all at once.
-    pub(super) fn note_no_worker(&mut self, need: &Need) {
+    /// Records that no worker is available for `need`. If the reason is that all workers are leaving, backing off or
+    /// at their rate limits, the caller is asked to retry when the first one is available again. A random part
+    /// is added to that time, so that not all callers retry at once.
+    pub(super) fn record_no_worker(&mut self, need: &Need) {
         let now = self.shared.now();
         let service = &self.request.routed.service;
         let directory = self.shared.directory.lock();
@@ -137,8 +144,8 @@
             Some(Unavailable::BackingOff | Unavailable::Leaving) => "workers_rest",
         };
         if let Some(first) = first {
-            let later = rand::random_range(0.0..RETURN_SPREAD);
-            self.retry_after = first.after.mul_f64(1.0 + later);
+            let jitter = rand::random_range(0.0..MAX_RETRY_JITTER);
+            self.retry_after = first.after.mul_f64(1.0 + jitter);
         }
     }
 }
--- a/crates/gateway/src/exchange/prompt.rs
+++ b/crates/gateway/src/exchange/prompt.rs
@@ -1,4 +1,4 @@
-//! Reading a prompt apart, and freeing what was read for nothing.
+//! Reading of a prompt by a separate worker, and release of its KV cache if no worker takes it over.
 
 use std::time::Duration;
 
@@ -14,19 +14,19 @@
 use crate::send_guard::{result_of, SendGuard};
 use crate::worker_request::{Asked, WorkerRequest};
 
-/// The longest answer to the reading of a prompt.
+/// Maximum length of an answer to a prompt read or to a release.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
-/// Time for a handle to be freed.
+/// How long the release of a handle may take.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a prompt was not read, and what that says of the worker.
-struct FailedReading {
+/// Why a prompt was not read, and the result of the send that is recorded for the worker.
+struct FailedPromptRead {
     result: SendResult,
     failure: PromptReadFailure,
     detail: String,
 }
 
-impl FailedReading {
+impl FailedPromptRead {
     fn not_sent(reason: &Unconnected) -> Self {
         Self {
             result: result_of(reason),
@@ -35,8 +35,8 @@
         }
     }
 
-    /// The worker did not take it up, as far as is known.
-    fn left(result: SendResult, detail: impl Into<String>) -> Self {
+    /// The worker did not start the read, as far as is known.
+    fn not_started(result: SendResult, detail: impl Into<String>) -> Self {
         Self {
             result,
             failure: PromptReadFailure::NotStarted,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The worker took it up and failed.
-    fn taken_up(detail: impl Into<String>) -> Self {
+    /// The worker started the read and failed.
+    fn failed_after_start(detail: impl Into<String>) -> Self {
         Self {
             result: SendResult::Failed,
             failure: PromptReadFailure::FailedAfterStart,
@@ -55,21 +55,21 @@
 }
 
 impl Exchange {
-    /// Has the prompt read by a worker.
+    /// Sends the prompt to a worker that only reads it.
     pub(super) async fn read_prompt(&mut self, id: &WorkerId) -> RequestEvent {
         let Some(worker) = self.worker(id) else {
             return RequestEvent::PromptNotRead(PromptReadFailure::NotSent);
         };
         let mut guard = self.begin_send(&worker, Asked::ReadPrompt, Need::ReadPrompt);
-        let reading = self.try_read_prompt(&worker, &guard);
-        let limit = self.silence_limit(&guard).min(self.deadline());
-        let Ok(read) = timeout_at(limit, reading).await else {
+        let prompt_read = self.try_read_prompt(&worker, &guard);
+        let limit = self.silence_deadline(&guard).min(self.deadline());
+        let Ok(result) = timeout_at(limit, prompt_read).await else {
             let destination = self.shared.destination(&worker);
             let losses = &self.shared.connections.losses;
             losses.tell(Loss::Silent, &destination);
             return RequestEvent::PromptNotRead(PromptReadFailure::NotStarted);
         };
-        match read {
+        match result {
             Ok(handle) => {
                 guard.answered();
                 guard.answered_whole();
@@ -87,32 +87,38 @@
         &self,
         worker: &Worker,
         guard: &SendGuard,
-    ) -> Result<PromptHandle, FailedReading> {
+    ) -> Result<PromptHandle, FailedPromptRead> {
         let destination = self.shared.destination(worker);
         let request = self.worker_request(worker, Work::ReadPrompt, guard);
         let sent = self.shared.connections.send(&destination, &request).await;
         let mut answer = sent.map_err(|error| match &error {
-            SendError::NotSent(reason) => FailedReading::not_sent(reason),
-            SendError::NoAnswer(_) => FailedReading::left(SendResult::Failed, error.to_string()),
+            SendError::NotSent(reason) => FailedPromptRead::not_sent(reason),
+            SendError::NoAnswer(_) => {
+                FailedPromptRead::not_started(SendResult::Failed, error.to_string())
+            }
         })?;
         let protocol = &self.shared.protocol;
         let kind = protocol.answer_kind(answer.status, &answer.headers);
         let detail = format!("status {}", answer.status);
         match kind {
             AnswerKind::Misdirected => {
-                return Err(FailedReading::left(SendResult::Absent, detail));
+                return Err(FailedPromptRead::not_started(SendResult::Absent, detail));
+            }
+            AnswerKind::NotRun => {
+                return Err(FailedPromptRead::not_started(SendResult::Refused, detail))
             }
-            AnswerKind::NotRun => return Err(FailedReading::left(SendResult::Refused, detail)),
-            AnswerKind::Failure => return Err(FailedReading::taken_up(detail)),
+            AnswerKind::Failure => return Err(FailedPromptRead::failed_after_start(detail)),
             _ if answer.status != 200 => {
-                return Err(FailedReading::left(SendResult::Failed, detail))
+                return Err(FailedPromptRead::not_started(SendResult::Failed, detail))
             }
             _ => {}
         }
         let body = answer.body.read_whole(MAX_ANSWER_BYTES).await;
-        let body = body.ok_or_else(|| FailedReading::taken_up("the answer broke off"))?;
+        let body =
+            body.ok_or_else(|| FailedPromptRead::failed_after_start("answer was cut off"))?;
         let handle = protocol.prompt_handle(&body);
-        let handle = handle.map_err(|error| FailedReading::taken_up(format!("{error:#}")))?;
+        let handle =
+            handle.map_err(|error| FailedPromptRead::failed_after_start(format!("{error:#}")))?;
         Ok(PromptHandle {
             worker: worker.id.clone(),
             address: worker.address.to_string(),
@@ -120,7 +126,7 @@
         })
     }
 
-    /// Frees a KV cache that no worker took over.
+    /// Releases the KV cache of a prompt that no worker has taken over.
     pub(super) fn release_unused_handle(&mut self) {
         let Some(handle) = self.unused_handle.take() else {
             return;
@@ -133,12 +139,12 @@
         let destination = self.shared.destination(&worker);
         let connections = std::sync::Arc::clone(&self.shared.connections);
         actix_rt::spawn(async move {
-            let released = async {
+            let release = async {
                 if let Ok(mut answer) = connections.send(&destination, &request).await {
                     let _ = answer.body.read_whole(MAX_ANSWER_BYTES).await;
                 }
             };
-            let _ = timeout(RELEASE_TIMEOUT, released).await;
+            let _ = timeout(RELEASE_TIMEOUT, release).await;
         });
     }
 }
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -1,4 +1,4 @@
-//! Sending a request to a worker and judging the head of its answer.
+//! Sending of a request to a worker that runs it, and handling of the answer by its status.
 
 use std::time::Duration;
 
@@ -15,14 +15,14 @@
 use crate::worker_request::Asked;
 
 impl Exchange {
-    /// Sends the request to a worker and delivers what it can of the answer. A `patient` send
-    /// waits for a silent worker until the request's time is over.
+    /// Sends the request to a worker and delivers the answer as far as possible. With `wait_until_deadline`, a silent
+    /// worker is waited for until the request's deadline.
     pub(super) async fn run_on(
         &mut self,
         id: &WorkerId,
         source: Option<PromptHandle>,
         resume_after: Option<EventId>,
-        patient: bool,
+        wait_until_deadline: bool,
     ) -> RequestEvent {
         let Some(worker) = self.worker(id) else {
             return failed(SendFailure::NotSent);
@@ -43,37 +43,41 @@
         let connections = self.shared.connections.clone();
         let mut sending = std::pin::pin!(connections.send(&destination, &request));
         let deadline = self.deadline();
-        let silence = self.longest_silence(&guard);
-        let silent_at = Instant::now() + silence;
+        let max_silence = self.max_silence(&guard);
+        let silence_deadline = Instant::now() + max_silence;
         let mut sent = None;
-        if silent_at < deadline {
-            sent = timeout_at(silent_at, &mut sending).await.ok();
+        if silence_deadline < deadline {
+            sent = timeout_at(silence_deadline, &mut sending).await.ok();
             if sent.is_none() {
-                self.shared.connections.give_up_unheard_for(silence);
+                self.shared.connections.give_up_unheard_for(max_silence);
             }
-            let leaves = !patient && self.retries_left(self.shared.now()) > 0;
-            if sent.is_none() && leaves {
+            let may_retry_elsewhere =
+                !wait_until_deadline && self.retries_left(self.shared.now()) > 0;
+            if sent.is_none() && may_retry_elsewhere {
                 self.shared
                     .connections
                     .losses
                     .tell(Loss::Silent, &destination);
-                guard.ended(SendResult::Abandoned { silent: true }, "silent too long");
+                guard.ended(
+                    SendResult::Abandoned { silent: true },
+                    "no answer within the allowed silence",
+                );
                 return failed(SendFailure::MayHaveRun);
             }
         }
         if sent.is_none() {
             sent = timeout_at(deadline, &mut sending).await.ok();
         }
-        let streams = self.route().repeatability.is_stream();
+        let is_stream_route = self.route().repeatability.is_stream();
         let may_have_run = !matches!(&sent, Some(Ok(_) | Err(SendError::NotSent(_))));
-        if may_have_run && !streams {
+        if may_have_run && !is_stream_route {
             self.count_usage(guard.began());
         }
         match sent {
             None => RequestEvent::DeadlinePassed,
             Some(Ok(answer)) => {
-                let silence = (!patient).then_some(silence);
-                self.judge(answer, guard, silence).await
+                let max_silence = (!wait_until_deadline).then_some(max_silence);
+                self.handle_answer(answer, guard, max_silence).await
             }
             Some(Err(SendError::NotSent(reason))) => {
                 guard.ended(result_of(&reason), reason.to_string());
@@ -86,20 +90,23 @@
         }
     }
 
-    async fn judge(
+    async fn handle_answer(
         &mut self,
         answer: WorkerAnswer,
         mut guard: SendGuard,
-        silence: Option<Duration>,
+        max_silence: Option<Duration>,
     ) -> RequestEvent {
         let protocol = &self.shared.protocol;
         let kind = protocol.answer_kind(answer.status, &answer.headers);
         let detail = format!("status {}", answer.status);
-        // What ends with its connection may have been cut off by the worker's end.
-        let tells_its_end = answer.body.tells_its_end();
+        // If only the end of the connection marks the end of the body, a crash of the worker may have cut it off.
+        let has_explicit_end = answer.body.tells_its_end();
         match kind {
             AnswerKind::Unusable => {
-                guard.ended(SendResult::Failed, format!("{detail}, not signed"));
+                guard.ended(
+                    SendResult::Failed,
+                    format!("{detail}, answer is not signed"),
+                );
                 failed(SendFailure::MayHaveRun)
             }
             AnswerKind::NotRun => {
@@ -115,8 +122,8 @@
                     self.count_usage(guard.began());
                 }
                 guard.ended(SendResult::Failed, detail);
-                let event = self.keep_error(answer, silence).await;
-                if event == failed(SendFailure::ErrorAnswer) && tells_its_end {
+                let event = self.keep_error_answer(answer, max_silence).await;
+                if event == failed(SendFailure::ErrorAnswer) && has_explicit_end {
                     guard.answered_whole();
                 }
                 event
@@ -128,13 +135,13 @@
                     true => self.deliver_stream(answer).await,
                     false => {
                         self.count_usage(guard.began());
-                        self.deliver_whole(answer, silence).await
+                        self.deliver_complete(answer, max_silence).await
                     }
                 };
                 match event {
-                    RequestEvent::Completed if tells_its_end => guard.answered_whole(),
+                    RequestEvent::Completed if has_explicit_end => guard.answered_whole(),
                     RequestEvent::Completed | RequestEvent::DeadlinePassed => {}
-                    _ => guard.ended(SendResult::Failed, "the answer broke off"),
+                    _ => guard.ended(SendResult::Failed, "answer was cut off"),
                 }
                 event
             }
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -1,6 +1,6 @@
-//! Follows the store, itself or through the relay of its zone (see
-//! [`tansyhall_forwarding::relay_plan`]): reads it once, then asks for changes, so that the calls of
-//! a fleet grow with its zones and not with its gateways or with how often workers write.
+//! Keeps this gateway's copy of the store up to date, by calls to the store or to a relay of its zone (see
+//! [`tansyhall_forwarding::relay_plan`]). It reads a snapshot once and then requests changes, so the
+//! number of calls from a fleet grows with its zones and not with its gateways or with the writes of workers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,25 +27,26 @@
 
 mod first_copy;
 
-/// Every key.
-const EVERYTHING: &str = "";
-/// Pause between two calls for changes.
-const PACE: Duration = Duration::from_millis(100);
-/// Pauses after failed calls; gateways that fail together do not come back together.
+/// Prefix of all keys.
+const ALL_KEYS: &str = "";
+/// Pause between two requests for changes to the store.
+const CHANGE_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
+/// Pauses after failed calls. They are random, so that gateways whose calls fail at the same time do not all retry at
+/// the same time.
 const BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(120),
     max_delay: Duration::from_millis(300),
 };
-/// Time after the first read in which gateways that start together announce themselves. One that went on
-/// at once would take itself for a relay, as it knows hardly any other, and ask the store each time that
-/// one more is announced.
-const START_SETTLING: Duration = Duration::from_millis(600);
-/// How often a page after the first is asked for again.
-const PAGE_ATTEMPTS: u32 = 40;
-/// The shortest pause after a failed call.
-const MIN_PAUSE: Duration = Duration::from_millis(30);
+/// Time after the first read in which gateways that start together announce themselves. A gateway that continued at once
+/// would know hardly any other gateway, so it would consider itself a relay, and would call the store each time another
+/// gateway is announced.
+const START_ANNOUNCEMENT_TIME: Duration = Duration::from_millis(600);
+/// Maximum number of retries for a page after the first one.
+const MAX_PAGE_RETRIES: u32 = 40;
+/// Minimum pause after a failed call.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Follows the store for ever.
+/// Keeps the copy of the store up to date; runs forever.
 pub async fn follow(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
     let plan = {
         let settings = shared.settings.read();
@@ -59,14 +60,14 @@
         plan,
         watch: None,
         upstream: Upstream::Unavailable,
-        continuation: StoreReadState::default(),
-        settled: false,
-        store_lost: false,
-        epoch: None,
+        read_state: StoreReadState::default(),
+        has_awaited_announcements: false,
+        is_store_lost: false,
+        logged_epoch: None,
         failures: 0,
     };
     loop {
-        follower.ask().await;
+        follower.request_changes().await;
     }
 }
 
@@ -84,20 +85,20 @@
     plan: RelayPlan,
     watch: Option<WatchStream>,
     upstream: Upstream,
-    continuation: StoreReadState,
+    read_state: StoreReadState,
     /// Whether the gateways that started together with this one have had time to announce themselves.
-    settled: bool,
-    store_lost: bool,
-    /// The latest epoch of the store that was logged.
-    epoch: Option<StoreEpoch>,
+    has_awaited_announcements: bool,
+    is_store_lost: bool,
+    /// The latest epoch of the store that the event log contains.
+    logged_epoch: Option<StoreEpoch>,
     failures: u32,
 }
 
 impl Follower {
-    /// Asks whom the plan names, once.
-    async fn ask(&mut self) {
+    /// Requests changes once, from the upstream that the plan selects.
+    async fn request_changes(&mut self) {
         if self.shared.mirror.lock().position().is_start() {
-            return self.seek_first_copy().await;
+            return self.obtain_first_copy().await;
         }
         let relays = self.zone_members();
         let candidates: Vec<RelayCandidate<'_>> = relays.iter().map(candidate).collect();
@@ -106,11 +107,11 @@
         let upstream = self.plan.upstream(now, &candidates, age);
         self.record_upstream(&upstream);
         match upstream {
-            Upstream::Store => self.ask_store().await,
+            Upstream::Store => self.request_from_store().await,
             Upstream::Relay(name) => {
                 let relay = relays.iter().find(|member| member.name == name);
                 if let Some(address) = relay.map(|member| member.copy) {
-                    self.ask_relay(&name, address).await;
+                    self.request_from_relay(&name, address).await;
                 }
             }
             Upstream::Unavailable => self.pause().await,
@@ -127,76 +128,76 @@
             .collect()
     }
 
-    async fn ask_relay(&mut self, name: &str, address: SocketAddr) {
+    async fn request_from_relay(&mut self, name: &str, address: SocketAddr) {
         self.watch = None;
         let position = || self.shared.mirror.lock().position();
         let before = position();
-        let answered = peers::ask(&mut self.client, address, RELAY_WAIT, &self.shared).await;
+        let result = peers::ask(&mut self.client, address, RELAY_WAIT, &self.shared).await;
         let now = self.shared.now();
-        match answered {
+        match result {
             Ok(age) => {
-                self.continuation.record_relay_answer(before, position());
+                self.read_state.record_relay_answer(before, position());
                 self.plan.record_relay_answer(now, name, age);
             }
             Err(error) => {
-                log::debug!("relay {name}: {error:#}");
+                log::debug!("request for changes to relay {name} failed: {error:#}");
                 self.plan.record_relay_failure(now, name);
             }
         }
     }
 
-    async fn ask_store(&mut self) {
-        match self.take_changes().await {
+    async fn request_from_store(&mut self) {
+        match self.apply_changes().await {
             Ok(()) => {
                 self.failures = 0;
                 self.plan.record_store_answer();
-                sleep(PACE).await;
+                sleep(CHANGE_REQUEST_INTERVAL).await;
             }
-            // It has answered: there is little to wait for.
+            // The store has answered, so a short pause is enough.
             Err(StoreError::Restored) => {
-                self.start_anew();
-                sleep(MIN_PAUSE).await;
+                self.require_snapshot();
+                sleep(MIN_RETRY_PAUSE).await;
             }
-            Err(error) => self.store_failed(&error).await,
+            Err(error) => self.handle_store_failure(&error).await,
         }
     }
 
-    /// Reads everything next, as no watch leads on from what is known.
-    fn start_anew(&mut self) {
+    /// Makes the next call read a snapshot, because no watch can continue from this gateway's copy.
+    fn require_snapshot(&mut self) {
         self.watch = None;
-        self.continuation.record_store_failure();
+        self.read_state.record_store_failure();
     }
 
-    async fn store_failed(&mut self, error: &StoreError) {
-        self.start_anew();
+    async fn handle_store_failure(&mut self, error: &StoreError) {
+        self.require_snapshot();
         self.plan.record_store_failure(self.shared.now());
-        self.record_lost(error);
+        self.record_store_lost(error);
         self.failures = self.failures.saturating_add(1);
         self.pause().await;
     }
 
     async fn pause(&self) {
         let pause = BACKOFF.delay(self.failures, rand::random());
-        sleep(pause.max(MIN_PAUSE)).await;
+        sleep(pause.max(MIN_RETRY_PAUSE)).await;
     }
 
-    /// Takes the next changes in, or everything if nothing is being watched. A gateway that has just
-    /// been told everything by a relay goes on from there.
-    async fn take_changes(&mut self) -> Result<(), StoreError> {
+    /// Applies the next changes of the store. Without a watch, starts one at the position of the copy if that is
+    /// possible, for instance after a relay has sent newer changes or a snapshot, and reads a snapshot otherwise.
+    async fn apply_changes(&mut self) -> Result<(), StoreError> {
         let known = self.shared.mirror.lock().position();
         let mut watch = match self.watch.take() {
             Some(watch) => watch,
-            None if self.goes_on_from(known) => self.watch_after(known.revision).await?,
-            None => return self.read_whole(None).await,
+            None if self.can_watch_from(known) => self.watch_after(known.revision).await?,
+            None => return self.read_snapshot(None).await,
         };
-        let answered = in_time(async { watch.next().await.transpose() }).await;
-        self.count_read(&answered);
-        self.observe_epoch();
-        let Some(events) = answered? else {
-            return Err(StoreError::NotApplied("the watch ended".into()));
+        let result = in_time(async { watch.next().await.transpose() }).await;
+        self.count_read(&result);
+        self.record_epoch();
+        let Some(events) = result? else {
+            return Err(StoreError::NotApplied("the store ended the watch".into()));
         };
         self.watch = Some(watch);
-        self.reached(known.epoch);
+        self.record_contact(known.epoch);
         let changes = events.into_iter().map(|event| change(event, known.epoch));
         let changes: Vec<MirrorChange> = changes.collect();
         let position = changes.iter().map(MirrorChange::position).max();
@@ -209,24 +210,26 @@
         Ok(())
     }
 
-    /// Whether a watch leads on from this position of the copy.
-    fn goes_on_from(&self, known: Position) -> bool {
+    /// Returns whether a watch can continue from this position of the copy.
+    fn can_watch_from(&self, known: Position) -> bool {
         let is_present = known.epoch == self.store.epoch().0;
-        is_present && !known.is_start() && !self.continuation.needs_snapshot()
+        is_present && !known.is_start() && !self.read_state.needs_snapshot()
     }
 
-    async fn settle(&mut self) {
-        if !std::mem::replace(&mut self.settled, true) && self.shared.in_force().is_some() {
-            sleep(START_SETTLING).await;
+    async fn wait_for_announcements(&mut self) {
+        if !std::mem::replace(&mut self.has_awaited_announcements, true)
+            && self.shared.in_force().is_some()
+        {
+            sleep(START_ANNOUNCEMENT_TIME).await;
         }
     }
 
     async fn watch_after(&self, known: u64) -> Result<WatchStream, StoreError> {
-        in_time(self.store.watch(EVERYTHING, Revision(known + 1))).await
+        in_time(self.store.watch(ALL_KEYS, Revision(known + 1))).await
     }
 
-    fn count_read<T>(&self, answered: &Result<T, StoreError>) {
-        let outcome = match answered {
+    fn count_read<T>(&self, result: &Result<T, StoreError>) {
+        let outcome = match result {
             Ok(_) => "answered",
             Err(StoreError::Compacted | StoreError::Restored) => "history_gone",
             Err(_) => "failed",
@@ -235,13 +238,13 @@
         reads.with_label_values(&[outcome]).inc();
     }
 
-    /// Tells the store's epoch, where answers have named another one than before.
-    fn observe_epoch(&mut self) {
+    /// Updates the metric for the store's epoch, and logs the epoch if it differs from the last one logged.
+    fn record_epoch(&mut self) {
         let epoch = self.store.epoch();
-        let before = self.epoch.replace(epoch);
+        let previous = self.logged_epoch.replace(epoch);
         let gauge = i64::try_from(epoch.0).unwrap_or(i64::MAX);
         self.shared.metrics.store_epoch.set(gauge);
-        if before != Some(epoch) {
+        if previous != Some(epoch) {
             let event = Event::StoreEpoch {
                 epoch: epoch.0,
                 copy_revision: self.shared.mirror.lock().position().revision,
@@ -250,19 +253,19 @@
         }
     }
 
-    fn reached(&mut self, epoch: u64) {
+    fn record_contact(&mut self, epoch: u64) {
         let now = self.shared.now();
         self.shared.store_contact.mark(now, Duration::ZERO, epoch);
-        if std::mem::take(&mut self.store_lost) {
+        if std::mem::take(&mut self.is_store_lost) {
             self.record_dependency("regained", "");
         }
     }
 
-    fn record_lost(&mut self, error: &StoreError) {
+    fn record_store_lost(&mut self, error: &StoreError) {
         if matches!(error, StoreError::Compacted) {
             return;
         }
-        if !std::mem::replace(&mut self.store_lost, true) {
+        if !std::mem::replace(&mut self.is_store_lost, true) {
             self.record_dependency("lost", &error.to_string());
         }
     }
@@ -297,14 +300,14 @@
     }
 }
 
-/// Reads everything page by page. A page that is refused is asked for again, so that many gateways
-/// that start together get through a store that serves some of them at a time.
-async fn read_all(
+/// Reads a snapshot of the store page by page, and replaces the copy with it. A refused page is requested again, so that
+/// many gateways that start together all succeed with a store that serves only some of them at a time.
+async fn read_all_pages(
     shared: &Arc<Shared>,
     store: &dyn KeyValueStore,
-    first: Option<RangePage>,
+    first_page: Option<RangePage>,
 ) -> Result<(), StoreError> {
-    let mut page = match first {
+    let mut page = match first_page {
         Some(page) => page,
         None => read_page(store, None).await?,
     };
@@ -325,7 +328,7 @@
     };
     let contact = &shared.store_contact;
     contact.mark(shared.now(), Duration::ZERO, epoch.0);
-    observe_revision(shared, revision);
+    record_store_revision(shared, revision);
     let touched = shared.mirror.lock().replace(snapshot);
     if touched.has_changes() {
         refresh(shared, &touched);
@@ -333,8 +336,9 @@
     Ok(())
 }
 
-/// Tells the revision of a store that was read whole, and that it is lower than the copy's.
-fn observe_revision(shared: &Shared, store_revision: u64) {
+/// Updates the metric for the store's revision after a snapshot was read, and logs an event if that revision is lower
+/// than the copy's.
+fn record_store_revision(shared: &Shared, store_revision: u64) {
     let gauge = i64::try_from(store_revision).unwrap_or(i64::MAX);
     shared.metrics.store_revision.set(gauge);
     let copy_revision = shared.mirror.lock().position().revision;
@@ -353,12 +357,12 @@
 ) -> Result<RangePage, StoreError> {
     let mut failures = 0;
     loop {
-        match in_time(store.range_page(EVERYTHING, after)).await {
-            Err(StoreError::NotApplied(_)) if after.is_some() && failures < PAGE_ATTEMPTS => {
+        match in_time(store.range_page(ALL_KEYS, after)).await {
+            Err(StoreError::NotApplied(_)) if after.is_some() && failures < MAX_PAGE_RETRIES => {
                 failures += 1;
-                sleep(BACKOFF.delay(failures, rand::random()).max(MIN_PAUSE)).await;
+                sleep(BACKOFF.delay(failures, rand::random()).max(MIN_RETRY_PAUSE)).await;
             }
-            answered => return answered,
+            result => return result,
         }
     }
 }
--- a/crates/gateway/src/follower/first_copy.rs
+++ b/crates/gateway/src/follower/first_copy.rs
@@ -1,9 +1,10 @@
 //! The first copy of the store, for a gateway that has just started.
 //!
-//! A few gateways read the store themselves, at once if it fits into one page. Of many only the first relay of each
-//! zone does, and the others hand it on: 986 gateways that each read 4 MB after the loss of all would fill the store's
-//! link of 1,000 Mbit/s for half a minute, with 50 calls each. They read the list of gateways only, 0.2 MB: even one
-//! page of the rest would keep that link busy for longer than a call may take.
+//! In a small fleet, each gateway reads the store itself, and at once if the store fits into one page. In a large fleet,
+//! only the first relay of each zone reads it, and the other gateways get it from there. If 986 gateways that were all
+//! lost restarted and each read 4 MB, they would fill the store's link of 1,000 Mbit/s for half a minute, with 50 calls
+//! each. They therefore read only the list of gateways, 0.2 MB: even one page of the other keys for each gateway would
+//! occupy that link for longer than a call may take.
 
 use std::time::Duration;
 
@@ -13,24 +14,26 @@
 use tansyhall_store::{RangePage, StoreError};
 use tokio::time::sleep;
 
-use super::{candidate, read_all, read_page, Follower, MIN_PAUSE, START_SETTLING};
+use super::{
+    candidate, read_all_pages, read_page, Follower, MIN_RETRY_PAUSE, START_ANNOUNCEMENT_TIME,
+};
 use crate::peers::{self, RELAY_WAIT};
 use crate::presence::{self, Member};
 use crate::store_call::in_time;
 
-/// Time that relays have to get the copy and to hand it on: 4 MB in 52 pages, while all others read the list of
-/// gateways. After that their successors read the store as well, one after the other.
-const RELAYS_TIME: Duration = Duration::from_secs(3);
+/// Time in which relays get the copy and send it to their subscribers: 4 MB in 52 pages, while all other gateways read
+/// the list of gateways. Afterwards their successors read the store as well, one after another.
+const RELAY_DISTRIBUTION_TIME: Duration = Duration::from_secs(3);
 
 impl Follower {
-    /// Comes by a copy, or fails and pauses.
-    pub(super) async fn seek_first_copy(&mut self) {
+    /// Obtains a copy, or pauses after a failure.
+    pub(super) async fn obtain_first_copy(&mut self) {
         match self.first_copy().await {
             Ok(()) => {
                 self.failures = 0;
                 self.plan.record_store_answer();
             }
-            Err(error) => self.store_failed(&error).await,
+            Err(error) => self.handle_store_failure(&error).await,
         }
     }
 
@@ -39,38 +42,40 @@
         if listed.len() <= GATEWAYS_PER_RELAY {
             let page = read_page(&*self.store, None).await?;
             if !page.more {
-                return self.read_whole(Some(page)).await;
+                return self.read_snapshot(Some(page)).await;
             }
         }
         if !self.is_announced(&listed) {
-            if self.relay_tells(&listed).await {
+            if self.request_copy_from_relay(&listed).await {
                 return Ok(());
             }
-            // Those that start together announce themselves meanwhile. Where this gateway was announced
-            // before, so were the others.
-            self.settled = true;
-            sleep(START_SETTLING).await;
+            // Gateways that start together announce themselves during this time. If this gateway was already
+            // announced, so were the others, and no wait is needed.
+            self.has_awaited_announcements = true;
+            sleep(START_ANNOUNCEMENT_TIME).await;
             listed = self.list_gateways().await?;
         }
         if listed.len() > GATEWAYS_PER_RELAY {
             let began = self.shared.now();
-            while !self.asks_store(&listed, began) {
-                if self.relay_tells(&listed).await {
+            while !self.should_read_store(&listed, began) {
+                if self.request_copy_from_relay(&listed).await {
                     return Ok(());
                 }
             }
         }
-        self.read_whole(None).await
+        self.read_snapshot(None).await
     }
 
     fn is_announced(&self, listed: &[Member]) -> bool {
         let settings = self.shared.settings.read();
-        listed.iter().any(|one| one.name == settings.node.name)
+        listed
+            .iter()
+            .any(|member| member.name == settings.node.name)
     }
 
-    /// Asks the relay of this gateway's zone for its copy; returns whether there is one now.
-    async fn relay_tells(&mut self, listed: &[Member]) -> bool {
-        let members = self.of_zone(listed);
+    /// Requests the copy from the relay of this gateway's zone. Returns whether this gateway has a copy now.
+    async fn request_copy_from_relay(&mut self, listed: &[Member]) -> bool {
+        let members = self.members_in_own_zone(listed);
         let candidates: Vec<RelayCandidate<'_>> = members.iter().map(candidate).collect();
         let now = self.shared.now();
         let upstream = self.plan.upstream(now, &candidates, Duration::ZERO);
@@ -78,17 +83,20 @@
             .iter()
             .find(|member| upstream == Upstream::Relay(member.name.clone()));
         let Some(relay) = relay else {
-            sleep(MIN_PAUSE).await;
+            sleep(MIN_RETRY_PAUSE).await;
             return self.has_copy();
         };
-        let asked = peers::ask(&mut self.client, relay.copy, RELAY_WAIT, &self.shared).await;
-        if let Err(error) = asked {
-            log::debug!("relay {}: {error:#}", relay.name);
+        let result = peers::ask(&mut self.client, relay.copy, RELAY_WAIT, &self.shared).await;
+        if let Err(error) = result {
+            log::debug!(
+                "request for the first copy to relay {} failed: {error:#}",
+                relay.name
+            );
             self.plan.record_relay_failure(now, &relay.name);
-            sleep(MIN_PAUSE).await;
+            sleep(MIN_RETRY_PAUSE).await;
         }
         if self.has_copy() {
-            self.continuation.record_snapshot();
+            self.read_state.record_snapshot();
         }
         self.has_copy()
     }
@@ -97,24 +105,24 @@
         !self.shared.mirror.lock().position().is_start()
     }
 
-    fn of_zone(&self, listed: &[Member]) -> Vec<Member> {
+    fn members_in_own_zone(&self, listed: &[Member]) -> Vec<Member> {
         let zone = self.shared.zone();
-        let of_zone = |member: &&Member| member.zone.as_ref() == Some(&zone);
-        listed.iter().filter(of_zone).cloned().collect()
+        let is_in_own_zone = |member: &&Member| member.zone.as_ref() == Some(&zone);
+        listed.iter().filter(is_in_own_zone).cloned().collect()
     }
 
-    /// Whether this gateway reads the store itself: it is the first relay of its zone, or the relays have had time and
-    /// its rank among their successors is due.
-    fn asks_store(&mut self, listed: &[Member], began: Timestamp) -> bool {
-        let members = self.of_zone(listed);
+    /// Returns whether this gateway reads the store itself: it is the first relay of its zone, or
+    /// [`RELAY_DISTRIBUTION_TIME`] has passed and it is this gateway's turn among the successors of the relays.
+    fn should_read_store(&mut self, listed: &[Member], began: Timestamp) -> bool {
+        let members = self.members_in_own_zone(listed);
         let candidates: Vec<RelayCandidate<'_>> = members.iter().map(candidate).collect();
         let now = self.shared.now();
-        let overdue = now.since(began).saturating_sub(RELAYS_TIME);
+        let overdue = now.since(began).saturating_sub(RELAY_DISTRIBUTION_TIME);
         self.plan.upstream(now, &candidates, overdue) == Upstream::Store
     }
 
-    /// The gateways that the store lists, page by page: of 986 that start together each gets a page in 0.3 s (worked out, not measured), and all
-    /// of them in more than one call may take.
+    /// Reads the gateways that the store lists, page by page. When 986 gateways start together, one page for
+    /// each of them takes a calculated 0.3 s, but all pages would take longer than one call may take.
     async fn list_gateways(&self) -> Result<Vec<Member>, StoreError> {
         let mut listed = Vec::new();
         let mut after: Option<String> = None;
@@ -130,15 +138,18 @@
         }
     }
 
-    /// Reads everything from the store, after the first page if that was read already.
-    pub(super) async fn read_whole(&mut self, first: Option<RangePage>) -> Result<(), StoreError> {
-        let read = read_all(&self.shared, &*self.store, first).await;
-        self.observe_epoch();
-        read?;
+    /// Reads a snapshot of the store. `first_page` is its first page if that has been read already.
+    pub(super) async fn read_snapshot(
+        &mut self,
+        first_page: Option<RangePage>,
+    ) -> Result<(), StoreError> {
+        let result = read_all_pages(&self.shared, &*self.store, first_page).await;
+        self.record_epoch();
+        result?;
         let epoch = self.shared.mirror.lock().position().epoch;
-        self.reached(epoch);
-        self.continuation.record_snapshot();
-        self.settle().await;
+        self.record_contact(epoch);
+        self.read_state.record_snapshot();
+        self.wait_for_announcements().await;
         Ok(())
     }
 }
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -1,4 +1,4 @@
-//! Asks the scheduler of this gateway's requests where they go, and tells it what came of them.
+//! Requests placements from this gateway's scheduler and reports to it how they ended.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,35 +18,35 @@
 use crate::events::{Event, Weight};
 use crate::state::Shared;
 
-/// Schedulers that are asked for one placement before the gateway decides by itself.
-const ASKED_SCHEDULERS: usize = 2;
-/// Time in which notices are gathered for one message, or go along with a question.
+/// Maximum number of schedulers that are asked for one placement before the gateway decides itself.
+const MAX_ASKED_SCHEDULERS: usize = 2;
+/// How long notices wait to be sent in one message, or together with a placement request.
 const NOTICE_DELAY: Duration = Duration::from_millis(4);
 
-/// What this gateway has asked of schedulers.
+/// Placements that this gateway has requested from schedulers.
 #[derive(Debug)]
 pub struct PlacementClient {
-    book: Mutex<RequestedPlacements>,
-    waiting: Mutex<HashMap<PlacementId, oneshot::Sender<PlacementAnswer>>>,
-    told: Notify,
+    requested: Mutex<RequestedPlacements>,
+    pending_answers: Mutex<HashMap<PlacementId, oneshot::Sender<PlacementAnswer>>>,
+    notice_queued: Notify,
 }
 
-/// A scheduler's answer to a question that it could answer.
-pub enum Answered {
-    /// Where the request goes.
+/// A scheduler's decision on a request.
+pub enum SchedulerAnswer {
+    /// The request is admitted and placed.
     Placed(OpenPlacement),
-    /// It is refused.
+    /// The request is refused.
     Refused {
-        /// Why it may not wait so long.
+        /// Why the request may not wait that long.
         cause: RefusalCause,
-        /// How long it would have waited.
+        /// How long the request would have waited.
         waiting: Duration,
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
     },
 }
 
-/// A placement that its scheduler counts until it is told of its end, at the latest when this is dropped.
+/// A placement that its scheduler counts until its end is reported, at the latest when this value is dropped.
 pub struct OpenPlacement {
     shared: Arc<Shared>,
     scheduler: String,
@@ -55,7 +55,8 @@
 }
 
 impl OpenPlacement {
-    /// A placement that has just been made; takes in what its scheduler knows of the worker's rate limit.
+    /// Creates the value for a new placement, and applies what the scheduler knows of the worker's rate limit to this
+    /// gateway's directory.
     fn new(shared: &Arc<Shared>, scheduler: String, placement: Placement) -> Self {
         let now = shared.now();
         if let Some(stated) = placement.rate_limit {
@@ -70,24 +71,24 @@
         }
     }
 
-    /// What the scheduler has said.
+    /// Returns the scheduler's decision.
     pub fn placement(&self) -> &Placement {
         &self.placement
     }
 
-    /// The scheduler's name.
+    /// Returns the name of the scheduler.
     pub fn scheduler(&self) -> &str {
         &self.scheduler
     }
 
-    /// Tells the scheduler that the answer begins.
+    /// Reports to the scheduler that the prompt has been read and the answer starts.
     pub fn prompt_was_read(&self, latency: Duration) {
         let id = self.placement.id;
-        self.tell(PlacementNotice::PromptRead { id, latency });
+        self.queue_notice(PlacementNotice::PromptRead { id, latency });
     }
 
-    /// Tells the scheduler how the send ended, and what the worker has said of itself: a scheduler that has not heard
-    /// it would place the requests of all who ask it there.
+    /// Reports to the scheduler how the send ended, and the worker's latest notice about itself. Without that
+    /// notice, the scheduler would continue to place requests of all its gateways on this worker.
     pub fn end(&mut self, result: SendResult) {
         self.ended = true;
         let now = self.shared.now();
@@ -96,7 +97,7 @@
         let worker_notice = directory.current_notice(now, worker);
         let rate_limit = directory.stated_rate_limit(now, worker);
         drop(directory);
-        self.tell(PlacementNotice::Ended {
+        self.queue_notice(PlacementNotice::Ended {
             id: self.placement.id,
             result,
             worker_notice,
@@ -104,21 +105,24 @@
         });
     }
 
-    /// Whether the worker has said nothing that keeps this gateway from sending to it. A rate limit does if the
-    /// scheduler has not reckoned with it.
+    /// Returns whether no notice of the worker forbids this gateway to send to it. A rate limit forbids it if the
+    /// scheduler has not taken a token for the request.
     pub fn is_available(&self) -> bool {
         let now = self.shared.now();
         let worker = &self.placement.worker;
         let directory = self.shared.directory.lock();
-        let is_uncounted =
+        let lacks_rate_token =
             directory.rate_limit_of(worker).is_some() && !self.placement.has_rate_token;
-        directory.unavailable(now, worker).is_none() && !is_uncounted
+        directory.unavailable(now, worker).is_none() && !lacks_rate_token
     }
 
-    fn tell(&self, notice: PlacementNotice) {
+    fn queue_notice(&self, notice: PlacementNotice) {
         let client = &self.shared.placements;
-        client.book.lock().queue_notice(&self.scheduler, notice);
-        client.told.notify_one();
+        client
+            .requested
+            .lock()
+            .queue_notice(&self.scheduler, notice);
+        client.notice_queued.notify_one();
     }
 }
 
@@ -131,75 +135,78 @@
 }
 
 impl PlacementClient {
-    /// Nothing asked yet.
+    /// Creates a client without requested placements.
     pub fn new(sender: GatewayKey) -> Self {
         Self {
-            book: Mutex::new(RequestedPlacements::new(sender)),
-            waiting: Mutex::default(),
-            told: Notify::new(),
+            requested: Mutex::new(RequestedPlacements::new(sender)),
+            pending_answers: Mutex::default(),
+            notice_queued: Notify::new(),
         }
     }
 
-    /// A scheduler has answered.
+    /// Passes a scheduler's answer to the request that waits for it.
     pub fn take_answer(&self, id: PlacementId, answer: PlacementAnswer) {
-        let Some(waiting) = self.waiting.lock().remove(&id) else {
+        let Some(pending) = self.pending_answers.lock().remove(&id) else {
             return;
         };
-        if waiting.send(answer).is_err() {
-            log::debug!("the request of placement {} is over", id.0);
+        if pending.send(answer).is_err() {
+            log::debug!(
+                "received an answer for placement {}, whose request has ended",
+                id.0
+            );
         }
     }
 }
 
-/// A scheduler that is to be asked.
-struct Asked {
+/// The scheduler to send a placement request to.
+struct SelectedScheduler {
     name: String,
     address: SocketAddr,
-    patience: Duration,
+    answer_timeout: Duration,
 }
 
-/// The scheduler to ask now; none if this gateway decides by itself.
-fn scheduler(shared: &Shared) -> Option<Asked> {
+/// Returns the scheduler to ask now, or `None` if this gateway decides itself.
+fn select_scheduler(shared: &Shared) -> Option<SelectedScheduler> {
     let settings = shared.settings.read().clone();
     if !settings.decisions.schedulers {
         return None;
     }
     let now = shared.now();
-    let own = &settings.node.name;
+    let own_name = &settings.node.name;
     let fleet = shared.fleet.read().clone();
-    let book = shared.placements.book.lock();
-    let is_usable = |name: &str| book.is_usable(now, name);
+    let requested = shared.placements.requested.lock();
+    let is_usable = |name: &str| requested.is_usable(now, name);
     let name = fleet
         .plan
-        .scheduler_of(own, &settings.node.zone, is_usable)?;
-    if name == own {
+        .scheduler_of(own_name, &settings.node.zone, is_usable)?;
+    if name == own_name {
         return None;
     }
-    Some(Asked {
+    Some(SelectedScheduler {
         name: name.to_owned(),
         address: fleet.load_address(name)?,
-        patience: book.answer_timeout(name),
+        answer_timeout: requested.answer_timeout(name),
     })
 }
 
-/// Asks where a request goes. Without an answer, this gateway decides by itself: it is a scheduler, or
-/// no scheduler answers, or the one that does knows no worker.
-pub async fn ask(
+/// Requests a placement from a scheduler. Returns `None` if this gateway has to decide itself: it is a scheduler, no
+/// scheduler answers, or the scheduler that answers knows no worker.
+pub async fn request_placement(
     shared: &Arc<Shared>,
     request: impl Fn(PlacementId) -> PlacementRequest,
-) -> Option<Answered> {
-    for _ in 0..ASKED_SCHEDULERS {
-        let asked = scheduler(shared)?;
-        let id = shared.placements.book.lock().next_id();
-        let Some(answer) = ask_one(shared, &asked, request(id)).await else {
+) -> Option<SchedulerAnswer> {
+    for _ in 0..MAX_ASKED_SCHEDULERS {
+        let scheduler = select_scheduler(shared)?;
+        let id = shared.placements.requested.lock().next_id();
+        let Some(answer) = ask_scheduler(shared, &scheduler, request(id)).await else {
             shared.metrics.count_placement("silent");
             continue;
         };
         match answer {
             PlacementAnswer::Placed(placement) => {
                 shared.metrics.count_placement("placed");
-                let placed = OpenPlacement::new(shared, asked.name, placement);
-                return Some(Answered::Placed(placed));
+                let placed = OpenPlacement::new(shared, scheduler.name, placement);
+                return Some(SchedulerAnswer::Placed(placed));
             }
             PlacementAnswer::Refused {
                 cause,
@@ -207,9 +214,9 @@
                 retry_after,
             } => {
                 shared.metrics.count_placement("refused");
-                let mut book = shared.placements.book.lock();
-                book.remove_unplaced(&asked.name, id);
-                return Some(Answered::Refused {
+                let mut requested = shared.placements.requested.lock();
+                requested.remove_unplaced(&scheduler.name, id);
+                return Some(SchedulerAnswer::Refused {
                     cause,
                     waiting,
                     retry_after,
@@ -217,8 +224,8 @@
             }
             PlacementAnswer::NoWorker => {
                 shared.metrics.count_placement("no_worker");
-                let mut book = shared.placements.book.lock();
-                book.remove_unplaced(&asked.name, id);
+                let mut requested = shared.placements.requested.lock();
+                requested.remove_unplaced(&scheduler.name, id);
                 return None;
             }
         }
@@ -226,58 +233,67 @@
     None
 }
 
-/// A question that waits for its answer; it is forgotten if its asker is dropped meanwhile.
-struct WaitingQuestion<'a> {
+/// A placement request that waits for its answer. Dropping it before then removes it from the client's state.
+struct PendingRequest<'a> {
     shared: &'a Shared,
     scheduler: &'a str,
     id: PlacementId,
-    over: bool,
+    is_finished: bool,
 }
 
-impl Drop for WaitingQuestion<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.is_finished {
             let client = &self.shared.placements;
-            client.waiting.lock().remove(&self.id);
-            client.book.lock().remove_unplaced(self.scheduler, self.id);
+            client.pending_answers.lock().remove(&self.id);
+            client
+                .requested
+                .lock()
+                .remove_unplaced(self.scheduler, self.id);
         }
     }
 }
 
-async fn ask_one(
+async fn ask_scheduler(
     shared: &Shared,
-    asked: &Asked,
+    scheduler: &SelectedScheduler,
     request: PlacementRequest,
 ) -> Option<PlacementAnswer> {
     let client = &shared.placements;
     let id = request.id;
-    let mut question = WaitingQuestion {
+    let mut pending = PendingRequest {
         shared,
-        scheduler: &asked.name,
+        scheduler: &scheduler.name,
         id,
-        over: false,
+        is_finished: false,
     };
     let (sender, receiver) = oneshot::channel();
-    client.waiting.lock().insert(id, sender);
-    let message = client.book.lock().request_message(&asked.name, request);
+    client.pending_answers.lock().insert(id, sender);
+    let message = client
+        .requested
+        .lock()
+        .request_message(&scheduler.name, request);
     let began = shared.now();
-    send(shared, asked.address, &message);
-    let answered = timeout(asked.patience, receiver).await;
-    question.over = true;
+    send(shared, scheduler.address, &message);
+    let answered = timeout(scheduler.answer_timeout, receiver).await;
+    pending.is_finished = true;
     let now = shared.now();
     match answered {
         Ok(Ok(answer)) => {
-            let mut book = client.book.lock();
-            book.record_answer(&asked.name, now.since(began));
+            let mut requested = client.requested.lock();
+            requested.record_answer(&scheduler.name, now.since(began));
             Some(answer)
         }
         _ => {
-            client.waiting.lock().remove(&id);
-            client.book.lock().record_timeout(now, &asked.name, id);
+            client.pending_answers.lock().remove(&id);
+            client
+                .requested
+                .lock()
+                .record_timeout(now, &scheduler.name, id);
             let event = Event::Dependency {
                 name: "scheduler",
                 state: "silent",
-                reason: &asked.name,
+                reason: &scheduler.name,
             };
             shared.log.record(Weight::Routine, &event);
             None
@@ -285,16 +301,16 @@
     }
 }
 
-/// Tells schedulers what was not told along with questions, for ever.
+/// Sends schedulers the notices that were not sent together with placement requests; runs forever.
 pub async fn tell_notices(shared: Arc<Shared>) {
     loop {
-        shared.placements.told.notified().await;
+        shared.placements.notice_queued.notified().await;
         sleep(NOTICE_DELAY).await;
         let fleet = shared.fleet.read().clone();
         let messages = {
-            let mut book = shared.placements.book.lock();
-            book.retain(|name| fleet.load_address(name).is_some());
-            book.take_notice_messages()
+            let mut requested = shared.placements.requested.lock();
+            requested.retain(|name| fleet.load_address(name).is_some());
+            requested.take_notice_messages()
         };
         for (scheduler, message) in messages {
             if let Some(address) = fleet.load_address(&scheduler) {
@@ -305,8 +321,8 @@
 }
 
 fn send(shared: &Shared, address: SocketAddr, message: &PlacementMessage) {
-    let question = QuestionMessage::from(message);
+    let wire_message = QuestionMessage::from(message);
     shared
         .datagrams
-        .send(address, &Datagram::question(question));
+        .send(address, &Datagram::question(wire_message));
 }
--- a/crates/gateway/src/placement/codec.rs
+++ b/crates/gateway/src/placement/codec.rs
@@ -1,4 +1,4 @@
-//! Makes messages of questions and answers, and questions and answers of messages.
+//! Conversion between the wire format of placement messages and the types of [`tansyhall_forwarding::placement`].
 
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
 }
 
 impl NoticeKind {
-    /// The kind that says how a send ended.
+    /// Returns the kind of notice that reports this result of a send.
     fn of(result: SendResult) -> Self {
         match result {
             SendResult::Answered { .. } => NoticeKind::Answered,
@@ -101,7 +101,8 @@
     fn try_from(message: &NoticeMessage) -> Result<Self> {
         let id = PlacementId(message.id);
         let latency = Duration::from_micros(message.latency_micros);
-        let kind = NoticeKind::try_from(message.kind).context("notice of an unknown kind")?;
+        let kind =
+            NoticeKind::try_from(message.kind).context("unknown kind of placement notice")?;
         let result = match kind {
             NoticeKind::PromptRead => return Ok(PlacementNotice::PromptRead { id, latency }),
             NoticeKind::Answered => SendResult::Answered { latency },
@@ -112,10 +113,10 @@
             NoticeKind::AbandonedSilent => SendResult::Abandoned { silent: true },
             NoticeKind::Abandoned => SendResult::Abandoned { silent: false },
         };
-        let rest = Duration::from_micros(message.rest_micros).min(MAX_BACKOFF);
+        let backoff = Duration::from_micros(message.rest_micros).min(MAX_BACKOFF);
         let worker_notice = WorkerNotice {
             is_leaving: message.worker_leaves,
-            backoff: (!rest.is_zero()).then_some(rest),
+            backoff: (!backoff.is_zero()).then_some(backoff),
             rate_limit: None,
         };
         Ok(PlacementNotice::Ended {
@@ -141,7 +142,7 @@
             id: part.id.clone(),
             tokens: part.tokens,
         };
-        let life = |worker: &WorkerId| worker.qualified_name().to_owned();
+        let qualified_name_of = |worker: &WorkerId| worker.qualified_name().to_owned();
         Self {
             id: request.id.0,
             service: request.service.as_str().to_owned(),
@@ -154,7 +155,7 @@
             draw: request.draw,
             need: need as i32,
             reader: reader.to_owned(),
-            avoid: request.avoid.iter().map(life).collect(),
+            avoid: request.avoid.iter().map(qualified_name_of).collect(),
             tenant: request.tenant.map(|tenant| tenant.0),
         }
     }
@@ -164,7 +165,7 @@
     type Error = anyhow::Error;
 
     fn try_from(message: RequestMessage) -> Result<Self> {
-        let kind = NeedKind::try_from(message.need).context("request for an unknown need")?;
+        let kind = NeedKind::try_from(message.need).context("unknown need in placement request")?;
         let avoid = message.avoid.iter();
         let avoid = avoid.map(|id| WorkerId::from(id.as_str())).collect();
         let worker = |need| PlacementNeed::Worker { need };
@@ -201,7 +202,7 @@
 }
 
 impl AnswerMessage {
-    /// An answer as it is sent.
+    /// Creates the message for the answer to a placement request.
     pub fn new(id: PlacementId, answer: &PlacementAnswer) -> Self {
         let (placed, refused) = match answer {
             PlacementAnswer::NoWorker => (None, None),
@@ -227,7 +228,11 @@
         }
     }
 
-    /// The answer, with the placement that it is for.
+    /// Decodes the answer and the id of the requested placement.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the address to fetch KV cache from is invalid.
     pub fn decode_answer(self) -> Result<(PlacementId, PlacementAnswer)> {
         let id = PlacementId(self.id);
         let answer = match (self.placed, self.refused) {
@@ -267,7 +272,11 @@
     fn decode_placement(self, id: PlacementId) -> Result<Placement> {
         let fetch_from = match self.fetch_from.is_empty() {
             true => None,
-            false => Some(self.fetch_from.parse().context("address to fetch from")?),
+            false => Some(
+                self.fetch_from
+                    .parse()
+                    .context("invalid address to fetch KV cache from")?,
+            ),
         };
         Ok(Placement {
             id,
--- a/crates/gateway/src/placement/message.rs
+++ b/crates/gateway/src/placement/message.rs
@@ -1,115 +1,115 @@
-//! Messages between a gateway and the scheduler that places its requests, as they are sent. `codec` makes
-//! them of what they stand for.
+//! Wire format of the messages between a gateway and the scheduler that places its requests. `codec` converts them to
+//! and from the types of [`tansyhall_forwarding::placement`].
 
 use prost::Message;
 
 use crate::load_messages::StatedLimitMessage;
 
-/// What a gateway sends to a scheduler.
+/// A message from a gateway to a scheduler.
 #[derive(Clone, PartialEq, Message)]
 pub struct QuestionMessage {
-    /// The sender's key.
+    /// Key of the sending gateway.
     #[prost(fixed64, tag = "1")]
     pub sender: u64,
-    /// Grows with each message.
+    /// Sequence number; it increases with each message.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Placements that the sender holds open here.
+    /// All open placements of the sender at this scheduler.
     #[prost(uint64, repeated, tag = "3")]
     pub open: Vec<u64>,
-    /// What is new of them.
+    /// Notices about placements that were not sent before.
     #[prost(message, repeated, tag = "4")]
     pub notices: Vec<NoticeMessage>,
-    /// A request to be placed.
+    /// A request to be placed, if any.
     #[prost(message, optional, tag = "5")]
     pub request: Option<RequestMessage>,
 }
 
-/// What is new of a placement.
+/// A notice about a placement.
 #[derive(Clone, PartialEq, Message)]
 pub struct NoticeMessage {
-    /// The placement.
+    /// Id of the placement.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What happened.
+    /// What the notice reports.
     #[prost(enumeration = "NoticeKind", tag = "2")]
     pub kind: i32,
-    /// Microseconds until the answer began, where it did.
+    /// Microseconds from the send until the answer started; 0 if it did not start.
     #[prost(uint64, tag = "3")]
     pub latency_micros: u64,
-    /// Whether the worker has told the sender that it leaves; gateways of earlier versions don't tell it.
+    /// Whether the worker has notified the sender that it is leaving. Gateways of earlier versions don't send this.
     #[prost(bool, tag = "4")]
     pub worker_leaves: bool,
-    /// Microseconds for which the worker wants nothing more; gateways of earlier versions don't tell it.
+    /// Microseconds for which the worker is backing off; 0 if it is not. Gateways of earlier versions don't send this.
     #[prost(uint64, tag = "5")]
     pub rest_micros: u64,
-    /// What the worker has stated of its rate limit; gateways of earlier versions don't tell it.
+    /// The rate limit that the worker has stated, if known. Gateways of earlier versions don't send this.
     #[prost(message, optional, tag = "6")]
     pub rate_limit: Option<StatedLimitMessage>,
 }
 
-/// What may happen to a placement.
+/// The kinds of notices.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum NoticeKind {
-    /// Its prompt was read.
+    /// The worker has read the prompt, and its answer starts.
     PromptRead = 0,
-    /// A whole answer.
+    /// The worker has answered.
     Answered = 1,
-    /// The worker failed.
+    /// The worker failed, or sent an invalid answer.
     Failed = 2,
-    /// The worker had no room.
+    /// The worker rejected the request because it has no capacity.
     Refused = 3,
     /// The worker could not be reached.
     Unreachable = 4,
-    /// The worker is not there.
+    /// The worker does not exist: nothing, or another worker, listens at its address.
     Absent = 5,
-    /// Given up because the worker was silent.
+    /// The send was abandoned before any part of an answer arrived.
     AbandonedSilent = 6,
-    /// Given up for another reason.
+    /// The send was abandoned later, or the gateway withheld it because of the worker's rate limit.
     Abandoned = 7,
 }
 
 /// A request to be placed.
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestMessage {
-    /// Names the placement.
+    /// Id of the new placement.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The service.
+    /// Name of the service.
     #[prost(string, tag = "2")]
     pub service: String,
-    /// The route.
+    /// Name of the route.
     #[prost(string, tag = "3")]
     pub route: String,
-    /// The prompt's parts.
+    /// The parts of the prompt.
     #[prost(message, repeated, tag = "4")]
     pub prompt: Vec<PromptPartMessage>,
-    /// Whether more urgent routes go first.
+    /// Whether the service has routes with a higher priority than this one.
     #[prost(bool, tag = "5")]
     pub yields: bool,
-    /// Microseconds until the answer should begin.
+    /// Latency objective: microseconds within which the answer should start.
     #[prost(uint64, tag = "6")]
     pub objective_micros: u64,
-    /// Microseconds that the stream may pause, if there is a bound.
+    /// Longest allowed pause of the stream in microseconds, if there is a limit.
     #[prost(uint64, optional, tag = "7")]
     pub pause_micros: Option<u64>,
-    /// Microseconds until the caller gives up.
+    /// Microseconds until the deadline of the request.
     #[prost(uint64, tag = "8")]
     pub left_micros: u64,
-    /// A random number.
+    /// A random number that selects one of several nearly equal engines.
     #[prost(fixed64, tag = "9")]
     pub draw: u64,
-    /// What is needed.
+    /// What the sender requests.
     #[prost(enumeration = "NeedKind", tag = "10")]
     pub need: i32,
-    /// The worker that has read the prompt, if it goes on from there.
+    /// The worker that has read the prompt, for [`NeedKind::Continue`]; empty otherwise.
     #[prost(string, tag = "11")]
     pub reader: String,
-    /// Workers that are not to be chosen. Gateways of earlier versions pass over it where admission is asked for.
+    /// Workers that must not be selected. Gateways of earlier versions ignore it in requests for admission.
     #[prost(string, repeated, tag = "12")]
     pub avoid: Vec<String>,
-    /// The key of the tenant whose request it is; gateways of earlier versions don't tell it.
+    /// Key of the tenant that the request belongs to, if any. Gateways of earlier versions don't send this.
     #[prost(fixed64, optional, tag = "13")]
     pub tenant: Option<u64>,
 }
@@ -117,67 +117,69 @@
 /// A part of a prompt.
 #[derive(Clone, PartialEq, Message)]
 pub struct PromptPartMessage {
-    /// Its identity.
+    /// Identifier of the part.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Its length.
+    /// Length in tokens.
     #[prost(uint64, tag = "2")]
     pub tokens: u64,
 }
 
-/// What a request may need.
+/// What a gateway can request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum NeedKind {
-    /// Admission and the first worker.
+    /// Admission of the request, and its first worker.
     Admission = 0,
-    /// A worker that runs it.
+    /// A worker that runs the request.
     Run = 1,
-    /// A worker that reads the prompt.
+    /// A worker that only reads the prompt.
     ReadPrompt = 2,
-    /// A worker that goes on after the reader.
+    /// A worker that continues with the KV cache of the worker that has read the prompt.
     Continue = 3,
 }
 
-/// What a scheduler answers.
+/// A scheduler's answer to a placement request. Without `placed` and `refused`, the scheduler knows no worker for the
+/// request.
 #[derive(Clone, PartialEq, Message)]
 pub struct AnswerMessage {
-    /// The placement that was asked for.
+    /// Id of the requested placement.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// Where it goes, if it was placed.
+    /// The selected worker, if the request was placed.
     #[prost(message, optional, tag = "2")]
     pub placed: Option<PlacedMessage>,
-    /// Why not, if it was refused.
+    /// The reason, if the request was refused.
     #[prost(message, optional, tag = "3")]
     pub refused: Option<RefusedMessage>,
 }
 
-/// Where a request goes.
+/// The worker that a scheduler selected for a request.
 #[derive(Clone, PartialEq, Message)]
 pub struct PlacedMessage {
-    /// The worker.
+    /// Id of the worker.
     #[prost(string, tag = "1")]
     pub worker: String,
-    /// Whether it only reads.
+    /// Whether the worker only reads the prompt, and another worker runs the request.
     #[prost(bool, tag = "2")]
     pub read_apart: bool,
-    /// The address to fetch from, or empty.
+    /// Address of the worker from which missing KV cache should be fetched, or empty.
     #[prost(string, tag = "3")]
     pub fetch_from: String,
-    /// Tokens to read.
+    /// Number of prompt tokens that the worker has to read.
     #[prost(uint64, tag = "4")]
     pub reading_tokens: u64,
-    /// Whether they are few.
+    /// Whether reading these tokens costs an engine hardly more than the fixed cost of any prompt.
     #[prost(bool, tag = "5")]
     pub short_reading: bool,
-    /// Microseconds until the answer is expected.
+    /// Expected microseconds until the answer starts.
     #[prost(uint64, tag = "6")]
     pub expected_micros: u64,
-    /// Whether it is taken off the worker's rate limit; schedulers of earlier versions don't know of limits.
+    /// Whether the scheduler has taken a token from the worker's rate limit for this request. Schedulers of earlier
+    /// versions don't support rate limits.
     #[prost(bool, tag = "7")]
     pub has_rate_token: bool,
-    /// What the worker has stated of its rate limit.
+    /// The rate limit that the worker has stated, if the scheduler knows it.
     #[prost(message, optional, tag = "8")]
     pub rate_limit: Option<StatedLimitMessage>,
 }
@@ -185,16 +187,17 @@
 /// Why a request was refused.
 #[derive(Clone, PartialEq, Message)]
 pub struct RefusedMessage {
-    /// Microseconds that it would have waited.
+    /// Microseconds that the request would have waited.
     #[prost(uint64, tag = "1")]
     pub waiting_micros: u64,
-    /// Microseconds after which to come back.
+    /// Microseconds after which the caller should retry.
     #[prost(uint64, tag = "2")]
     pub retry_after_micros: u64,
-    /// Whether its tenant's share is the cause.
+    /// Whether the cause is that the tenant has taken more than its share.
     #[prost(bool, tag = "3")]
     pub tenant_share: bool,
-    /// Whether the rate limits of all workers are the cause; gateways of earlier versions take it for overload.
+    /// Whether the cause is that all workers are at their rate limits. Gateways of earlier versions treat this as
+    /// overload.
     #[prost(bool, tag = "4")]
     pub rate_limit: bool,
 }
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -1,11 +1,13 @@
-//! Wiring of placements (see [`tansyhall_forwarding::placement`]): asking a scheduler, and answering
-//! gateways that ask this one.
+//! Exchange of placement messages (see [`tansyhall_forwarding::placement`]): requests to a scheduler, and answers to
+//! gateways that have this one as their scheduler.
 
 mod client;
 mod codec;
 mod message;
 mod server;
 
-pub use client::{ask, tell_notices, Answered, OpenPlacement, PlacementClient};
+pub use client::{
+    request_placement, tell_notices, OpenPlacement, PlacementClient, SchedulerAnswer,
+};
 pub use message::{AnswerMessage, QuestionMessage};
 pub use server::{answer, expire};
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -1,4 +1,4 @@
-//! Places requests for gateways that ask this one.
+//! Places requests for gateways that have this gateway as their scheduler.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
 use crate::state::Shared;
 use crate::worker_notices::NoticeSource;
 
-/// Takes a gateway's message in, and answers if it asks for something.
-pub fn answer(shared: &Shared, sender: SocketAddr, question: QuestionMessage) {
-    let message = match PlacementMessage::try_from(question) {
+/// Handles a message of a gateway, and sends an answer if it contains a request.
+pub fn answer(shared: &Shared, sender: SocketAddr, message: QuestionMessage) {
+    let message = match PlacementMessage::try_from(message) {
         Ok(message) => message,
         Err(error) => {
-            log::warn!("a question of {sender} is passed over: {error:#}");
+            log::warn!("ignoring an invalid placement message from {sender}: {error:#}");
             return;
         }
     };
@@ -31,15 +31,15 @@
     let now = shared.now();
     let zone = shared.zone();
     let id = message.request.as_ref().map(|request| request.id);
-    hear_of_workers(shared, &message);
+    apply_worker_notices(shared, &message);
     let mut ledger = shared.ledger.lock();
     let mut directory = shared.directory.lock();
     let answer = ledger.handle_message(now, &mut directory, &zone, message)?;
     Some((id?, answer))
 }
 
-/// Takes in what workers have told the gateway of themselves.
-fn hear_of_workers(shared: &Shared, message: &PlacementMessage) {
+/// Applies the notices that workers have sent to the gateway.
+fn apply_worker_notices(shared: &Shared, message: &PlacementMessage) {
     for notice in &message.notices {
         let PlacementNotice::Ended {
             id,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Closes placements whose time is over.
+/// Closes placements whose deadline has passed.
 pub fn expire(shared: &Shared) {
     let now = shared.now();
     let mut ledger = shared.ledger.lock();
--- a/crates/gateway/src/quarantine/exchange.rs
+++ b/crates/gateway/src/quarantine/exchange.rs
@@ -1,4 +1,4 @@
-//! Tells other gateways of requests under which workers end, and hears of those that they have seen.
+//! Sends other gateways updates about requests that crash workers, and applies the updates that they send.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::fleet::Fleet;
 use crate::state::Shared;
 
-/// A worker has ended while this gateway had it run these requests.
+/// Records that a worker has ended while it may have been running these requests of this gateway.
 pub fn worker_ended(
     shared: &Shared,
     worker: &WorkerId,
@@ -27,7 +27,7 @@
     tell_due(shared);
 }
 
-/// Sends what is due.
+/// Sends the updates that are due.
 pub fn tell_due(shared: &Shared) {
     let outgoing = shared.quarantine.lock().take_due_updates(shared.now());
     if outgoing.is_empty() {
@@ -35,38 +35,38 @@
     }
     let fleet = shared.fleet.read().clone();
     for message in &outgoing {
-        tell(shared, &fleet, message);
+        send_update(shared, &fleet, message);
     }
 }
 
-fn tell(shared: &Shared, fleet: &Fleet, message: &OutgoingUpdate) {
-    let own = shared.settings.read().node.name.clone();
+fn send_update(shared: &Shared, fleet: &Fleet, message: &OutgoingUpdate) {
+    let own_name = shared.settings.read().node.name.clone();
     let datagram = Datagram::quarantine(NewsMessage::from(&message.update)).encode_to_vec();
-    let told: Vec<&str> = match message.audience {
+    let recipients: Vec<&str> = match message.audience {
         Audience::Listeners => fleet.plan.listeners().collect(),
         Audience::All => fleet.names().collect(),
     };
-    let others = told.into_iter().filter(|name| *name != own);
+    let others = recipients.into_iter().filter(|name| *name != own_name);
     for address in others.filter_map(|name| fleet.load_address(name)) {
         shared.datagrams.send_encoded(address, &datagram);
     }
 }
 
-/// Takes in what another gateway tells.
+/// Applies an update from another gateway.
 pub fn take_in(shared: &Shared, sender: SocketAddr, message: NewsMessage) {
     let relays = {
         let name = &shared.settings.read().node.name;
         shared.fleet.read().plan.is_listener(name)
     };
-    let news = message.into();
-    let heard = shared
+    let update = message.into();
+    let applied = shared
         .quarantine
         .lock()
-        .apply_update(shared.now(), &news, relays);
-    if !heard.reply.is_empty() {
-        let reply = NewsMessage::from(&heard.reply);
+        .apply_update(shared.now(), &update, relays);
+    if !applied.reply.is_empty() {
+        let reply = NewsMessage::from(&applied.reply);
         shared.datagrams.send(sender, &Datagram::quarantine(reply));
     }
-    record_barred(shared, &heard.barred, "gateway");
+    record_barred(shared, &applied.barred, "gateway");
     tell_due(shared);
 }
--- a/crates/gateway/src/quarantine/listed.rs
+++ b/crates/gateway/src/quarantine/listed.rs
@@ -1,8 +1,8 @@
-//! Barred requests in the store: gateways that start, or come back from a cut or a loss of power, know
-//! them before they serve, as they read the configuration from the same copy.
+//! The list of barred requests in the store. Gateways that start, or return after a network partition or a power
+//! failure, know the list before they serve, because they read the configuration from the same copy of the store.
 //!
-//! Each is a key under a lease of its own that nobody renews, so that it goes by itself. Any gateway may
-//! write it; they take turns by rank so that as a rule one does.
+//! Each entry is a key with its own lease that is never renewed, so the entry expires. Any gateway may write an entry.
+//! Gateways wait for a time that depends on their rank, so that usually only one of them writes it.
 
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -19,20 +19,20 @@
 use crate::state::Shared;
 use crate::store_call::in_time;
 
-/// Where barred requests are listed.
+/// Prefix of the keys that list barred requests.
 pub const PREFIX: &str = "tansyhall/barred/";
-/// Pause between two looks at what is to be written.
-const PACE: Duration = Duration::from_millis(250);
-/// How much later each further gateway of the ranking writes: a gateway that follows the store asks it again
-/// 100 ms after each answer, and tells the others then.
-const TURN: Duration = Duration::from_millis(500);
-/// The most turns that a gateway waits.
-const MAX_TURNS: u32 = 6;
-/// Pause before a call is made again whose effect is not seen in the copy of the store: it may have failed, or
-/// its effect is still on its way.
-const RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// Pause between two checks for changes to write.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Additional delay before a gateway writes an entry, for each rank. A gateway that follows the store requests changes
+/// 100 ms after each answer, and then sends them to the others.
+const DELAY_PER_RANK: Duration = Duration::from_millis(500);
+/// Maximum number of these delays that a gateway waits.
+const MAX_DELAYS: u32 = 6;
+/// How long to wait before a change is written again if it is not visible in the copy of the store: it may have failed,
+/// or it may not have reached the copy yet.
+const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Takes in which requests the copy of the store lists as barred.
+/// Updates the quarantine with the barred requests that the copy of the store lists.
 pub fn read_listed(shared: &Shared) {
     let listed = listed(&shared.mirror.lock());
     let now = shared.now();
@@ -44,74 +44,75 @@
     let keys = mirror
         .items_with_prefix(PREFIX)
         .map(|item| &item.key[PREFIX.len()..]);
-    let numbers = keys.filter_map(|key| u64::from_str_radix(key, 16).ok());
-    numbers.map(Fingerprint).collect()
+    let fingerprints = keys.filter_map(|key| u64::from_str_radix(key, 16).ok());
+    fingerprints.map(Fingerprint).collect()
 }
 
-/// Keeps the store's list as it should be, for ever.
+/// Writes missing entries to the store's list and deletes stale ones; runs forever.
 pub async fn keep_listed(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
-    let mut called: HashMap<Fingerprint, Timestamp> = HashMap::new();
+    let mut attempted_at: HashMap<Fingerprint, Timestamp> = HashMap::new();
     loop {
-        sleep(PACE).await;
+        sleep(CHECK_INTERVAL).await;
         let now = shared.now();
-        called.retain(|_, at| now.since(*at) < RETRY_PAUSE);
+        attempted_at.retain(|_, at| now.since(*at) < RETRY_INTERVAL);
         for change in changes(&shared, now) {
-            if called.contains_key(&change.fingerprint()) {
+            if attempted_at.contains_key(&change.fingerprint()) {
                 continue;
             }
-            called.insert(change.fingerprint(), now);
-            let made = match &change {
+            attempted_at.insert(change.fingerprint(), now);
+            let result = match &change {
                 Change::List(unlisted) => list(&*store, unlisted).await,
-                Change::TakeOff(fingerprint) => take_off(&*store, *fingerprint).await,
+                Change::Unlist(fingerprint) => unlist(&*store, *fingerprint).await,
             };
-            if let Err(error) = made {
-                log::warn!("the store's list of barred requests: {error}");
+            if let Err(error) = result {
+                log::warn!("failed to update the list of barred requests in the store: {error}");
             }
         }
     }
 }
 
-/// A change of the store's list.
+/// A change to the store's list.
 enum Change {
     List(UnlistedRequest),
-    TakeOff(Fingerprint),
+    Unlist(Fingerprint),
 }
 
 impl Change {
     fn fingerprint(&self) -> Fingerprint {
         match self {
             Change::List(unlisted) => unlisted.fingerprint,
-            Change::TakeOff(fingerprint) => *fingerprint,
+            Change::Unlist(fingerprint) => *fingerprint,
         }
     }
 }
 
-/// The changes that this gateway has to make now.
+/// Returns the changes that this gateway has to make now.
 fn changes(shared: &Shared, now: Timestamp) -> Vec<Change> {
     let quarantine = shared.quarantine.lock();
-    let mut changes: Vec<Change> = quarantine.stale_listings().map(Change::TakeOff).collect();
+    let mut changes: Vec<Change> = quarantine.stale_listings().map(Change::Unlist).collect();
     let missing: Vec<UnlistedRequest> = quarantine.unlisted().collect();
     drop(quarantine);
     let due = missing.into_iter();
-    let due = due.filter(|one| now.since(one.since) >= turn_of(shared, one.fingerprint));
+    let due =
+        due.filter(|request| now.since(request.since) >= write_delay(shared, request.fingerprint));
     changes.extend(due.map(Change::List));
     changes
 }
 
-/// How long after a bar it is this gateway's turn to write it.
-fn turn_of(shared: &Shared, fingerprint: Fingerprint) -> Duration {
-    let own = shared.settings.read().node.name.clone();
+/// Returns how long after a request was barred this gateway writes its entry.
+fn write_delay(shared: &Shared, fingerprint: Fingerprint) -> Duration {
+    let own_name = shared.settings.read().node.name.clone();
     let fleet = shared.fleet.read().clone();
     let key = fingerprint.0.to_le_bytes();
     let ranked = rendezvous_rank(&key, fleet.plan.listeners());
-    let rank = ranked.iter().position(|name| **name == own);
-    let turns = rank.map_or(MAX_TURNS, |rank| (rank as u32).min(MAX_TURNS));
-    TURN * turns
+    let rank = ranked.iter().position(|name| **name == own_name);
+    let delays = rank.map_or(MAX_DELAYS, |rank| (rank as u32).min(MAX_DELAYS));
+    DELAY_PER_RANK * delays
 }
 
 async fn list(store: &dyn KeyValueStore, unlisted: &UnlistedRequest) -> Result<(), StoreError> {
     let lease = in_time(store.grant_lease(quarantine::SUSPECT_TTL)).await?;
-    let transaction = listing(unlisted, lease);
+    let transaction = listing_transaction(unlisted, lease);
     let outcome = in_time(store.transact(&transaction)).await?;
     if !outcome.succeeded {
         in_time(store.revoke_lease(lease)).await?;
@@ -119,8 +120,8 @@
     Ok(())
 }
 
-fn listing(unlisted: &UnlistedRequest, lease: LeaseId) -> Transaction {
-    let key = key_of(unlisted.fingerprint);
+fn listing_transaction(unlisted: &UnlistedRequest, lease: LeaseId) -> Transaction {
+    let key = entry_key(unlisted.fingerprint);
     Transaction {
         compare: vec![Compare::Absent(key.clone())],
         operations: vec![Operation::Put {
@@ -131,9 +132,9 @@
     }
 }
 
-async fn take_off(store: &dyn KeyValueStore, fingerprint: Fingerprint) -> Result<(), StoreError> {
+async fn unlist(store: &dyn KeyValueStore, fingerprint: Fingerprint) -> Result<(), StoreError> {
     let removal = Operation::Delete {
-        key: key_of(fingerprint),
+        key: entry_key(fingerprint),
     };
     let transaction = Transaction {
         compare: Vec::new(),
@@ -143,6 +144,6 @@
     Ok(())
 }
 
-fn key_of(fingerprint: Fingerprint) -> String {
+fn entry_key(fingerprint: Fingerprint) -> String {
     format!("{PREFIX}{fingerprint}")
 }
--- a/crates/gateway/src/quarantine/message.rs
+++ b/crates/gateway/src/quarantine/message.rs
@@ -1,51 +1,55 @@
-//! News of requests under which workers end, on the wire.
+//! Wire format of the updates about requests that crash workers.
 
 use prost::Message;
 use tansyhall_forwarding::{Fingerprint, QuarantineUpdate, WorkerEnds, WorkerKey};
 
-/// What a gateway tells others.
+/// An update that a gateway sends to others.
 #[derive(Clone, PartialEq, Message)]
 pub struct NewsMessage {
-    /// Workers that ended under requests.
+    /// Workers that ended while running requests.
     #[prost(message, repeated, tag = "1")]
-    pub sightings: Vec<SightingMessage>,
-    /// Fingerprints of requests that workers have answered whole.
+    pub sightings: Vec<WorkerEndsMessage>,
+    /// Fingerprints of requests that workers have answered completely.
     #[prost(fixed64, repeated, tag = "2")]
     pub absolved: Vec<u64>,
 }
 
-/// Workers that ended under a request.
+/// Workers that ended while running a request.
 #[derive(Clone, PartialEq, Message)]
-pub struct SightingMessage {
-    /// The request's fingerprint.
+pub struct WorkerEndsMessage {
+    /// Fingerprint of the request.
     #[prost(fixed64, tag = "1")]
     pub fingerprint: u64,
-    /// The workers' keys.
+    /// Keys of the workers.
     #[prost(fixed64, repeated, tag = "2")]
     pub workers: Vec<u64>,
 }
 
 impl From<&QuarantineUpdate> for NewsMessage {
-    fn from(news: &QuarantineUpdate) -> Self {
-        let sightings = news.worker_ends.iter().map(|sighting| SightingMessage {
-            fingerprint: sighting.fingerprint.0,
-            workers: sighting.workers.iter().map(|worker| worker.0).collect(),
+    fn from(update: &QuarantineUpdate) -> Self {
+        let worker_ends = update.worker_ends.iter().map(|ends| WorkerEndsMessage {
+            fingerprint: ends.fingerprint.0,
+            workers: ends.workers.iter().map(|worker| worker.0).collect(),
         });
         Self {
-            sightings: sightings.collect(),
-            absolved: news.cleared.iter().map(|one| one.0).collect(),
+            sightings: worker_ends.collect(),
+            absolved: update
+                .cleared
+                .iter()
+                .map(|fingerprint| fingerprint.0)
+                .collect(),
         }
     }
 }
 
 impl From<NewsMessage> for QuarantineUpdate {
     fn from(message: NewsMessage) -> Self {
-        let sightings = message.sightings.into_iter().map(|sighting| WorkerEnds {
-            fingerprint: Fingerprint(sighting.fingerprint),
-            workers: sighting.workers.into_iter().map(WorkerKey).collect(),
+        let worker_ends = message.sightings.into_iter().map(|ends| WorkerEnds {
+            fingerprint: Fingerprint(ends.fingerprint),
+            workers: ends.workers.into_iter().map(WorkerKey).collect(),
         });
         Self {
-            worker_ends: sightings.collect(),
+            worker_ends: worker_ends.collect(),
             cleared: message.absolved.into_iter().map(Fingerprint).collect(),
         }
     }
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -1,6 +1,6 @@
-//! Requests under which workers end: what this gateway and the others know of them together. The rules
-//! are [`tansyhall_forwarding::quarantine`]'s; datagrams between gateways carry what is new at once, and
-//! the store holds what is barred for those that start.
+//! Exchange of knowledge about requests that crash workers. [`tansyhall_forwarding::quarantine`] defines the rules.
+//! Gateways send each other updates at once, in datagrams, and the store lists barred requests for gateways that
+//! start.
 
 mod exchange;
 mod listed;
@@ -15,7 +15,7 @@
 pub use listed::{keep_listed, read_listed, PREFIX};
 pub use message::NewsMessage;
 
-/// Records requests that are barred from now on.
+/// Logs requests that are newly barred.
 fn record_barred(shared: &Shared, barred: &[Fingerprint], source: &str) {
     for fingerprint in barred {
         let event = Event::Barred {
--- a/crates/gateway/src/usage/collector.rs
+++ b/crates/gateway/src/usage/collector.rs
@@ -1,4 +1,4 @@
-//! Writes what this gateway has collected to the store.
+//! Writes the counts that this gateway has collected to the store.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
 use crate::state::Shared;
 use crate::store_call::in_time;
 
-/// Pause between two writes: what all gateways lose that die at once is half of it on the mean, 4% of a
-/// window of five seconds. Shorter ones wake all who watch the store more often: four collectors
-/// with ten writes a second together cost 1,360 more calls in a minute than none; one cost 590. So all
-/// collectors of a fleet together write as often as one.
-const PACE: Duration = Duration::from_millis(400);
+/// Pause between two writes of all collectors of a fleet together. If all gateways crash at once, the counts of half a
+/// pause are lost on average, which is 4% of a window of five seconds. A shorter pause wakes all watchers of the store
+/// more often: four collectors with ten writes per second in total caused 1,360 more calls per minute than no
+/// collector, and one collector caused 590. Therefore each collector multiplies the pause by the number of collectors.
+const WRITE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Writes for ever.
+/// Writes the collected counts whenever they have changed; runs forever.
 pub async fn write_collected(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
     };
-    let key = key_of(usage);
+    let key = rows_key(usage);
     let mut written = None;
     loop {
         let collectors = shared.fleet.read().plan.collector_count().max(1);
-        sleep(PACE * u32::try_from(collectors).unwrap_or(u32::MAX)).await;
+        sleep(WRITE_INTERVAL * u32::try_from(collectors).unwrap_or(u32::MAX)).await;
         if let Some(rows) = rows_to_write(&shared, usage) {
-            // A restored store may have lost what was written in an earlier epoch.
+            // A store that was restored may have lost what was written in an earlier epoch.
             let latest = (store.epoch(), rows);
             if written.as_ref() != Some(&latest) && write(&*store, &key, &latest.1).await {
                 written = Some(latest);
@@ -40,7 +40,7 @@
     }
 }
 
-fn key_of(usage: &Usage) -> String {
+fn rows_key(usage: &Usage) -> String {
     let source = &usage.source;
     format!(
         "{ROWS_PREFIX}{}-{:016x}",
@@ -51,15 +51,15 @@
 fn rows_to_write(shared: &Shared, usage: &Usage) -> Option<Vec<u8>> {
     let oldest = usage.timing.oldest_open(usage.time(shared.now())?);
     let mut collection = usage.collection.lock();
-    let before = WindowNumber(oldest.0.saturating_sub(1));
-    collection.forget_before(oldest, usage.timing.end_of(before));
+    let previous = WindowNumber(oldest.0.saturating_sub(1));
+    collection.forget_before(oldest, usage.timing.end_of(previous));
     if collection.is_empty() {
         return None;
     }
     match RowsMessage::encode_collection(&collection) {
         Ok(rows) => Some(rows),
         Err(error) => {
-            log::warn!("collected usage is not written: {error:#}");
+            log::warn!("failed to encode collected usage, so it is not written: {error:#}");
             None
         }
     }
@@ -77,7 +77,7 @@
     match in_time(store.transact(&transaction)).await {
         Ok(_) => true,
         Err(error) => {
-            log::debug!("collected usage may not be written: {error}");
+            log::debug!("collected usage may not have been written: {error}");
             false
         }
     }
--- a/crates/gateway/src/usage/exchange.rs
+++ b/crates/gateway/src/usage/exchange.rs
@@ -1,4 +1,4 @@
-//! Tells this gateway's collector what was counted, and collects what others tell.
+//! Sends the counts of this gateway to its collector, and collects the counts that other gateways send.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,90 +15,90 @@
 use crate::fleet::Fleet;
 use crate::state::Shared;
 
-/// Pause between two messages to the collector: what a gateway that dies has counted and not told is
-/// half of it on the mean, 1.5% of a window of five seconds.
-const PACE: Duration = Duration::from_millis(150);
-/// Time without an acknowledgement after which another gateway collects: four messages.
-const SILENCE: Duration = Duration::from_millis(600);
-/// Time for which a silent collector is passed over.
-const AVOIDANCE: Duration = Duration::from_secs(5);
+/// Pause between two messages to the collector. A gateway that crashes loses the counts of half a pause on average,
+/// which is 1.5% of a window of five seconds.
+const SEND_INTERVAL: Duration = Duration::from_millis(150);
+/// Time without an acknowledgement after which another collector is chosen: four messages.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long a collector that did not answer is skipped.
+const SILENT_COLLECTOR_BACKOFF: Duration = Duration::from_secs(5);
 
-/// Which gateway collects.
+/// Choice of the gateway that collects this gateway's counts.
 #[derive(Debug, Default)]
 pub struct CollectorChoice {
-    present: Option<Present>,
-    silent_until: HashMap<String, Timestamp>,
+    current: Option<CurrentCollector>,
+    skipped_until: HashMap<String, Timestamp>,
 }
 
 #[derive(Debug, Clone)]
-struct Present {
+struct CurrentCollector {
     name: String,
-    /// When it last acknowledged anything, or was chosen.
-    heard: Timestamp,
+    /// When it last acknowledged a message, or was chosen.
+    last_acknowledged: Timestamp,
 }
 
 impl CollectorChoice {
-    /// The collector now, and whether it is another than before.
+    /// Returns the collector to use now, and whether it differs from the previous one.
     fn choose(&mut self, now: Timestamp, shared: &Shared, fleet: &Fleet) -> Option<(String, bool)> {
-        if let Some(present) = &self.present {
-            if now.since(present.heard) > SILENCE {
-                let until = now + AVOIDANCE;
-                self.silent_until.insert(present.name.clone(), until);
+        if let Some(current) = &self.current {
+            if now.since(current.last_acknowledged) > ACKNOWLEDGEMENT_TIMEOUT {
+                let until = now + SILENT_COLLECTOR_BACKOFF;
+                self.skipped_until.insert(current.name.clone(), until);
             }
         }
-        self.silent_until.retain(|_, until| *until > now);
-        let own = shared.settings.read().node.name.clone();
-        let usable = |name: &str| !self.silent_until.contains_key(name);
-        let chosen = fleet.plan.collector_of(&own, usable)?;
+        self.skipped_until.retain(|_, until| *until > now);
+        let own_name = shared.settings.read().node.name.clone();
+        let is_usable = |name: &str| !self.skipped_until.contains_key(name);
+        let chosen = fleet.plan.collector_of(&own_name, is_usable)?;
         let name = chosen.to_owned();
-        let is_other = self.present.as_ref().map(|one| &one.name) != Some(&name);
-        if is_other {
-            self.present = Some(Present {
+        let has_changed = self.current.as_ref().map(|current| &current.name) != Some(&name);
+        if has_changed {
+            self.current = Some(CurrentCollector {
                 name: name.clone(),
-                heard: now,
+                last_acknowledged: now,
             });
         }
-        Some((name, is_other))
+        Some((name, has_changed))
     }
 
-    fn hear(&mut self, now: Timestamp) {
-        if let Some(present) = &mut self.present {
-            present.heard = now;
+    fn record_acknowledgement(&mut self, now: Timestamp) {
+        if let Some(current) = &mut self.current {
+            current.last_acknowledged = now;
         }
     }
 }
 
-/// Tells for ever.
+/// Sends the counts to the collector; runs forever.
 pub async fn tell_collector(shared: Arc<Shared>) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
     };
     loop {
         usage.read_clock(shared.now());
-        tell_once(&shared, usage);
-        sleep(PACE).await;
+        send_counts(&shared, usage);
+        sleep(SEND_INTERVAL).await;
     }
 }
 
-fn tell_once(shared: &Shared, usage: &Usage) {
+fn send_counts(shared: &Shared, usage: &Usage) {
     let now = shared.now();
     let fleet = shared.fleet.read().clone();
-    let Some(own) = usage.own(now) else {
+    let Some(own_usage) = usage.own_usage(now) else {
         return;
     };
-    let mut telling = usage.telling.lock();
-    let Some((collector, is_other)) = telling.choice.choose(now, shared, &fleet) else {
+    let mut link = usage.link.lock();
+    let Some((collector, has_changed)) = link.choice.choose(now, shared, &fleet) else {
         return;
     };
-    if is_other {
-        telling.sender.restart();
+    if has_changed {
+        link.sender.restart();
     }
     if collector == usage.source.gateway {
-        telling.choice.hear(now);
-        usage.collection.lock().take_in(own);
+        link.choice.record_acknowledgement(now);
+        usage.collection.lock().take_in(own_usage);
         return;
     }
-    let (sequence, changed) = telling.sender.next(own);
+    let (sequence, changed) = link.sender.next(own_usage);
     let mut message = UsageMessage::new(&changed);
     message.sequence = sequence;
     let own_time = usage.clock.lock().own_time(now);
@@ -108,7 +108,7 @@
     }
 }
 
-/// Collects what another gateway tells, and acknowledges it with the time of day.
+/// Collects the counts that another gateway sends, and acknowledges them with the fleet's time of day.
 pub fn take_in(shared: &Shared, sender: SocketAddr, message: UsageMessage) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
@@ -119,13 +119,13 @@
         day: UnixMillis(message.own_time),
     };
     let sequence = message.sequence;
-    let told = message.into_usage();
-    let incarnation = told.source.incarnation;
+    let counted = message.into_usage();
+    let incarnation = counted.source.incarnation;
     let mut clock = usage.clock.lock();
-    clock.hear(told.source.clone(), reading);
+    clock.hear(counted.source.clone(), reading);
     let time = clock.time(now);
     drop(clock);
-    usage.collection.lock().take_in(told);
+    usage.collection.lock().take_in(counted);
     let acknowledgement = AcknowledgementMessage {
         sequence,
         incarnation,
@@ -136,8 +136,8 @@
     shared.datagrams.send(sender, &datagram);
 }
 
-/// The collector has taken a message in. What the collector before says late is passed over: it must
-/// not stand for the present one's.
+/// Handles an acknowledgement. A late one from the previous collector is ignored: it must not count as one from the
+/// current collector.
 pub fn acknowledge(shared: &Shared, message: &AcknowledgementMessage) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
@@ -146,15 +146,13 @@
         return;
     }
     let now = shared.now();
-    let mut telling = usage.telling.lock();
-    let is_of_present = telling
-        .sender
-        .acknowledge(message.sequence, message.collector);
-    if !is_of_present {
+    let mut link = usage.link.lock();
+    let is_from_current = link.sender.acknowledge(message.sequence, message.collector);
+    if !is_from_current {
         return;
     }
-    telling.choice.hear(now);
-    drop(telling);
+    link.choice.record_acknowledgement(now);
+    drop(link);
     let reading = ClockReading {
         steady: now,
         day: UnixMillis(message.time),
--- a/crates/gateway/src/usage/message.rs
+++ b/crates/gateway/src/usage/message.rs
@@ -1,4 +1,4 @@
-//! Usage on the wire and in the store.
+//! Format of usage counts in messages and in the store.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -11,36 +11,36 @@
 use tansyhall_core::TenantName;
 use tansyhall_usage::{Collection, Source, SourceUsage, TenantCounts, UnixMillis, WindowNumber};
 
-/// The most bytes that rows of the store are inflated to.
+/// Maximum size of the decompressed counts of one store entry.
 const MAX_ROWS_BYTES: u64 = 64 << 20;
 
-/// What a source has counted.
+/// The counts of a source.
 #[derive(Clone, PartialEq, Message)]
 pub struct UsageMessage {
-    /// The source's gateway.
+    /// Name of the source's gateway.
     #[prost(string, tag = "1")]
     pub gateway: String,
-    /// The source's incarnation.
+    /// Incarnation of the source.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// Until when it has counted, in milliseconds since 1970.
+    /// Time up to which the source has counted, in milliseconds since 1970.
     #[prost(uint64, tag = "3")]
     pub counted_until: u64,
     /// Counts by window.
     #[prost(message, repeated, tag = "4")]
     pub windows: Vec<WindowMessage>,
-    /// The message's number.
+    /// Sequence number of the message.
     #[prost(uint64, tag = "5")]
     pub sequence: u64,
-    /// The time of day as the sender believes by itself, in milliseconds since 1970.
+    /// The time of day by the sender's own clock, in milliseconds since 1970.
     #[prost(uint64, tag = "6")]
     pub own_time: u64,
 }
 
-/// Counts of a window.
+/// The counts of a window.
 #[derive(Clone, PartialEq, Message)]
 pub struct WindowMessage {
-    /// The window's number.
+    /// Number of the window.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     /// Counts by tenant.
@@ -48,44 +48,44 @@
     pub tenants: Vec<TenantMessage>,
 }
 
-/// A count of a tenant.
+/// The count of a tenant.
 #[derive(Clone, PartialEq, Message)]
 pub struct TenantMessage {
-    /// The tenant's name.
+    /// Name of the tenant.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Requests.
+    /// Number of requests.
     #[prost(uint64, tag = "2")]
     pub requests: u64,
 }
 
-/// A collector has taken a message in.
+/// A collector's acknowledgement of a [`UsageMessage`].
 #[derive(Clone, PartialEq, Message)]
 pub struct AcknowledgementMessage {
-    /// The message's number.
+    /// Sequence number of the acknowledged message.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// The incarnation that sent it.
+    /// Incarnation of the gateway that sent the message.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The time that the fleet agrees on, in milliseconds since 1970.
+    /// The time of day that the fleet agrees on, in milliseconds since 1970.
     #[prost(uint64, tag = "3")]
     pub time: u64,
-    /// The incarnation of the collector.
+    /// Incarnation of the collector.
     #[prost(fixed64, tag = "4")]
     pub collector: u64,
 }
 
-/// What a collector has.
+/// The collected counts that a collector writes to the store.
 #[derive(Clone, PartialEq, Message)]
 pub struct RowsMessage {
-    /// What each source has counted.
+    /// The counts of each source.
     #[prost(message, repeated, tag = "1")]
     pub sources: Vec<UsageMessage>,
 }
 
 impl UsageMessage {
-    /// Usage for the wire.
+    /// Creates a message with these counts. The sequence number and the sender's time are 0.
     pub fn new(usage: &SourceUsage) -> Self {
         let windows = usage.windows.iter().map(|(window, counts)| WindowMessage {
             number: window.0,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Usage from the wire.
+    /// Returns the counts of the message.
     pub fn into_usage(self) -> SourceUsage {
         let windows = self.windows.into_iter().map(|window| {
             let mut counts = TenantCounts::default();
@@ -128,7 +128,12 @@
 }
 
 impl RowsMessage {
-    /// A collection for the store: names of tenants repeat in each row, so that it deflates well.
+    /// Encodes a collection for the store, compressed with deflate: names of tenants are repeated for each source and
+    /// window, so it compresses well.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the compression fails.
     pub fn encode_collection(collection: &Collection) -> anyhow::Result<Vec<u8>> {
         let sources = collection.sources().map(|usage| UsageMessage::new(&usage));
         let rows = Self {
@@ -139,14 +144,18 @@
         Ok(encoder.finish()?)
     }
 
-    /// Takes a collection from the store in.
+    /// Decodes a collection from the store and merges it into `collection`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if `value` is not a compressed collection; `collection` is then unchanged.
     pub fn decode_into(value: &[u8], collection: &mut Collection) -> anyhow::Result<()> {
         let mut inflated = Vec::new();
         DeflateDecoder::new(value)
             .take(MAX_ROWS_BYTES)
             .read_to_end(&mut inflated)
-            .context("not deflated")?;
-        let rows = Self::decode(inflated.as_slice()).context("no rows of usage")?;
+            .context("usage counts are not valid deflate data")?;
+        let rows = Self::decode(inflated.as_slice()).context("failed to decode usage counts")?;
         for source in rows.sources {
             collection.take_in(source.into_usage());
         }
--- a/crates/gateway/src/usage/mod.rs
+++ b/crates/gateway/src/usage/mod.rs
@@ -1,5 +1,5 @@
-//! Usage by tenant: counted here, collected by one gateway for several dozen, kept in the store, reported by
-//! the holder of the authority. What is decided stands in [`tansyhall_usage`].
+//! Usage by tenant: each gateway counts requests, one gateway for several dozen collects the counts and writes them to
+//! the store, and the holder of the authority reports them. [`tansyhall_usage`] contains the decisions.
 
 mod collector;
 mod exchange;
@@ -13,10 +13,10 @@
 pub use reporter::report;
 pub use state::Usage;
 
-/// Where collectors write what they have collected. Only the reporter reads it, so that copies of the
-/// store leave it out: it changes several times a second.
+/// Prefix of the keys under which collectors write the collected counts. Copies of the store exclude them, because only
+/// the reporter reads them and they change several times per second.
 pub const ROWS_PREFIX: &str = "tansyhall/usage/rows/";
-/// Where what was decided of each window is written.
+/// Prefix of the keys under which the decided counts of each window are written.
 const REPORTS_PREFIX: &str = "tansyhall/usage/reports/";
-/// The last window of those that are not reported any more.
+/// Key of the last window that is no longer reported.
 const CLOSED_KEY: &str = "tansyhall/usage/closed";
--- a/crates/gateway/src/usage/reporter.rs
+++ b/crates/gateway/src/usage/reporter.rs
@@ -1,10 +1,10 @@
-//! Decides what is reported of each window, and reports it, while this gateway holds the authority.
+//! Decides which counts are reported for each window, and reports them, while this gateway holds the authority.
 //!
-//! What is reported is written to the store first, under the condition that the claim still stands, that
-//! nothing was decided for the window, and that nothing was decided since: decisions that are over are
-//! deleted, and one that the store carries out late must not find its window undecided again. Whoever
-//! sends the report, then or again, sends what stands there, so that no window is told twice with
-//! different counts.
+//! The counts are written to the store before they are reported, on the conditions that this gateway's claim to the
+//! authority is still valid, that the window has no decided counts, and that no other decision was written since this
+//! gateway read the store. The last condition is necessary because old decisions are deleted: a write that the store
+//! carries out late could otherwise find its window undecided again. Every report of the window, including repeats,
+//! contains the counts in the store, so no window is reported twice with different counts.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -31,10 +31,10 @@
 use crate::state::Shared;
 use crate::store_call::in_time;
 
-/// Pause between two looks, and between two calls for one report.
-const PACE: Duration = Duration::from_millis(400);
+/// Pause between two checks, and between two calls for one report.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Reports until the gateway stops.
+/// Reports usage while this gateway holds the authority, until the gateway stops.
 pub async fn report(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>, calls: DutyCalls) {
     if shared.usage.is_none() {
         return;
@@ -48,8 +48,8 @@
         closed_at: None,
     };
     while !reporter.shared.is_stopping() {
-        sleep(PACE).await;
-        reporter.look().await;
+        sleep(CHECK_INTERVAL).await;
+        reporter.check().await;
     }
 }
 
@@ -58,20 +58,21 @@
     store: Rc<dyn KeyValueStore>,
     calls: DutyCalls,
     known: KnownReports,
-    /// What was decided of the windows that the store still has.
+    /// The decided counts of the windows that are still in the store.
     decided: BTreeMap<WindowNumber, TenantCounts>,
-    /// When the last closed window was last written, which each decision does, by the copy of the store.
+    /// Revision of the key of the last closed window in the copy of the store. Each decision writes this key.
     closed_at: Option<Revision>,
 }
 
 impl Reporter {
-    async fn look(&mut self) {
+    async fn check(&mut self) {
         let shared = Arc::clone(&self.shared);
         let Some(usage) = shared.usage.as_ref() else {
             return;
         };
-        // Also without the authority: a restored store may have lost what was decided when it is held next.
-        self.learn();
+        // Also without the authority: a store that was restored may have lost decisions by the time this gateway holds
+        // the authority again.
+        self.read_decisions();
         let (Some(epoch), Some(time)) = (self.calls.fence(), usage.time(shared.now())) else {
             return;
         };
@@ -96,14 +97,14 @@
         }
     }
 
-    /// Takes in what the copy of the store says of earlier reports.
-    fn learn(&mut self) {
+    /// Reads earlier decisions from the copy of the store.
+    fn read_decisions(&mut self) {
         let mirror = self.shared.mirror.lock();
         let item = mirror.get(CLOSED_KEY);
-        let closed = item.and_then(|item| number(&item.value));
+        let closed = item.and_then(|item| parse_window(&item.value));
         self.closed_at = item.map(|item| Revision(item.written.revision));
         self.known.closed_through = self.known.closed_through.max(closed);
-        for (window, counts) in decided_in(&mirror) {
+        for (window, counts) in decided_windows(&mirror) {
             self.decided.entry(window).or_insert(counts);
         }
         drop(mirror);
@@ -123,7 +124,7 @@
         match in_time(self.store.range(ROWS_PREFIX)).await {
             Ok(range) => Some(Rows::read(range.entries)),
             Err(error) => {
-                log::debug!("collected usage is not read: {error}");
+                log::debug!("failed to read collected usage: {error}");
                 None
             }
         }
@@ -142,19 +143,25 @@
         let value = match serde_json::to_vec(&counts) {
             Ok(value) => value,
             Err(error) => {
-                return log::warn!("usage of window {} is not decided: {error}", window.0)
+                return log::warn!(
+                    "failed to encode the usage of window {}, so it is not decided: {error}",
+                    window.0
+                )
             }
         };
         let closed = self.closed_before(window, usage, time);
-        let mut operations = vec![put(report_key(window), value)];
+        let mut operations = vec![put_operation(report_key(window), value)];
         if let Some(closed) = closed {
-            operations.push(put(CLOSED_KEY.into(), closed.0.to_string().into_bytes()));
-            let over = self.decided.keys().filter(|window| **window <= closed);
-            operations.extend(over.map(|window| delete(report_key(*window))));
+            operations.push(put_operation(
+                CLOSED_KEY.into(),
+                closed.0.to_string().into_bytes(),
+            ));
+            let expired = self.decided.keys().filter(|window| **window <= closed);
+            operations.extend(expired.map(|window| delete_operation(report_key(*window))));
         }
         let oldest = usage.timing.oldest_open(time);
-        operations.extend(rows.over_before(oldest).map(delete));
-        let none_since = match self.closed_at {
+        operations.extend(rows.expired_before(oldest).map(delete_operation));
+        let no_other_decision = match self.closed_at {
             Some(revision) => Compare::ModifiedAt(CLOSED_KEY.into(), revision),
             None => Compare::Absent(CLOSED_KEY.into()),
         };
@@ -162,9 +169,9 @@
             compare: vec![
                 authority_claim::stands(epoch),
                 Compare::Absent(report_key(window)),
-                none_since,
+                no_other_decision,
             ],
-            operations: bounded(operations),
+            operations: limit_operations(operations),
         };
         let outcome = in_time(self.store.transact(&transaction)).await;
         self.record_decision(
@@ -180,15 +187,15 @@
         }
     }
 
-    /// The last window before this one of those whose reports are over.
+    /// Returns the last window before this one up to which no report is due any more.
     fn closed_before(
         &self,
         window: WindowNumber,
         usage: &Usage,
         time: UnixMillis,
     ) -> Option<WindowNumber> {
-        let is_open = |one: &&WindowNumber| {
-            !self.known.acknowledged.contains(*one) && usage.timing.due(**one) >= time
+        let is_open = |window: &&WindowNumber| {
+            !self.known.acknowledged.contains(*window) && usage.timing.due(**window) >= time
         };
         let open = self.known.decided.iter().find(is_open);
         let first_open = open.copied().unwrap_or(window).min(window);
@@ -250,10 +257,10 @@
     }
 }
 
-/// What collectors have written.
+/// The counts that collectors have written to the store.
 struct Rows {
     collection: Collection,
-    /// The last window that each key has counts of.
+    /// The last window for which each key has counts.
     last_windows: Vec<(String, Option<WindowNumber>)>,
 }
 
@@ -264,47 +271,51 @@
             last_windows: Vec::new(),
         };
         for entry in entries {
-            let mut own = Collection::default();
-            match RowsMessage::decode_into(&entry.value, &mut own) {
+            let mut entry_collection = Collection::default();
+            match RowsMessage::decode_into(&entry.value, &mut entry_collection) {
                 Ok(()) => {
-                    rows.last_windows.push((entry.key, own.last_window()));
-                    own.sources()
+                    rows.last_windows
+                        .push((entry.key, entry_collection.last_window()));
+                    entry_collection
+                        .sources()
                         .for_each(|usage| rows.collection.take_in(usage));
                 }
-                Err(error) => log::warn!("{} is passed over: {error:#}", entry.key),
+                Err(error) => {
+                    log::warn!("ignoring invalid usage counts at {}: {error:#}", entry.key)
+                }
             }
         }
         rows
     }
 
-    /// Keys that have nothing from `oldest` on, so that those of gateways that are gone do not stay; a
-    /// collector that lives writes its own again.
-    fn over_before(&self, oldest: WindowNumber) -> impl Iterator<Item = String> + '_ {
-        let over = self
+    /// Returns the keys without counts for `oldest` or later windows. They are deleted so that those of gateways that no
+    /// longer exist do not accumulate. A running collector writes its own key again.
+    fn expired_before(&self, oldest: WindowNumber) -> impl Iterator<Item = String> + '_ {
+        let expired = self
             .last_windows
             .iter()
             .filter(move |(_, last)| last.is_none_or(|last| last < oldest));
-        over.map(|(key, _)| key.clone())
+        expired.map(|(key, _)| key.clone())
     }
 }
 
-/// The most operations of one transaction that leave room for its conditions in what stores take.
+/// Maximum number of operations in one transaction. It leaves room for the conditions within the limit of stores.
 const MAX_OPERATIONS: usize = 28;
 
-/// What does not fit is deleted with a later decision.
-fn bounded(mut operations: Vec<Operation>) -> Vec<Operation> {
+/// Removes the operations that do not fit into a transaction: these keys are deleted with a later decision.
+fn limit_operations(mut operations: Vec<Operation>) -> Vec<Operation> {
     operations.truncate(MAX_OPERATIONS);
     operations
 }
 
-fn decided_in(mirror: &Mirror) -> Vec<(WindowNumber, TenantCounts)> {
+fn decided_windows(mirror: &Mirror) -> Vec<(WindowNumber, TenantCounts)> {
     let items = mirror.items_with_prefix(REPORTS_PREFIX);
     let decided = items.filter_map(|item| {
         let window = item.key[REPORTS_PREFIX.len()..].parse().ok()?;
         match serde_json::from_slice(&item.value) {
             Ok(counts) => Some((WindowNumber(window), counts)),
             Err(error) => {
-                log::warn!("{} is passed over: {error}", item.key);
+                log::warn!("ignoring invalid decided usage at {}: {error}", item.key);
                 None
             }
         }
@@ -316,12 +327,12 @@
     format!("{REPORTS_PREFIX}{}", window.0)
 }
 
-fn number(value: &[u8]) -> Option<WindowNumber> {
+fn parse_window(value: &[u8]) -> Option<WindowNumber> {
     let text = std::str::from_utf8(value).ok()?;
     text.parse().ok().map(WindowNumber)
 }
 
-fn put(key: String, value: Vec<u8>) -> Operation {
+fn put_operation(key: String, value: Vec<u8>) -> Operation {
     Operation::Put {
         key,
         value,
@@ -329,6 +340,6 @@
     }
 }
 
-fn delete(key: String) -> Operation {
+fn delete_operation(key: String) -> Operation {
     Operation::Delete { key }
 }
--- a/crates/gateway/src/usage/state.rs
+++ b/crates/gateway/src/usage/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts, has collected, and believes of the time.
+//! The usage state of a gateway: its own counts, the counts it has collected, and its estimate of the fleet's time.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -11,33 +11,33 @@
 
 use super::exchange::CollectorChoice;
 
-/// Usage as this gateway knows it.
+/// The usage state of this gateway.
 #[derive(Debug)]
 pub struct Usage {
-    /// Windows and when they are due.
+    /// Length of the windows, and when their reports are due.
     pub timing: WindowTiming,
     pub(super) source: Source,
     pub(super) clock: Mutex<FleetClock>,
     pub(super) collection: Mutex<Collection>,
-    pub(super) telling: Mutex<Telling>,
+    pub(super) link: Mutex<CollectorLink>,
     meter: Mutex<UsageMeter>,
 }
 
-/// What the collector is told.
+/// The connection to the collector: which gateway it is, and which counts it has acknowledged.
 #[derive(Debug, Default)]
-pub(super) struct Telling {
+pub(super) struct CollectorLink {
     pub(super) sender: UsageSender,
     pub(super) choice: CollectorChoice,
 }
 
 impl Usage {
-    /// Nothing is counted yet.
+    /// Creates the state without any counts.
     pub fn new(source: Source, timing: WindowTiming) -> Self {
         Self {
             timing,
             clock: Mutex::default(),
             collection: Mutex::default(),
-            telling: Mutex::default(),
+            link: Mutex::default(),
             meter: Mutex::new(UsageMeter::new(source.clone(), timing)),
             source,
         }
@@ -51,29 +51,31 @@
         });
     }
 
-    /// The time that the fleet agrees on.
+    /// Returns the time of day that the fleet agrees on, or `None` before any clock was read.
     pub fn time(&self, now: Timestamp) -> Option<UnixMillis> {
         self.clock.lock().time(now)
     }
 
-    /// A request of a tenant began to run at `began`.
+    /// Counts a request of a tenant that started to run at `began`.
     pub fn count(&self, began: Timestamp, tenant: &TenantName) {
         match self.time(began) {
             Some(at) => self.meter.lock().count(tenant, at),
-            None => log::warn!("a request is not counted: no clock was read yet"),
+            None => log::warn!(
+                "request is not counted in its tenant's usage: no clock has been read yet"
+            ),
         }
     }
 
-    /// What this gateway has counted.
-    pub(super) fn own(&self, now: Timestamp) -> Option<SourceUsage> {
+    /// Returns the counts of this gateway.
+    pub(super) fn own_usage(&self, now: Timestamp) -> Option<SourceUsage> {
         let time = self.time(now)?;
         Some(self.meter.lock().usage(time))
     }
 }
 
-/// The time of day as this machine says. One before 1970 counts as 1970: others outvote it.
+/// Returns the time of day of this machine. A time before 1970 counts as 1970: the clocks of other gateways outvote it.
 fn time_of_day() -> UnixMillis {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    let millis = since.unwrap_or_default().as_millis();
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    let millis = since_epoch.unwrap_or_default().as_millis();
     UnixMillis(u64::try_from(millis).unwrap_or(u64::MAX))
 }
--- a/crates/gateway/src/worker_orders/history.rs
+++ b/crates/gateway/src/worker_orders/history.rs
@@ -1,4 +1,4 @@
-//! What was ordered before, what came of it, and what that says of the next order.
+//! The orders sent so far and their outcomes, and when the next order may be sent.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,125 +8,128 @@
 
 use crate::duties::{DutyOutcome, WorkerOrder};
 
-/// Time beyond a worker's start after which an order that changed nothing is sent again: two writes of the
-/// worker's entry.
-const NOTICE: Duration = Duration::from_secs(2);
-/// Time in which an order that was left unanswered is carried out, if it ever is: twice what a new holder of
-/// the authority waits as a rule.
-const LATENESS: Duration = Duration::from_secs(6);
-/// Time after which spot workers are asked for again where there were none,
-const FIRST_ABSENCE: Duration = Duration::from_secs(2);
-/// and the longest such time; each refusal doubles it.
-const LONGEST_ABSENCE: Duration = Duration::from_secs(16);
-
-/// Which workers an order is about.
+/// Time in addition to a worker's startup time after which an order without effect is sent again: two write intervals
+/// of the worker's store entry.
+const ENTRY_UPDATE_TIME: Duration = Duration::from_secs(2);
+/// Time within which an unanswered order is carried out, if at all: twice the time that a new holder of the authority
+/// usually waits.
+const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(6);
+/// Time after which spot workers are ordered again in a zone that had none. Each further refusal doubles it.
+const INITIAL_SPOT_BACKOFF: Duration = Duration::from_secs(2);
+/// The longest such time.
+const MAX_SPOT_BACKOFF: Duration = Duration::from_secs(16);
+
+/// The group of workers whose number an order sets.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Subject {
+struct WorkerGroup {
     service: ServiceName,
     zone: ZoneName,
     kind: WorkerKind,
 }
 
+/// An order that was accepted.
 #[derive(Debug, Clone, Copy)]
-struct Ordered {
+struct AcceptedOrder {
     desired: u32,
     at: Timestamp,
 }
 
-/// An order that may still be carried out.
+/// An order without an answer, which may still be carried out.
 #[derive(Debug, Clone, Copy)]
-struct Unanswered {
+struct UnansweredOrder {
     desired: u32,
     until: Timestamp,
 }
 
-/// Spot workers that a zone did not have.
+/// Wait time after a zone had no spot workers.
 #[derive(Debug, Clone, Copy)]
-struct Absence {
+struct SpotBackoff {
     until: Timestamp,
     length: Duration,
 }
 
-/// Orders of the holder of the authority, by what they are about.
+/// Orders of the holder of the authority, by the group of workers that they concern.
 #[derive(Debug, Default)]
 pub struct OrderHistory {
-    ordered: HashMap<Subject, Ordered>,
-    unanswered: HashMap<Subject, Unanswered>,
-    absences: HashMap<Subject, Absence>,
+    accepted: HashMap<WorkerGroup, AcceptedOrder>,
+    unanswered: HashMap<WorkerGroup, UnansweredOrder>,
+    spot_backoffs: HashMap<WorkerGroup, SpotBackoff>,
 }
 
 impl OrderHistory {
-    /// How many workers were ordered last.
-    pub fn ordered(&self, order: &WorkerOrder) -> Option<u32> {
-        let ordered = self.ordered.get(&subject_of(order))?;
-        Some(ordered.desired)
+    /// Returns how many workers the last accepted order asked for.
+    pub fn last_ordered(&self, order: &WorkerOrder) -> Option<u32> {
+        let accepted = self.accepted.get(&group_of(order))?;
+        Some(accepted.desired)
     }
 
-    /// Whether a zone may have spot workers: it had some when it was asked last.
+    /// Returns whether a zone may have spot workers, which means that the last order for them was not refused.
     pub fn has_spot(&self, service: &ServiceName, zone: &ZoneName) -> bool {
-        let subject = Subject {
+        let group = WorkerGroup {
             service: service.clone(),
             zone: zone.clone(),
             kind: WorkerKind::Spot,
         };
-        !self.absences.contains_key(&subject)
+        !self.spot_backoffs.contains_key(&group)
     }
 
-    /// Whether a zone that had no spot workers may be asked for them again.
-    pub fn may_ask_again(&self, now: Timestamp, order: &WorkerOrder) -> bool {
-        let absence = self.absences.get(&subject_of(order));
-        absence.is_some_and(|absence| now >= absence.until)
+    /// Returns whether spot workers may be ordered again in a zone that had none.
+    pub fn may_retry_spot(&self, now: Timestamp, order: &WorkerOrder) -> bool {
+        let backoff = self.spot_backoffs.get(&group_of(order));
+        backoff.is_some_and(|backoff| now >= backoff.until)
     }
 
-    /// Whether an order is to be sent now, where workers need so long to start.
-    pub fn is_due(&self, now: Timestamp, order: &WorkerOrder, start: Duration) -> bool {
+    /// Returns whether an order must be sent now, given the time that workers take to start.
+    pub fn is_due(&self, now: Timestamp, order: &WorkerOrder, startup_time: Duration) -> bool {
         if self.may_be_undone(now, order) {
             return false;
         }
-        let ordered = self.ordered.get(&subject_of(order));
-        ordered.is_none_or(|ordered| {
-            let waited = now.since(ordered.at);
-            ordered.desired != order.desired || waited >= start + NOTICE
+        let accepted = self.accepted.get(&group_of(order));
+        accepted.is_none_or(|accepted| {
+            let elapsed = now.since(accepted.at);
+            accepted.desired != order.desired || elapsed >= startup_time + ENTRY_UPDATE_TIME
         })
     }
 
-    /// Whether an earlier order with another number may be carried out after this one.
+    /// Returns whether an earlier order for another number of workers may be carried out after this one.
     pub fn may_be_undone(&self, now: Timestamp, order: &WorkerOrder) -> bool {
-        let earlier = self.unanswered.get(&subject_of(order));
+        let earlier = self.unanswered.get(&group_of(order));
         earlier.is_some_and(|earlier| earlier.desired != order.desired && now < earlier.until)
     }
 
-    /// Notes what came of an order.
-    pub fn note(&mut self, now: Timestamp, order: &WorkerOrder, outcome: &DutyOutcome) {
-        let subject = subject_of(order);
+    /// Records the outcome of an order.
+    pub fn record(&mut self, now: Timestamp, order: &WorkerOrder, outcome: &DutyOutcome) {
+        let group = group_of(order);
         let desired = order.desired;
         match (outcome, order.kind) {
             (DutyOutcome::Done, _) => {
-                self.absences.remove(&subject);
-                self.ordered.insert(subject, Ordered { desired, at: now });
+                self.spot_backoffs.remove(&group);
+                self.accepted
+                    .insert(group, AcceptedOrder { desired, at: now });
             }
-            (DutyOutcome::Refused(_), WorkerKind::Spot) => self.note_absence(now, subject),
+            (DutyOutcome::Refused(_), WorkerKind::Spot) => self.record_spot_refusal(now, group),
             (DutyOutcome::Unknown(_), _) => {
-                let until = now + LATENESS;
+                let until = now + LATE_EXECUTION_WINDOW;
                 self.unanswered
-                    .insert(subject, Unanswered { desired, until });
+                    .insert(group, UnansweredOrder { desired, until });
             }
             (DutyOutcome::Refused(_), WorkerKind::Reserved) | (DutyOutcome::NotDone(_), _) => {}
         }
     }
 
-    fn note_absence(&mut self, now: Timestamp, subject: Subject) {
-        let known = self.absences.get(&subject);
-        let length = known.map_or(FIRST_ABSENCE, |known| {
-            (known.length * 2).min(LONGEST_ABSENCE)
+    fn record_spot_refusal(&mut self, now: Timestamp, group: WorkerGroup) {
+        let previous = self.spot_backoffs.get(&group);
+        let length = previous.map_or(INITIAL_SPOT_BACKOFF, |previous| {
+            (previous.length * 2).min(MAX_SPOT_BACKOFF)
         });
         let until = now + length;
-        self.absences.insert(subject, Absence { until, length });
+        self.spot_backoffs
+            .insert(group, SpotBackoff { until, length });
     }
 }
 
-fn subject_of(order: &WorkerOrder) -> Subject {
-    Subject {
+fn group_of(order: &WorkerOrder) -> WorkerGroup {
+    WorkerGroup {
         service: order.service.clone(),
         zone: order.zone.clone(),
         kind: order.kind,
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -1,11 +1,11 @@
-//! Orders of the holder of the authority for workers: how many of which kind each zone shall have.
+//! Orders for workers, sent by the holder of the authority: how many workers of which kind each zone must have.
 //!
-//! [`balance_workers`] says what is wanted; an order is sent where that is not what serves, and repeated
-//! after the time in which ordered workers start. Orders name the whole number, so that one which is
-//! carried out twice or by the next holder changes nothing. One that was left unanswered may be carried out
-//! after a newer one, which it would undo, as both have the same fence: another number is ordered only when
-//! that is over. How many the operator planned stands in the store, so that a new holder does not take a
-//! zone that was just withdrawn for the fleet's size.
+//! [`balance_workers`] computes the goal. An order is sent for each number of serving workers that differs from the
+//! goal, and repeated after the time that ordered workers take to start. An order contains the total number, so it has
+//! no further effect if it is carried out twice or sent again by the next holder. An order without an answer may be
+//! carried out after a newer one and undo it, because both have the same fence. Another number is therefore ordered
+//! only when this is no longer possible. The number of workers that the operator planned is kept in the store, so that
+//! a new holder does not take the size of a fleet that has just lost a zone for the planned one.
 
 mod history;
 mod needed_engines;
@@ -28,7 +28,7 @@
 use tokio::time::sleep;
 
 use self::history::OrderHistory;
-use self::needed_engines::Asked;
+use self::needed_engines::NeededEngines;
 use crate::authority_claim;
 use crate::duties::{DutyOutcome, WorkerOrder};
 use crate::duty_calls::DutyCalls;
@@ -36,17 +36,18 @@
 use crate::state::Shared;
 use crate::store_call::in_time;
 
-/// The key of the numbers of workers that were planned.
-const KEY: &str = "tansyhall/workers";
-/// Pause between two looks.
-const PACE: Duration = Duration::from_millis(500);
-/// The part of the planned workers that is needed at any price before anything is known of the demand.
-const NEEDED_PART: f64 = 1.0 / 3.0;
+/// Store key of the planned numbers of workers.
+const PLANNED_WORKERS_KEY: &str = "tansyhall/workers";
+/// Pause between two checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum number of workers that are needed at any price, as a fraction of the planned ones. It applies before anything
+/// is known about the demand.
+const MIN_NEEDED_FRACTION: f64 = 1.0 / 3.0;
 
-/// Workers that were planned for each service, as they stand in the store.
-type Planned = BTreeMap<ServiceName, u32>;
+/// Number of planned workers by service, as written in the store.
+type PlannedWorkers = BTreeMap<ServiceName, u32>;
 
-/// Orders workers while this gateway holds the authority, until it stops.
+/// Orders workers while this gateway holds the authority, until the gateway stops.
 pub async fn run(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>, calls: DutyCalls) {
     let allowance = ChangeAllowance::new(shared.now());
     let mut orders = WorkerOrders {
@@ -54,12 +55,12 @@
         store,
         calls,
         history: OrderHistory::default(),
-        asked: HashMap::new(),
+        needed_engines: HashMap::new(),
         allowance,
     };
     while !orders.shared.is_stopping() {
-        sleep(PACE).await;
-        orders.look().await;
+        sleep(CHECK_INTERVAL).await;
+        orders.check().await;
     }
 }
 
@@ -67,16 +68,16 @@
     shared: Arc<Shared>,
     store: Rc<dyn KeyValueStore>,
     calls: DutyCalls,
-    /// What was ordered before, and what came of it.
+    /// The orders sent so far and their outcomes.
     history: OrderHistory,
-    /// Engines of each service that what is asked kept busy lately, and how many count as needed.
-    asked: HashMap<ServiceName, Asked>,
-    /// Workers that may still come or go.
+    /// Estimate of the needed engines of each service.
+    needed_engines: HashMap<ServiceName, NeededEngines>,
+    /// Limits how many workers may be added or removed.
     allowance: ChangeAllowance,
 }
 
 impl WorkerOrders {
-    async fn look(&mut self) {
+    async fn check(&mut self) {
         if !self.shared.settings.read().decisions.worker_orders {
             return;
         }
@@ -96,12 +97,14 @@
         }
     }
 
-    /// How many reserved workers the operator planned for a service: those it had when it was first seen.
+    /// Returns how many reserved workers the operator planned for a service: those that it had when this was first
+    /// recorded. Returns `None` if the number has just been written.
     async fn planned(&self, epoch: Epoch, service: &Service) -> Option<u32> {
         let (mut planned, revision) = self.read_planned();
         let workers = self.workers(&service.name);
         let present = u32::try_from(workers.len()).ok()?;
-        // Workers that start with the site are announced one after the other.
+        // Workers that start together with the site are announced one after another, so the planned number may
+        // grow as long as there are no spot workers.
         let none_was_ordered = workers
             .iter()
             .all(|worker| worker.kind == WorkerKind::Reserved);
@@ -116,9 +119,9 @@
         }
     }
 
-    /// How many of them the demand keeps busy, as far as that is known: of engines, by what is asked of
-    /// them; of other workers, all.
-    fn needed(&mut self, service: &Service, planned: u32) -> u32 {
+    /// Returns how many of the planned workers are needed: for engines, the number that the demand keeps busy; for other
+    /// workers, whose demand is unknown, all of them.
+    fn needed_workers(&mut self, service: &Service, planned: u32) -> u32 {
         let Some(engine) = &service.engine else {
             return planned;
         };
@@ -129,44 +132,44 @@
             .lock()
             .engine_demand(now, &service.name);
         let streams = demand.decode_slots / f64::from(engine.slots.max(1));
-        let least = f64::from(planned) * NEEDED_PART;
-        let asked = self.asked.entry(service.name.clone()).or_default();
+        let min_needed = f64::from(planned) * MIN_NEEDED_FRACTION;
+        let needed_engines = self.needed_engines.entry(service.name.clone()).or_default();
         let busy = demand.prefill_engines + demand.decode_engines + streams;
-        asked.needed(now, busy, least)
+        needed_engines.update(now, busy, min_needed)
     }
 
-    fn read_planned(&self) -> (Planned, Option<u64>) {
+    fn read_planned(&self) -> (PlannedWorkers, Option<u64>) {
         let mirror = self.shared.mirror.lock();
-        let Some(item) = mirror.get(KEY) else {
-            return (Planned::new(), None);
+        let Some(item) = mirror.get(PLANNED_WORKERS_KEY) else {
+            return (PlannedWorkers::new(), None);
         };
         let planned = serde_json::from_slice(&item.value).unwrap_or_else(|error| {
-            log::warn!("{KEY} is passed over: {error}");
-            Planned::new()
+            log::warn!("ignoring invalid value of {PLANNED_WORKERS_KEY}: {error}");
+            PlannedWorkers::new()
         });
         (planned, Some(item.written.revision))
     }
 
-    async fn write_planned(&self, epoch: Epoch, planned: &Planned, known: Option<u64>) {
+    async fn write_planned(&self, epoch: Epoch, planned: &PlannedWorkers, known: Option<u64>) {
         let unchanged = match known {
-            Some(revision) => Compare::ModifiedAt(KEY.into(), Revision(revision)),
-            None => Compare::Absent(KEY.into()),
+            Some(revision) => Compare::ModifiedAt(PLANNED_WORKERS_KEY.into(), Revision(revision)),
+            None => Compare::Absent(PLANNED_WORKERS_KEY.into()),
         };
         let transaction = Transaction {
             compare: vec![authority_claim::stands(epoch), unchanged],
             operations: vec![Operation::Put {
-                key: KEY.into(),
+                key: PLANNED_WORKERS_KEY.into(),
                 value: serde_json::to_vec(planned).unwrap_or_default(),
                 lease: None,
             }],
         };
-        // Whatever the answer: the numbers are read back from the copy of the store.
+        // The result is not used: the numbers are read back from the copy of the store.
         if let Err(error) = in_time(self.store.transact(&transaction)).await {
-            log::debug!("the numbers of workers may not be written: {error}");
+            log::debug!("planned numbers of workers may not have been written: {error}");
         }
     }
 
-    /// The service's workers that take requests.
+    /// Returns the workers of the service that accept requests.
     fn workers(&self, service: &ServiceName) -> Vec<Worker> {
         let directory = self.shared.directory.lock();
         let announced = directory.announced_workers();
@@ -192,11 +195,11 @@
         let wanted = WorkerTargets {
             planned,
             wanted: affordable_workers(planned, zones.len(), &limits),
-            needed: self.needed(service, planned),
+            needed: self.needed_workers(service, planned),
         };
         let goals = balance_workers(&zones, &limits, wanted);
         for (goal, zone) in goals.iter().zip(&zones) {
-            for order in orders_of(&service.name, goal) {
+            for order in orders_for(&service.name, goal) {
                 let serving = match order.kind {
                     WorkerKind::Reserved => zone.reserved,
                     WorkerKind::Spot => zone.spot,
@@ -208,24 +211,25 @@
                     continue;
                 }
                 if let Some(order) = self.within_allowance(order, serving) {
-                    self.order(epoch, order, wanted.needed).await;
+                    self.send_order(epoch, order, wanted.needed).await;
                 }
             }
         }
-        self.ask_again(epoch, &service.name, &zones, &limits, wanted)
+        self.retry_spot_orders(epoch, &service.name, &zones, &limits, wanted)
             .await;
     }
 
-    /// As much of an order as relays can pass on now, if any of it. Workers that are ordered and have not come
-    /// yet were taken of the allowance before.
+    /// Reduces an order to the number of changes that relays can send to their subscribers now. Returns `None` if
+    /// nothing of it is left. Workers that were ordered but are not announced yet were already counted against the
+    /// allowance.
     fn within_allowance(&mut self, order: WorkerOrder, serving: u32) -> Option<WorkerOrder> {
         let gateways = self.shared.gateways.load(Ordering::Relaxed);
         let zones = self.shared.fleet.read().plan.zone_count().max(1);
-        let subscribers = subscribers_of_a_relay(gateways, zones);
+        let subscribers = subscribers_per_relay(gateways, zones);
         let allowed = self
             .allowance
             .affordable_changes(self.shared.now(), subscribers);
-        let ordered = self.history.ordered(&order);
+        let ordered = self.history.last_ordered(&order);
         let expected = ordered.map_or(serving, |ordered| ordered.max(serving));
         let desired = match order.desired > serving {
             true => order.desired.min(expected.saturating_add(allowed)),
@@ -239,9 +243,9 @@
         (desired != serving).then_some(WorkerOrder { desired, ..order })
     }
 
-    /// Asks zones that had no spot workers for all that they should have, after a while. It is never asked
-    /// for fewer to begin with: such an order, if it were carried out late, would undo the one that follows.
-    async fn ask_again(
+    /// Orders spot workers again in zones that had none, after a wait. The order is for all workers that the zone should
+    /// have: a smaller first order, if it were carried out late, would undo the one that follows.
+    async fn retry_spot_orders(
         &mut self,
         epoch: Epoch,
         service: &ServiceName,
@@ -256,9 +260,9 @@
         }
         let goals = balance_workers(&all_have_spot, limits, wanted);
         for (goal, zone) in goals.iter().zip(zones) {
-            let [order, _] = orders_of(service, goal);
-            if self.history.may_ask_again(now, &order) && order.desired > zone.spot {
-                self.order(epoch, order, wanted.needed).await;
+            let [order, _] = orders_for(service, goal);
+            if self.history.may_retry_spot(now, &order) && order.desired > zone.spot {
+                self.send_order(epoch, order, wanted.needed).await;
             }
         }
     }
@@ -282,10 +286,13 @@
                 has_spot: self.history.has_spot(service, zone),
             }
         };
-        prices_of(scaling, workers).into_iter().map(zone).collect()
+        zone_prices(scaling, workers)
+            .into_iter()
+            .map(zone)
+            .collect()
     }
 
-    async fn order(&mut self, epoch: Epoch, order: WorkerOrder, needed: u32) {
+    async fn send_order(&mut self, epoch: Epoch, order: WorkerOrder, needed: u32) {
         if self.history.may_be_undone(self.shared.now(), &order) {
             return;
         }
@@ -296,7 +303,7 @@
         if is_refused && order.kind == WorkerKind::Reserved {
             self.calls.stop_using(epoch);
         }
-        self.history.note(self.shared.now(), &order, &outcome);
+        self.history.record(self.shared.now(), &order, &outcome);
         self.record(&order, needed, &outcome);
     }
 
@@ -321,8 +328,11 @@
     }
 }
 
-/// The price in each zone; where the operator gives none, the zones that have workers cost the same.
-fn prices_of<'a>(scaling: &'a WorkerScaling, workers: &'a [Worker]) -> BTreeMap<&'a ZoneName, f64> {
+/// Returns the price in each zone. If the operator has not set prices, all zones that have workers get the same price.
+fn zone_prices<'a>(
+    scaling: &'a WorkerScaling,
+    workers: &'a [Worker],
+) -> BTreeMap<&'a ZoneName, f64> {
     if scaling.zone_prices.is_empty() {
         return workers.iter().map(|worker| (&worker.zone, 1.0)).collect();
     }
@@ -330,8 +340,8 @@
     given.map(|(zone, price)| (zone, *price)).collect()
 }
 
-/// The orders that bring a zone to its goal: what is added first.
-fn orders_of(service: &ServiceName, goal: &ZoneGoal) -> [WorkerOrder; 2] {
+/// Returns the orders that bring a zone to its goal, in the order in which they are sent: spot workers first.
+fn orders_for(service: &ServiceName, goal: &ZoneGoal) -> [WorkerOrder; 2] {
     let order = |kind, desired| WorkerOrder {
         service: service.clone(),
         zone: goal.zone.clone(),
@@ -344,7 +354,7 @@
     ]
 }
 
-fn subscribers_of_a_relay(gateways: u64, zones: usize) -> usize {
+fn subscribers_per_relay(gateways: u64, zones: usize) -> usize {
     let in_zone = usize::try_from(gateways)
         .unwrap_or(usize::MAX)
         .div_ceil(zones);
--- a/crates/gateway/src/worker_orders/needed_engines.rs
+++ b/crates/gateway/src/worker_orders/needed_engines.rs
@@ -1,29 +1,30 @@
-//! How many engines what is asked needs.
+//! Estimate of the number of engines that the demand needs.
 
 use tansyhall_core::Timestamp;
 use tansyhall_planner::RecentPeak;
 
-/// The part of their time that engines are busy if there are just as many as the recent peak of what is
-/// asked needs: at 0.8 a prompt waits twice its own time on the mean (M/D/1), late but served, until spot
-/// workers are to be had again.
-const BUSY_PART: f64 = 0.8;
+/// Utilization of the engines at the recent peak of the demand if there are exactly as many as needed. At 0.8, a prompt
+/// waits twice its own service time on average (M/D/1): it is late, but it is served until spot workers are available
+/// again.
+const TARGET_UTILIZATION: f64 = 0.8;
 
-/// The part of the workers that were needed lately below which fewer count as needed: what is asked varies by
-/// less from one second to the next, and each order for one worker fewer would be followed by one for one more.
-const FALLING_PART: f64 = 0.75;
+/// The result is lowered only if the current need is below this fraction of the previous result. The demand varies by
+/// less than that from one second to the next, so each order for one worker less would be followed by an order for one
+/// more.
+const DECREASE_THRESHOLD: f64 = 0.75;
 
-/// What is asked of the engines of a service.
+/// Number of engines that the demand on a service needs.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct NeededEngines {
     peak: RecentPeak,
     needed: f64,
 }
 
-impl Asked {
-    /// How many engines are needed, at least so many, if so many are busy now.
-    pub fn needed(&mut self, now: Timestamp, busy: f64, least: f64) -> u32 {
-        let needed = (self.peak.observe(now, busy) / BUSY_PART).max(least);
-        if needed > self.needed || needed < self.needed * FALLING_PART {
+impl NeededEngines {
+    /// Returns the number of needed engines, at least `min_needed`, given that the demand keeps `busy` engines busy now.
+    pub fn update(&mut self, now: Timestamp, busy: f64, min_needed: f64) -> u32 {
+        let needed = (self.peak.observe(now, busy) / TARGET_UTILIZATION).max(min_needed);
+        if needed > self.needed || needed < self.needed * DECREASE_THRESHOLD {
             self.needed = needed;
         }
         self.needed.ceil() as u32
--- a/crates/gateway/tests/placement_messages.rs
+++ b/crates/gateway/tests/placement_messages.rs
@@ -1,4 +1,4 @@
-//! Questions to schedulers and their answers come out of a datagram as they went in.
+//! Messages between gateways and schedulers keep their content when they are encoded into a datagram and decoded.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     "[a-z0-9-]{1,12}".prop_map(|id| WorkerId::from(id.as_str()))
 }
 
-fn span() -> impl Strategy<Value = Duration> {
+fn duration() -> impl Strategy<Value = Duration> {
     (0_u64..10_000_000).prop_map(Duration::from_micros)
 }
 
@@ -38,7 +38,7 @@
 
 fn result() -> impl Strategy<Value = SendResult> {
     prop_oneof![
-        span().prop_map(|latency| SendResult::Answered { latency }),
+        duration().prop_map(|latency| SendResult::Answered { latency }),
         Just(SendResult::Failed),
         Just(SendResult::Refused),
         Just(SendResult::Unreachable),
@@ -48,26 +48,27 @@
 }
 
 fn worker_notice() -> impl Strategy<Value = WorkerNotice> {
-    let rest = prop::option::of((1_u64..10_000_000).prop_map(Duration::from_micros));
-    (any::<bool>(), rest).prop_map(|(leaves, rest)| WorkerNotice {
-        is_leaving: leaves,
-        backoff: rest,
+    let backoff_time = prop::option::of((1_u64..10_000_000).prop_map(Duration::from_micros));
+    (any::<bool>(), backoff_time).prop_map(|(leaving, backoff_time)| WorkerNotice {
+        is_leaving: leaving,
+        backoff: backoff_time,
         ..WorkerNotice::default()
     })
 }
 
-fn stated() -> impl Strategy<Value = Option<StatedLimit>> {
+fn stated_limit() -> impl Strategy<Value = Option<StatedLimit>> {
     let limit = any::<u64>().prop_map(RateLimit::from_millirequests_per_second);
     let age = any::<u32>().prop_map(|age| Duration::from_millis(u64::from(age)));
-    let stated = (prop::option::of(limit), age);
-    prop::option::of(stated.prop_map(|(limit, age)| StatedLimit { limit, age }))
+    let stated_limit = (prop::option::of(limit), age);
+    prop::option::of(stated_limit.prop_map(|(limit, age)| StatedLimit { limit, age }))
 }
 
 fn notice() -> impl Strategy<Value = PlacementNotice> {
     let id = any::<u64>().prop_map(PlacementId);
     prop_oneof![
-        (id.clone(), span()).prop_map(|(id, latency)| PlacementNotice::PromptRead { id, latency }),
-        (id, result(), worker_notice(), stated()).prop_map(
+        (id.clone(), duration())
+            .prop_map(|(id, latency)| PlacementNotice::PromptRead { id, latency }),
+        (id, result(), worker_notice(), stated_limit()).prop_map(
             |(id, result, worker_notice, rate_limit)| {
                 PlacementNotice::Ended {
                     id,
@@ -85,14 +86,13 @@
         id,
         tokens: u64::from(tokens),
     });
-    let objectives =
-        (span(), prop::option::of(span()), span()).prop_map(|(latency, pause, time_left)| {
-            Objectives {
-                latency,
-                pause,
-                time_left,
-            }
-        });
+    let objectives = (duration(), prop::option::of(duration()), duration()).prop_map(
+        |(latency, pause, time_left)| Objectives {
+            latency,
+            pause,
+            time_left,
+        },
+    );
     let prompt = prop::collection::vec(part, 0..4);
     let tenant = prop::option::of(any::<u64>().prop_map(TenantKey));
     (
@@ -121,27 +121,34 @@
 }
 
 fn answer() -> impl Strategy<Value = PlacementAnswer> {
-    let placement = (worker(), any::<[bool; 4]>(), any::<u32>(), span(), stated()).prop_map(
-        |(
-            worker,
-            [read_apart, fetches, short_reading, has_rate_token],
-            tokens,
-            expected_latency,
-            rate_limit,
-        )| {
-            Placement {
-                id: PlacementId(7),
+    let placement = (
+        worker(),
+        any::<[bool; 4]>(),
+        any::<u32>(),
+        duration(),
+        stated_limit(),
+    )
+        .prop_map(
+            |(
                 worker,
-                read_apart,
-                fetch_from: fetches.then(|| "10.0.0.9:8080".parse().expect("an address")),
-                reading_tokens: u64::from(tokens),
-                short_reading,
+                [read_apart, fetches, short_reading, has_rate_token],
+                tokens,
                 expected_latency,
-                has_rate_token,
                 rate_limit,
-            }
-        },
-    );
+            )| {
+                Placement {
+                    id: PlacementId(7),
+                    worker,
+                    read_apart,
+                    fetch_from: fetches.then(|| "10.0.0.9:8080".parse().expect("a valid address")),
+                    reading_tokens: u64::from(tokens),
+                    short_reading,
+                    expected_latency,
+                    has_rate_token,
+                    rate_limit,
+                }
+            },
+        );
     let cause = prop_oneof![
         Just(RefusalCause::Overload),
         Just(RefusalCause::TenantShare),
@@ -149,7 +156,7 @@
     ];
     prop_oneof![
         placement.prop_map(PlacementAnswer::Placed),
-        (cause, span(), span()).prop_map(|(cause, waiting, retry_after)| {
+        (cause, duration(), duration()).prop_map(|(cause, waiting, retry_after)| {
             PlacementAnswer::Refused {
                 cause,
                 waiting,
@@ -160,15 +167,15 @@
     ]
 }
 
-fn sent(datagram: &Datagram) -> Datagram {
-    Datagram::decode(datagram.encode_to_vec().as_slice()).expect("a datagram")
+fn decoded(datagram: &Datagram) -> Datagram {
+    Datagram::decode(datagram.encode_to_vec().as_slice()).expect("a valid datagram")
 }
 
 proptest! {
     #![proptest_config(fixed_number_of_cases(SEED, 128))]
 
     #[test]
-    fn questions_arrive_as_they_were_sent(
+    fn placement_messages_keep_their_content(
         [sender, sequence] in any::<[u64; 2]>(),
         open in prop::collection::vec(any::<u64>(), 0..6),
         notices in prop::collection::vec(notice(), 0..4),
@@ -182,22 +189,22 @@
             request,
         };
         let datagram = Datagram::question(QuestionMessage::from(&message));
-        let question = sent(&datagram).question.expect("a question");
-        let arrived = PlacementMessage::try_from(question).expect("a message");
-        prop_assert_eq!(arrived, message);
+        let question = decoded(&datagram).question.expect("the datagram contains a placement message");
+        let decoded_message = PlacementMessage::try_from(question).expect("a valid placement message");
+        prop_assert_eq!(decoded_message, message);
     }
 
     #[test]
-    fn answers_arrive_as_they_were_sent(answer in answer()) {
+    fn placement_answers_keep_their_content(answer in answer()) {
         let id = PlacementId(7);
         let datagram = Datagram::answer(AnswerMessage::new(id, &answer));
-        let arrived = sent(&datagram).answer.expect("an answer");
-        prop_assert_eq!(arrived.decode_answer().expect("an answer"), (id, answer));
+        let decoded_message = decoded(&datagram).answer.expect("the datagram contains an answer");
+        prop_assert_eq!(decoded_message.decode_answer().expect("a valid answer"), (id, answer));
     }
 }
 
 #[test]
-fn faulty_questions_and_answers_are_refused() {
+fn invalid_placement_messages_and_answers_are_refused() {
     let question = QuestionMessage {
         notices: vec![Default::default()],
         ..QuestionMessage::default()
@@ -217,7 +224,7 @@
 }
 
 #[test]
-fn reports_of_rate_limits_arrive_as_they_were_sent() {
+fn reported_rate_limits_keep_their_content() {
     let statement = |limit: Option<u64>| LimitStatement {
         worker: WorkerKey(7),
         stated: StatedLimit {
@@ -234,7 +241,7 @@
         demands: Vec::new(),
         rate_limits: vec![statement(Some(6_300)), statement(Some(0)), statement(None)],
     };
-    let datagram = sent(&Datagram::report(encode(&report)));
-    let arrived = decode(datagram.report.expect("a report"));
-    assert_eq!(arrived, report);
+    let datagram = decoded(&Datagram::report(encode(&report)));
+    let decoded_message = decode(datagram.report.expect("the datagram contains a report"));
+    assert_eq!(decoded_message, report);
 }
--- a/crates/gateway/tests/questions_to_gateways.rs
+++ b/crates/gateway/tests/questions_to_gateways.rs
@@ -1,4 +1,5 @@
-//! A gateway that asks others takes no answer to another question.
+//! A gateway that requests changes from another gateway ignores mismatched answers. The next answer on a connection that
+//! is kept open may be a second or late one to an earlier request, and would make outdated knowledge look current.
 
 use std::time::Duration;
 
@@ -10,22 +11,22 @@
 use tansyhall_twice_answering::{Answer, Second, TwiceAnswering, ARRIVAL};
 use tokio::time::sleep;
 
-/// Questions that are asked one after another.
-const QUESTIONS: u64 = 4;
+/// Number of requests that are sent one after another.
+const REQUESTS: u64 = 4;
 
-/// The value of a parameter of a question's target.
-fn parameter(question: &str, name: &str) -> u64 {
-    let parameters = question.split(['?', '&']);
-    let mut values = parameters.filter_map(|one| one.strip_prefix(name)?.strip_prefix('='));
+/// Returns the value of a parameter in a request's target, or 0 if it is missing.
+fn parameter(target: &str, name: &str) -> u64 {
+    let parameters = target.split(['?', '&']);
+    let mut values = parameters.filter_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     let value = values.next().and_then(|text| text.parse().ok());
     value.unwrap_or(0)
 }
 
-/// The answer of a gateway that is one revision ahead of whoever asks.
-fn answer(question: &str, number: u64) -> Answer {
+/// Returns the answer of a gateway whose copy is one revision ahead of the requesting gateway's.
+fn answer(target: &str, number: u64) -> Answer {
     let snapshot = Snapshot {
         items: Vec::new(),
-        position: Position::new(0, parameter(question, "after") + 1),
+        position: Position::new(0, parameter(target, "after") + 1),
     };
     let update = Some(MirrorUpdate::Snapshot(snapshot));
     let mut message = UpdateMessage::new(update, Duration::ZERO, &mut DeflatedValues::default());
@@ -35,60 +36,63 @@
 
 async fn revision(client: &mut awc::Client, gateway: &TwiceAnswering, after: u64) -> Option<u64> {
     let after = Position::new(0, after);
-    let asked = peers::fetch(client, gateway.address, after, Duration::ZERO).await;
-    match asked.ok()?.update? {
+    let result = peers::fetch(client, gateway.address, after, Duration::ZERO).await;
+    match result.ok()?.update? {
         MirrorUpdate::Snapshot(snapshot) => Some(snapshot.position.revision),
         MirrorUpdate::Changes { position, .. } => Some(position.revision),
     }
 }
 
 #[actix_rt::test]
-async fn a_late_second_answer_is_not_taken_for_news() {
+async fn a_late_second_answer_is_not_taken_for_the_answer_to_the_next_request() {
     for second in Second::ALL {
-        let numbered = |question: &str| answer(question, parameter(question, "number"));
-        let gateway = TwiceAnswering::answering(second, numbered);
+        let numbered_answer = |target: &str| answer(target, parameter(target, "number"));
+        let gateway = TwiceAnswering::answering(second, numbered_answer);
         let mut client = peers::client();
         let mut answered = 0;
-        for after in 1..=QUESTIONS {
+        for after in 1..=REQUESTS {
             let revision = revision(&mut client, &gateway, after).await;
             assert!(
-                revision.is_none_or(|one| one == after + 1),
-                "{second:?}: {revision:?}"
+                revision.is_none_or(|revision| revision == after + 1),
+                "{second:?}: accepted revision {revision:?} of a mismatched answer"
             );
             answered += u64::from(revision.is_some());
             sleep(ARRIVAL).await;
         }
-        assert!(answered >= QUESTIONS / 2, "{second:?}: {answered} answers");
+        assert!(
+            answered >= REQUESTS / 2,
+            "{second:?}: only {answered} requests were answered"
+        );
     }
 }
 
 #[actix_rt::test]
-async fn an_older_gateway_that_names_no_question_is_understood() {
+async fn an_answer_of_an_older_gateway_without_request_number_is_accepted() {
     let gateway = TwiceAnswering::answering(
         Second::Never {
             after: Duration::ZERO,
         },
-        |question| answer(question, 0),
+        |target| answer(target, 0),
     );
     assert_eq!(revision(&mut peers::client(), &gateway, 7).await, Some(8));
 }
 
 #[actix_rt::test]
-async fn an_older_gateway_that_names_no_epoch_counts_as_of_that_of_the_question() {
+async fn an_answer_of_an_older_gateway_without_epoch_gets_the_epoch_of_the_request() {
     const EPOCH: u64 = 4;
     let gateway = TwiceAnswering::answering(
         Second::Never {
             after: Duration::ZERO,
         },
-        |question| answer(question, 0),
+        |target| answer(target, 0),
     );
     let after = Position::new(EPOCH, 7);
     let mut client = peers::client();
-    let asked = peers::fetch(&mut client, gateway.address, after, Duration::ZERO).await;
-    let received = asked.expect("an answer");
+    let result = peers::fetch(&mut client, gateway.address, after, Duration::ZERO).await;
+    let received = result.expect("an accepted answer");
     assert_eq!(received.epoch, EPOCH);
     let Some(MirrorUpdate::Snapshot(snapshot)) = received.update else {
-        panic!("no copy");
+        panic!("the answer contains no snapshot");
     };
     assert_eq!(snapshot.position, Position::new(EPOCH, 8));
 }
--- a/crates/gateway/tests/usage_messages.rs
+++ b/crates/gateway/tests/usage_messages.rs
@@ -1,4 +1,5 @@
-//! Usage on the wire and in the store: what was written is read back, and nothing else breaks the reader.
+//! Usage counts in messages and in the store: encoded counts are decoded unchanged, and decoding of any other bytes
+//! neither panics nor adds counts.
 
 use std::collections::BTreeMap;
 
@@ -43,24 +44,24 @@
     #![proptest_config(fixed_cases(SEED))]
 
     #[test]
-    fn a_message_says_what_was_counted(usage in usage()) {
+    fn messages_keep_the_counts(usage in usage()) {
         let bytes = UsageMessage::new(&usage).encode_to_vec();
-        let read = UsageMessage::decode(bytes.as_slice()).expect("a message");
+        let read = UsageMessage::decode(bytes.as_slice()).expect("a valid message");
         prop_assert_eq!(read.into_usage(), usage);
     }
 
     #[test]
-    fn rows_in_the_store_say_what_was_collected(usages in prop::collection::vec(usage(), 0..6)) {
+    fn stored_collections_keep_the_counts(usages in prop::collection::vec(usage(), 0..6)) {
         let mut written = Collection::default();
         usages.into_iter().for_each(|usage| written.take_in(usage));
-        let rows = RowsMessage::encode_collection(&written).expect("rows");
+        let rows = RowsMessage::encode_collection(&written).expect("the collection is encoded");
         let mut read = Collection::default();
-        RowsMessage::decode_into(&rows, &mut read).expect("rows");
+        RowsMessage::decode_into(&rows, &mut read).expect("the collection is decoded");
         prop_assert!(written.sources().eq(read.sources()));
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_decoded_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut collection = Collection::default();
         if RowsMessage::decode_into(&bytes, &mut collection).is_err() {
             prop_assert!(collection.is_empty());
