--- a/crates/cli/tests/duty_counterexamples.rs
+++ b/crates/cli/tests/duty_counterexamples.rs
@@ -331,7 +331,9 @@
         ];
         if let Some(operations) = operations {
             let calls = DutyCalls::new(&shared, operations, authority.clone());
-            tasks.push(actix_rt::spawn(usage::tell_collector(Arc::clone(&shared))));
+            tasks.push(actix_rt::spawn(usage::send_to_collector(Arc::clone(
+                &shared,
+            ))));
             tasks.push(actix_rt::spawn(usage::report(
                 Arc::clone(&shared),
                 client(),
--- a/crates/gateway/src/datagrams.rs
+++ b/crates/gateway/src/datagrams.rs
@@ -9,8 +9,8 @@
 use tokio::net::UdpSocket;
 
 use crate::load_messages::ReportMessage;
-use crate::placement::{AnswerMessage, QuestionMessage};
-use crate::quarantine::NewsMessage;
+use crate::placement::{MessageToScheduler, SchedulerAnswerMessage};
+use crate::quarantine::QuarantineUpdateMessage;
 use crate::usage::{AcknowledgementMessage, UsageMessage};
 
 /// The longest datagram.
@@ -24,10 +24,10 @@
     pub report: Option<ReportMessage>,
     /// A message to a scheduler.
     #[prost(message, optional, tag = "2")]
-    pub question: Option<QuestionMessage>,
+    pub question: Option<MessageToScheduler>,
     /// A scheduler's answer.
     #[prost(message, optional, tag = "3")]
-    pub answer: Option<AnswerMessage>,
+    pub answer: Option<SchedulerAnswerMessage>,
     /// What a gateway has counted.
     #[prost(message, optional, tag = "4")]
     pub usage: Option<UsageMessage>,
@@ -36,7 +36,7 @@
     pub usage_acknowledged: Option<AcknowledgementMessage>,
     /// Requests under which workers end.
     #[prost(message, optional, tag = "6")]
-    pub quarantine: Option<NewsMessage>,
+    pub quarantine: Option<QuarantineUpdateMessage>,
 }
 
 impl Datagram {
@@ -49,7 +49,7 @@
     }
 
     /// A message to a scheduler.
-    pub fn question(question: QuestionMessage) -> Self {
+    pub fn question(question: MessageToScheduler) -> Self {
         Self {
             question: Some(question),
             ..Self::default()
@@ -57,7 +57,7 @@
     }
 
     /// Requests under which workers end.
-    pub fn quarantine(news: NewsMessage) -> Self {
+    pub fn quarantine(news: QuarantineUpdateMessage) -> Self {
         Self {
             quarantine: Some(news),
             ..Self::default()
@@ -81,7 +81,7 @@
     }
 
     /// A scheduler's answer.
-    pub fn answer(answer: AnswerMessage) -> Self {
+    pub fn answer(answer: SchedulerAnswerMessage) -> Self {
         Self {
             answer: Some(answer),
             ..Self::default()
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -37,9 +37,9 @@
     base: Duration::from_millis(120),
     max_delay: Duration::from_millis(300),
 };
-/// Time after the first read in which gateways that start together announce themselves. A gateway that continued at once
-/// would know hardly any other gateway, so it would consider itself a relay, and would call the store each time another
-/// gateway is announced.
+/// Time after the first read in which gateways that start together announce themselves. A gateway that continued at
+/// once would know hardly any other gateway, so it would consider itself a relay, and would call the store each time
+/// another gateway is announced.
 const START_ANNOUNCEMENT_TIME: Duration = Duration::from_millis(600);
 /// Maximum number of retries for a page after the first one.
 const MAX_PAGE_RETRIES: u32 = 40;
@@ -300,8 +300,8 @@
     }
 }
 
-/// Reads a snapshot of the store page by page, and replaces the copy with it. A refused page is requested again, so that
-/// many gateways that start together all succeed with a store that serves only some of them at a time.
+/// Reads a snapshot of the store page by page, and replaces the copy with it. A refused page is requested again, so
+/// that many gateways that start together all succeed with a store that serves only some of them at a time.
 async fn read_all_pages(
     shared: &Arc<Shared>,
     store: &dyn KeyValueStore,
--- a/crates/gateway/src/follower/first_copy.rs
+++ b/crates/gateway/src/follower/first_copy.rs
@@ -1,10 +1,10 @@
 //! The first copy of the store, for a gateway that has just started.
 //!
-//! In a small fleet, each gateway reads the store itself, and at once if the store fits into one page. In a large fleet,
-//! only the first relay of each zone reads it, and the other gateways get it from there. If 986 gateways that were all
-//! lost restarted and each read 4 MB, they would fill the store's link of 1,000 Mbit/s for half a minute, with 50 calls
-//! each. They therefore read only the list of gateways, 0.2 MB: even one page of the other keys for each gateway would
-//! occupy that link for longer than a call may take.
+//! In a small fleet, each gateway reads the store itself, and at once if the store fits into one page. In a large
+//! fleet, only the first relay of each zone reads it, and the other gateways get it from there. If 986 gateways that
+//! were all lost restarted and each read 4 MB, they would fill the store's link of 1,000 Mbit/s for half a minute, with
+//! 50 calls each. They therefore read only the list of gateways, 0.2 MB: even one page of the other keys for each
+//! gateway would occupy that link for longer than a call may take.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -40,7 +40,7 @@
             expired = now;
             placement::expire(shared);
         }
-        quarantine::tell_due(shared);
+        quarantine::send_due_updates(shared);
         let due = {
             let mut directory = shared.directory.lock();
             directory.set_other_gateways(other_schedulers(shared, &fleet), pace(&fleet));
@@ -137,20 +137,20 @@
             shared.directory.lock().receive_report(now, &decode(report));
         }
         if let Some(question) = datagram.question {
-            placement::answer(shared, sender, question);
+            placement::handle_message(shared, sender, question);
         }
         if let Some(message) = datagram.quarantine {
-            quarantine::take_in(shared, sender, message);
+            quarantine::receive_update(shared, sender, message);
         }
         if let Some(message) = datagram.usage {
-            usage::take_in(shared, sender, message);
+            usage::receive_counts(shared, sender, message);
         }
         if let Some(message) = datagram.usage_acknowledged {
-            usage::acknowledge(shared, &message);
+            usage::receive_acknowledgement(shared, &message);
         }
         if let Some(answer) = datagram.answer {
             match answer.decode_answer() {
-                Ok((id, answer)) => shared.placements.take_answer(id, answer),
+                Ok((id, answer)) => shared.placements.receive_answer(id, answer),
                 Err(error) => log::warn!("an answer of {sender} is passed over: {error:#}"),
             }
         }
--- a/crates/gateway/src/mirror_refresh.rs
+++ b/crates/gateway/src/mirror_refresh.rs
@@ -30,7 +30,7 @@
     }
     worker_entries::refresh(shared, touched, services_changed);
     if touched.covers_any_with_prefix(quarantine::PREFIX) {
-        quarantine::read_listed(shared);
+        quarantine::read_store_list(shared);
     }
     let position = shared.mirror.lock().position();
     shared.mirror_position.send_replace(position);
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep, timeout};
 
-use super::message::QuestionMessage;
+use super::message::MessageToScheduler;
 use crate::datagrams::Datagram;
 use crate::events::{Event, Weight};
 use crate::state::Shared;
@@ -82,14 +82,14 @@
     }
 
     /// Reports to the scheduler that the prompt has been read and the answer starts.
-    pub fn prompt_was_read(&self, latency: Duration) {
+    pub fn report_prompt_read(&self, latency: Duration) {
         let id = self.placement.id;
         self.queue_notice(PlacementNotice::PromptRead { id, latency });
     }
 
     /// Reports to the scheduler how the send ended, and the worker's latest notice about itself. Without that
     /// notice, the scheduler would continue to place requests of all its gateways on this worker.
-    pub fn end(&mut self, result: SendResult) {
+    pub fn report_end(&mut self, result: SendResult) {
         self.ended = true;
         let now = self.shared.now();
         let worker = &self.placement.worker;
@@ -129,7 +129,7 @@
 impl Drop for OpenPlacement {
     fn drop(&mut self) {
         if !self.ended {
-            self.end(SendResult::Abandoned { silent: false });
+            self.report_end(SendResult::Abandoned { silent: false });
         }
     }
 }
@@ -145,7 +145,7 @@
     }
 
     /// Passes a scheduler's answer to the request that waits for it.
-    pub fn take_answer(&self, id: PlacementId, answer: PlacementAnswer) {
+    pub fn receive_answer(&self, id: PlacementId, answer: PlacementAnswer) {
         let Some(pending) = self.pending_answers.lock().remove(&id) else {
             return;
         };
@@ -302,7 +302,7 @@
 }
 
 /// Sends schedulers the notices that were not sent together with placement requests; runs forever.
-pub async fn tell_notices(shared: Arc<Shared>) {
+pub async fn send_notices(shared: Arc<Shared>) {
     loop {
         shared.placements.notice_queued.notified().await;
         sleep(NOTICE_DELAY).await;
@@ -321,7 +321,7 @@
 }
 
 fn send(shared: &Shared, address: SocketAddr, message: &PlacementMessage) {
-    let wire_message = QuestionMessage::from(message);
+    let wire_message = MessageToScheduler::from(message);
     shared
         .datagrams
         .send(address, &Datagram::question(wire_message));
--- a/crates/gateway/src/placement/codec.rs
+++ b/crates/gateway/src/placement/codec.rs
@@ -13,15 +13,15 @@
 use crate::load_messages::StatedLimitMessage;
 
 use super::message::{
-    AnswerMessage, NeedKind, NoticeKind, NoticeMessage, PlacedMessage, PromptPartMessage,
-    QuestionMessage, RefusedMessage, RequestMessage,
+    MessageToScheduler, NeedKind, NoticeKind, NoticeMessage, PlacedMessage, PromptPartMessage,
+    RefusedMessage, RequestMessage, SchedulerAnswerMessage,
 };
 
 fn micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
-impl From<&PlacementMessage> for QuestionMessage {
+impl From<&PlacementMessage> for MessageToScheduler {
     fn from(message: &PlacementMessage) -> Self {
         Self {
             sender: message.sender.0,
@@ -33,10 +33,10 @@
     }
 }
 
-impl TryFrom<QuestionMessage> for PlacementMessage {
+impl TryFrom<MessageToScheduler> for PlacementMessage {
     type Error = anyhow::Error;
 
-    fn try_from(message: QuestionMessage) -> Result<Self> {
+    fn try_from(message: MessageToScheduler) -> Result<Self> {
         let notices = message.notices.iter().map(PlacementNotice::try_from);
         Ok(Self {
             sender: GatewayKey(message.sender),
@@ -201,7 +201,7 @@
     }
 }
 
-impl AnswerMessage {
+impl SchedulerAnswerMessage {
     /// Creates the message for the answer to a placement request.
     pub fn new(id: PlacementId, answer: &PlacementAnswer) -> Self {
         let (placed, refused) = match answer {
--- a/crates/gateway/src/placement/message.rs
+++ b/crates/gateway/src/placement/message.rs
@@ -7,7 +7,7 @@
 
 /// A message from a gateway to a scheduler.
 #[derive(Clone, PartialEq, Message)]
-pub struct QuestionMessage {
+pub struct MessageToScheduler {
     /// Key of the sending gateway.
     #[prost(fixed64, tag = "1")]
     pub sender: u64,
@@ -142,7 +142,7 @@
 /// A scheduler's answer to a placement request. Without `placed` and `refused`, the scheduler knows no worker for the
 /// request.
 #[derive(Clone, PartialEq, Message)]
-pub struct AnswerMessage {
+pub struct SchedulerAnswerMessage {
     /// Id of the requested placement.
     #[prost(uint64, tag = "1")]
     pub id: u64,
--- a/crates/gateway/src/placement/mod.rs
+++ b/crates/gateway/src/placement/mod.rs
@@ -7,7 +7,7 @@
 mod server;
 
 pub use client::{
-    request_placement, tell_notices, OpenPlacement, PlacementClient, SchedulerAnswer,
+    request_placement, send_notices, OpenPlacement, PlacementClient, SchedulerAnswer,
 };
-pub use message::{AnswerMessage, QuestionMessage};
-pub use server::{answer, expire};
+pub use message::{MessageToScheduler, SchedulerAnswerMessage};
+pub use server::{expire, handle_message};
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -6,13 +6,13 @@
     PlacementAnswer, PlacementId, PlacementMessage, PlacementNotice, WorkerNotice,
 };
 
-use super::message::{AnswerMessage, QuestionMessage};
+use super::message::{MessageToScheduler, SchedulerAnswerMessage};
 use crate::datagrams::Datagram;
 use crate::state::Shared;
 use crate::worker_notices::NoticeSource;
 
 /// Handles a message of a gateway, and sends an answer if it contains a request.
-pub fn answer(shared: &Shared, sender: SocketAddr, message: QuestionMessage) {
+pub fn handle_message(shared: &Shared, sender: SocketAddr, message: MessageToScheduler) {
     let message = match PlacementMessage::try_from(message) {
         Ok(message) => message,
         Err(error) => {
@@ -23,7 +23,7 @@
     let Some((id, answer)) = place(shared, message) else {
         return;
     };
-    let answer = AnswerMessage::new(id, &answer);
+    let answer = SchedulerAnswerMessage::new(id, &answer);
     shared.datagrams.send(sender, &Datagram::answer(answer));
 }
 
--- a/crates/gateway/src/quarantine/exchange.rs
+++ b/crates/gateway/src/quarantine/exchange.rs
@@ -5,14 +5,14 @@
 use prost::Message;
 use tansyhall_forwarding::{Audience, Fingerprint, OutgoingUpdate, WorkerId, WorkerKey};
 
-use super::message::NewsMessage;
+use super::message::QuarantineUpdateMessage;
 use super::record_barred;
 use crate::datagrams::Datagram;
 use crate::fleet::Fleet;
 use crate::state::Shared;
 
 /// Records that a worker has ended while it may have been running these requests of this gateway.
-pub fn worker_ended(
+pub fn record_worker_end(
     shared: &Shared,
     worker: &WorkerId,
     requests: impl IntoIterator<Item = Fingerprint>,
@@ -24,11 +24,11 @@
         .lock()
         .record_worker_end(now, worker, requests);
     record_barred(shared, &barred, "worker");
-    tell_due(shared);
+    send_due_updates(shared);
 }
 
 /// Sends the updates that are due.
-pub fn tell_due(shared: &Shared) {
+pub fn send_due_updates(shared: &Shared) {
     let outgoing = shared.quarantine.lock().take_due_updates(shared.now());
     if outgoing.is_empty() {
         return;
@@ -41,7 +41,8 @@
 
 fn send_update(shared: &Shared, fleet: &Fleet, message: &OutgoingUpdate) {
     let own_name = shared.settings.read().node.name.clone();
-    let datagram = Datagram::quarantine(NewsMessage::from(&message.update)).encode_to_vec();
+    let datagram =
+        Datagram::quarantine(QuarantineUpdateMessage::from(&message.update)).encode_to_vec();
     let recipients: Vec<&str> = match message.audience {
         Audience::Listeners => fleet.plan.listeners().collect(),
         Audience::All => fleet.names().collect(),
@@ -53,7 +54,7 @@
 }
 
 /// Applies an update from another gateway.
-pub fn take_in(shared: &Shared, sender: SocketAddr, message: NewsMessage) {
+pub fn receive_update(shared: &Shared, sender: SocketAddr, message: QuarantineUpdateMessage) {
     let relays = {
         let name = &shared.settings.read().node.name;
         shared.fleet.read().plan.is_listener(name)
@@ -64,9 +65,9 @@
         .lock()
         .apply_update(shared.now(), &update, relays);
     if !applied.reply.is_empty() {
-        let reply = NewsMessage::from(&applied.reply);
+        let reply = QuarantineUpdateMessage::from(&applied.reply);
         shared.datagrams.send(sender, &Datagram::quarantine(reply));
     }
     record_barred(shared, &applied.barred, "gateway");
-    tell_due(shared);
+    send_due_updates(shared);
 }
--- a/crates/gateway/src/quarantine/listed.rs
+++ b/crates/gateway/src/quarantine/listed.rs
@@ -33,7 +33,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Updates the quarantine with the barred requests that the copy of the store lists.
-pub fn read_listed(shared: &Shared) {
+pub fn read_store_list(shared: &Shared) {
     let listed = listed(&shared.mirror.lock());
     let now = shared.now();
     let barred = shared.quarantine.lock().set_listed(now, &listed);
@@ -49,7 +49,7 @@
 }
 
 /// Writes missing entries to the store's list and deletes stale ones; runs forever.
-pub async fn keep_listed(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
+pub async fn maintain_store_list(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
     let mut attempted_at: HashMap<Fingerprint, Timestamp> = HashMap::new();
     loop {
         sleep(CHECK_INTERVAL).await;
--- a/crates/gateway/src/quarantine/message.rs
+++ b/crates/gateway/src/quarantine/message.rs
@@ -5,7 +5,7 @@
 
 /// An update that a gateway sends to others.
 #[derive(Clone, PartialEq, Message)]
-pub struct NewsMessage {
+pub struct QuarantineUpdateMessage {
     /// Workers that ended while running requests.
     #[prost(message, repeated, tag = "1")]
     pub sightings: Vec<WorkerEndsMessage>,
@@ -25,7 +25,7 @@
     pub workers: Vec<u64>,
 }
 
-impl From<&QuarantineUpdate> for NewsMessage {
+impl From<&QuarantineUpdate> for QuarantineUpdateMessage {
     fn from(update: &QuarantineUpdate) -> Self {
         let worker_ends = update.worker_ends.iter().map(|ends| WorkerEndsMessage {
             fingerprint: ends.fingerprint.0,
@@ -42,8 +42,8 @@
     }
 }
 
-impl From<NewsMessage> for QuarantineUpdate {
-    fn from(message: NewsMessage) -> Self {
+impl From<QuarantineUpdateMessage> for QuarantineUpdate {
+    fn from(message: QuarantineUpdateMessage) -> Self {
         let worker_ends = message.sightings.into_iter().map(|ends| WorkerEnds {
             fingerprint: Fingerprint(ends.fingerprint),
             workers: ends.workers.into_iter().map(WorkerKey).collect(),
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -11,9 +11,9 @@
 use crate::events::{Event, Weight};
 use crate::state::Shared;
 
-pub use exchange::{take_in, tell_due, worker_ended};
-pub use listed::{keep_listed, read_listed, PREFIX};
-pub use message::NewsMessage;
+pub use exchange::{receive_update, record_worker_end, send_due_updates};
+pub use listed::{maintain_store_list, read_store_list, PREFIX};
+pub use message::QuarantineUpdateMessage;
 
 /// Logs requests that are newly barred.
 fn record_barred(shared: &Shared, barred: &[Fingerprint], source: &str) {
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -110,17 +110,17 @@
     actix_rt::spawn(peers::follow(Arc::clone(&shared)));
     shared.datagrams.bind(settings.listen.load).await?;
     actix_rt::spawn(load_exchange::run(Arc::clone(&shared)));
-    actix_rt::spawn(placement::tell_notices(Arc::clone(&shared)));
+    actix_rt::spawn(placement::send_notices(Arc::clone(&shared)));
     actix_rt::spawn(cache_recovery::run(Arc::clone(&shared)));
     actix_rt::spawn(worker_ends::watch(Arc::clone(&shared)));
-    actix_rt::spawn(quarantine::keep_listed(
+    actix_rt::spawn(quarantine::maintain_store_list(
         Arc::clone(&shared),
         Rc::clone(&adapter.store),
     ));
     actix_rt::spawn(prune(Arc::clone(&shared)));
     actix_rt::spawn(worker_entries::end_lapses(Arc::clone(&shared)));
     actix_rt::spawn(worker_entries::log_worker_changes(Arc::clone(&shared)));
-    actix_rt::spawn(usage::tell_collector(Arc::clone(&shared)));
+    actix_rt::spawn(usage::send_to_collector(Arc::clone(&shared)));
     actix_rt::spawn(usage::write_collected(
         Arc::clone(&shared),
         Rc::clone(&adapter.store),
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -170,7 +170,7 @@
         directory.record_prompt_read(now, &mut self.ticket, &self.sent.prompt, latency);
         drop(directory);
         if let Some(placement) = &self.placement {
-            placement.prompt_was_read(latency);
+            placement.report_prompt_read(latency);
         }
         self.head = Some(latency);
         self.result = SendResult::Answered { latency };
@@ -201,7 +201,7 @@
         drop(directory);
         self.leave_ledger(now);
         if let Some(placement) = &mut self.placement {
-            placement.end(self.result);
+            placement.report_end(self.result);
         }
         let outcome = outcome_name(self.result);
         self.shared
--- a/crates/gateway/src/usage/exchange.rs
+++ b/crates/gateway/src/usage/exchange.rs
@@ -69,7 +69,7 @@
 }
 
 /// Sends the counts to the collector; runs forever.
-pub async fn tell_collector(shared: Arc<Shared>) {
+pub async fn send_to_collector(shared: Arc<Shared>) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
     };
@@ -109,7 +109,7 @@
 }
 
 /// Collects the counts that another gateway sends, and acknowledges them with the fleet's time of day.
-pub fn take_in(shared: &Shared, sender: SocketAddr, message: UsageMessage) {
+pub fn receive_counts(shared: &Shared, sender: SocketAddr, message: UsageMessage) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
     };
@@ -138,7 +138,7 @@
 
 /// Handles an acknowledgement. A late one from the previous collector is ignored: it must not count as one from the
 /// current collector.
-pub fn acknowledge(shared: &Shared, message: &AcknowledgementMessage) {
+pub fn receive_acknowledgement(shared: &Shared, message: &AcknowledgementMessage) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
     };
--- a/crates/gateway/src/usage/mod.rs
+++ b/crates/gateway/src/usage/mod.rs
@@ -8,7 +8,7 @@
 mod state;
 
 pub use collector::write_collected;
-pub use exchange::{acknowledge, take_in, tell_collector};
+pub use exchange::{receive_acknowledgement, receive_counts, send_to_collector};
 pub use message::{AcknowledgementMessage, RowsMessage, UsageMessage};
 pub use reporter::report;
 pub use state::Usage;
--- a/crates/gateway/src/usage/reporter.rs
+++ b/crates/gateway/src/usage/reporter.rs
@@ -288,8 +288,8 @@
         rows
     }
 
-    /// Returns the keys without counts for `oldest` or later windows. They are deleted so that those of gateways that no
-    /// longer exist do not accumulate. A running collector writes its own key again.
+    /// Returns the keys without counts for `oldest` or later windows. They are deleted so that those of gateways that
+    /// no longer exist do not accumulate. A running collector writes its own key again.
     fn expired_before(&self, oldest: WindowNumber) -> impl Iterator<Item = String> + '_ {
         let expired = self
             .last_windows
--- a/crates/gateway/src/worker_ends.rs
+++ b/crates/gateway/src/worker_ends.rs
@@ -142,7 +142,7 @@
     }
     shared.metrics.worker_ends.inc();
     record(shared, worker, requests.iter());
-    quarantine::worker_ended(shared, worker, requests);
+    quarantine::record_worker_end(shared, worker, requests);
 }
 
 fn record<'a>(
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -40,8 +40,8 @@
 const PLANNED_WORKERS_KEY: &str = "tansyhall/workers";
 /// Pause between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum number of workers that are needed at any price, as a fraction of the planned ones. It applies before anything
-/// is known about the demand.
+/// Minimum number of workers that are needed at any price, as a fraction of the planned ones. It applies before
+/// anything is known about the demand.
 const MIN_NEEDED_FRACTION: f64 = 1.0 / 3.0;
 
 /// Number of planned workers by service, as written in the store.
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Returns how many of the planned workers are needed: for engines, the number that the demand keeps busy; for other
-    /// workers, whose demand is unknown, all of them.
+    /// Returns how many of the planned workers are needed: for engines, the number that the demand keeps busy; for
+    /// other workers, whose demand is unknown, all of them.
     fn needed_workers(&mut self, service: &Service, planned: u32) -> u32 {
         let Some(engine) = &service.engine else {
             return planned;
@@ -243,8 +243,8 @@
         (desired != serving).then_some(WorkerOrder { desired, ..order })
     }
 
-    /// Orders spot workers again in zones that had none, after a wait. The order is for all workers that the zone should
-    /// have: a smaller first order, if it were carried out late, would undo the one that follows.
+    /// Orders spot workers again in zones that had none, after a wait. The order is for all workers that the zone
+    /// should have: a smaller first order, if it were carried out late, would undo the one that follows.
     async fn retry_spot_orders(
         &mut self,
         epoch: Epoch,
--- a/crates/gateway/src/worker_orders/needed_engines.rs
+++ b/crates/gateway/src/worker_orders/needed_engines.rs
@@ -21,7 +21,8 @@
 }
 
 impl NeededEngines {
-    /// Returns the number of needed engines, at least `min_needed`, given that the demand keeps `busy` engines busy now.
+    /// Returns the number of needed engines, at least `min_needed`, given that the demand keeps `busy` engines busy
+    /// now.
     pub fn update(&mut self, now: Timestamp, busy: f64, min_needed: f64) -> u32 {
         let needed = (self.peak.observe(now, busy) / TARGET_UTILIZATION).max(min_needed);
         if needed > self.needed || needed < self.needed * DECREASE_THRESHOLD {
--- a/crates/gateway/tests/placement_messages.rs
+++ b/crates/gateway/tests/placement_messages.rs
@@ -13,7 +13,7 @@
 };
 use tansyhall_gateway::datagrams::Datagram;
 use tansyhall_gateway::load_messages::{decode, encode};
-use tansyhall_gateway::placement::{AnswerMessage, QuestionMessage};
+use tansyhall_gateway::placement::{MessageToScheduler, SchedulerAnswerMessage};
 
 /// Seed of the property tests.
 const SEED: u64 = 20_261_203;
@@ -188,16 +188,16 @@
             notices,
             request,
         };
-        let datagram = Datagram::question(QuestionMessage::from(&message));
-        let question = decoded(&datagram).question.expect("the datagram contains a placement message");
-        let decoded_message = PlacementMessage::try_from(question).expect("a valid placement message");
+        let datagram = Datagram::question(MessageToScheduler::from(&message));
+        let wire_message = decoded(&datagram).question.expect("the datagram contains a placement message");
+        let decoded_message = PlacementMessage::try_from(wire_message).expect("a valid placement message");
         prop_assert_eq!(decoded_message, message);
     }
 
     #[test]
     fn placement_answers_keep_their_content(answer in answer()) {
         let id = PlacementId(7);
-        let datagram = Datagram::answer(AnswerMessage::new(id, &answer));
+        let datagram = Datagram::answer(SchedulerAnswerMessage::new(id, &answer));
         let decoded_message = decoded(&datagram).answer.expect("the datagram contains an answer");
         prop_assert_eq!(decoded_message.decode_answer().expect("a valid answer"), (id, answer));
     }
@@ -205,17 +205,17 @@
 
 #[test]
 fn invalid_placement_messages_and_answers_are_refused() {
-    let question = QuestionMessage {
+    let valid = MessageToScheduler {
         notices: vec![Default::default()],
-        ..QuestionMessage::default()
+        ..MessageToScheduler::default()
     };
-    assert!(PlacementMessage::try_from(question.clone()).is_ok());
-    let mut unknown = question;
-    unknown.notices[0].kind = 99;
-    assert!(PlacementMessage::try_from(unknown).is_err());
-    let mut answer = AnswerMessage {
+    assert!(PlacementMessage::try_from(valid.clone()).is_ok());
+    let mut unknown_kind = valid;
+    unknown_kind.notices[0].kind = 99;
+    assert!(PlacementMessage::try_from(unknown_kind).is_err());
+    let mut answer = SchedulerAnswerMessage {
         placed: Some(Default::default()),
-        ..AnswerMessage::default()
+        ..SchedulerAnswerMessage::default()
     };
     if let Some(placed) = &mut answer.placed {
         placed.fetch_from = "no address".into();
--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -18,7 +18,7 @@
 use tansyhall_gateway::load_messages::{
     DemandMessage, LoadMessage, PartMessage, ReportMessage, StatedLimitMessage,
 };
-use tansyhall_gateway::placement::QuestionMessage;
+use tansyhall_gateway::placement::MessageToScheduler;
 use tansyhall_gateway::presence;
 use tansyhall_gateway::update_message::{ItemMessage, UpdateMessage};
 
@@ -302,7 +302,7 @@
         }
         let _ = UpdateMessage::decode(damaged.as_slice());
         let _ = CachesMessage::decode(damaged.as_slice());
-        let _ = QuestionMessage::decode(damaged.as_slice());
+        let _ = MessageToScheduler::decode(damaged.as_slice());
         let _ = ItemMessage::decode(damaged.as_slice());
     }
 }
--- a/crates/gateway/tests/questions_to_gateways.rs
+++ b/crates/gateway/tests/questions_to_gateways.rs
@@ -1,5 +1,5 @@
-//! A gateway that requests changes from another gateway ignores mismatched answers. The next answer on a connection that
-//! is kept open may be a second or late one to an earlier request, and would make outdated knowledge look current.
+//! A gateway that requests changes from another gateway ignores mismatched answers. The next answer on a connection
+//! that is kept open may be a second or late one to an earlier request, and would make outdated knowledge look current.
 
 use std::time::Duration;
 
