--- a/crates/gateway/src/worker_ends.rs
+++ b/crates/gateway/src/worker_ends.rs
@@ -157,7 +157,7 @@
     }
     shared.metrics.worker_ends.inc();
     log_end(shared, worker, requests.iter());
-    quarantine::worker_ended(shared, worker, requests);
+    quarantine::record_worker_end(shared, worker, requests);
 }
 
 fn log_end<'a>(
