--- a/crates/cli/tests/duty_counterexamples.rs
+++ b/crates/cli/tests/duty_counterexamples.rs
@@ -17,7 +17,7 @@
 use tansyhall_gateway::duty_calls::DutyCalls;
 use tansyhall_gateway::events::EventLog;
 use tansyhall_gateway::lease::{self, NodeLease};
-use tansyhall_gateway::run::{share, Adapter};
+use tansyhall_gateway::run::{create_shared_state, Adapter};
 use tansyhall_gateway::state::Shared;
 use tansyhall_gateway::usage::{self, RowsMessage, ROWS_PREFIX};
 use tansyhall_gateway::GatewaySettings;
@@ -319,7 +319,7 @@
             store: Rc::new(client),
             duties: None,
         };
-        let shared = share(settings, &adapter, log).expect("a gateway");
+        let shared = create_shared_state(settings, &adapter, log).expect("a gateway");
         let kept = NodeLease::new(authority_claim::KEY, lease::AUTHORITY, false);
         let authority = Authority::new(kept.clone());
         let copies = Rc::new(Cell::new(true));
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -43,12 +43,12 @@
     /// The head of a worker's answer whose body follows in parts.
     Streamed(AnswerHead),
     /// An answer of the gateway itself.
-    Own(OwnAnswer),
+    Gateway(GatewayAnswer),
 }
 
 /// Answers of the gateway itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OwnAnswer {
+pub enum GatewayAnswer {
     /// The request did not run and will not run. The caller may retry it.
     NotRun {
         /// The time after which the caller should retry.
@@ -121,7 +121,7 @@
     }
 
     /// Sends a part; waits while the queue of a slow caller is full. Returns false if the caller has disconnected.
-    pub async fn part(&self, bytes: Bytes) -> bool {
+    pub async fn send_part(&self, bytes: Bytes) -> bool {
         self.parts.send(Part::Bytes(bytes)).await.is_ok()
     }
 
--- a/crates/gateway/src/answer_body.rs
+++ b/crates/gateway/src/answer_body.rs
@@ -17,7 +17,7 @@
 pub struct AnswerBody {
     incoming: Incoming,
     borrowed: Option<BorrowedConnection>,
-    tells_its_end: bool,
+    has_explicit_end: bool,
     /// `None` for a request without an id.
     search: Option<SecondAnswerSearch>,
 }
@@ -47,7 +47,7 @@
         let framing = ["content-length", "transfer-encoding"];
         let has_framing = framing.iter().any(|name| headers.get(name).is_some());
         Self {
-            tells_its_end: has_framing || incoming.is_end_stream(),
+            has_explicit_end: has_framing || incoming.is_end_stream(),
             incoming,
             borrowed: Some(borrowed),
             search,
@@ -56,8 +56,8 @@
 
     /// Returns whether the end of the body is marked by its length or by chunked encoding, not by the end of the
     /// connection. Otherwise a body that was cut off by the end of the worker's process looks complete.
-    pub fn tells_its_end(&self) -> bool {
-        self.tells_its_end
+    pub fn has_explicit_end(&self) -> bool {
+        self.has_explicit_end
     }
 
     /// Returns the next bytes, or `None` after the last. An error means that the body is incomplete.
@@ -99,7 +99,7 @@
             self.borrowed = None;
             return Err(second_answer_error());
         }
-        match self.tells_its_end {
+        match self.has_explicit_end {
             true => self.return_connection(),
             false => self.report_loss(Loss::Broken),
         }
@@ -125,7 +125,7 @@
     fn report_loss(&mut self, loss: Loss) {
         if let Some(borrowed) = self.borrowed.take() {
             let losses = &borrowed.connections.losses;
-            losses.tell(loss, &borrowed.destination);
+            losses.report(loss, &borrowed.destination);
         }
     }
 
--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -21,7 +21,7 @@
 use tokio::time::sleep;
 
 use crate::authority_claim::{self, AuthorityClaim};
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::lease::NodeLease;
 use crate::state::Shared;
 use crate::store_call::in_time;
@@ -189,6 +189,6 @@
             None => ("lost", 0),
         };
         let event = Event::Authority { state, epoch };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 }
--- a/crates/gateway/src/cache_recovery.rs
+++ b/crates/gateway/src/cache_recovery.rs
@@ -23,7 +23,7 @@
 use crate::load_messages::{decode_part, encode_part, PartMessage};
 use crate::presence::Member;
 use crate::state::Shared;
-use crate::worker_request::{Asked, WorkerRequest};
+use crate::worker_request::{RequestKind, WorkerRequest};
 
 /// Pause between two looks for workers and gateways.
 const PACE: Duration = Duration::from_millis(100);
@@ -166,7 +166,7 @@
     worker: &Worker,
 ) -> Option<Vec<tansyhall_forwarding::PromptPart>> {
     let call = shared.protocol.cache_list_call();
-    let request = WorkerRequest::of_call(Asked::ListCache, call);
+    let request = WorkerRequest::from_call(RequestKind::ListCache, call);
     let destination = shared.destination(worker);
     let answered = async {
         let sent = shared.connections.send(&destination, &request).await;
--- a/crates/gateway/src/connection_losses.rs
+++ b/crates/gateway/src/connection_losses.rs
@@ -17,7 +17,7 @@
     /// The worker sent nothing for so long that the request no longer waits for it.
     Silent,
     /// A new connection to the worker's address was refused.
-    NothingListens,
+    ConnectionRefused,
 }
 
 /// Queue of losses for the task that finds out whether workers have ended.
@@ -39,7 +39,7 @@
 
 impl ConnectionLosses {
     /// Reports a loss. It is dropped if the queue is full.
-    pub fn tell(&self, loss: Loss, destination: &Destination) {
+    pub fn report(&self, loss: Loss, destination: &Destination) {
         if self.sender.try_send((loss, destination.clone())).is_err() {
             log::debug!(
                 "queue of connection losses is full; dropped a loss at worker {}",
--- a/crates/gateway/src/connection_pool.rs
+++ b/crates/gateway/src/connection_pool.rs
@@ -112,7 +112,7 @@
     }
 
     /// Closes idle connections that have received nothing for the time `silence`.
-    pub fn give_up_unheard_for(&mut self, silence: Duration, now: Timestamp) {
+    pub fn close_silent_connections(&mut self, silence: Duration, now: Timestamp) {
         self.idle
             .retain(|connection| now.since(connection.last_received_at) < silence);
     }
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -57,7 +57,7 @@
 pub enum SendError {
     /// No byte of it was sent.
     #[error("not sent: {0}")]
-    NotSent(Unconnected),
+    NotSent(NotSentReason),
     /// It may have reached the worker.
     #[error("no answer: {0}")]
     NoAnswer(String),
@@ -65,16 +65,16 @@
 
 /// Why a request was not sent to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Unconnected {
+pub enum NotSentReason {
     /// The worker's address refuses connections: no process listens there.
     #[error("connection refused: no process listens at the worker's address")]
-    NothingListens,
+    ConnectionRefused,
     /// This gateway has the maximum number of connections open to the worker.
     #[error("maximum number of connections to the worker is open")]
-    TooMany,
+    TooManyConnections,
     /// The worker has stated that it accepts no further requests for now.
     #[error("{0}")]
-    Unwanted(Unavailable),
+    WorkerUnavailable(Unavailable),
     /// The request could not be built, or the connection could not be established in time, or it was closed
     /// before the request was sent.
     #[error("{0}")]
@@ -124,7 +124,7 @@
         request: &WorkerRequest,
     ) -> Result<WorkerAnswer, SendError> {
         self.notices
-            .check_permitted(&destination.worker, request.asked)?;
+            .check_permitted(&destination.worker, request.kind)?;
         let http_request = build(destination, request)?;
         let token = self.notices.take_rate_token(&destination.worker, request)?;
         let sent = self
@@ -157,7 +157,7 @@
         let connection = self.connect(destination).await?;
         // A notice of the worker may have arrived while the connection was being established.
         self.notices
-            .check_permitted(&destination.worker, request.asked)?;
+            .check_permitted(&destination.worker, request.kind)?;
         match self
             .send_on(destination, connection, request, http_request)
             .await
@@ -181,10 +181,10 @@
 
     /// Closes idle connections to all workers that have received nothing for the time `silence`. Connections usually go
     /// silent together: if one has, each of the others that is reused would cost one more request.
-    pub fn give_up_unheard_for(&self, silence: Duration) {
+    pub fn close_silent_connections(&self, silence: Duration) {
         let now = self.clock.now();
         for pool in self.pools.lock().values_mut() {
-            pool.give_up_unheard_for(silence, now);
+            pool.close_silent_connections(silence, now);
         }
     }
 
@@ -222,15 +222,15 @@
         if error.kind() != ErrorKind::ConnectionRefused {
             return not_sent(error);
         }
-        self.losses.tell(Loss::NothingListens, destination);
-        SendError::NotSent(Unconnected::NothingListens)
+        self.losses.report(Loss::ConnectionRefused, destination);
+        SendError::NotSent(NotSentReason::ConnectionRefused)
     }
 
     fn try_open(&self, destination: &Destination) -> Result<OpenGuard, SendError> {
         let mut pools = self.pools.lock();
         let pool = pools.entry(destination.worker.clone()).or_default();
         let counted = pool.try_open(destination.max_connections);
-        counted.ok_or(SendError::NotSent(Unconnected::TooMany))
+        counted.ok_or(SendError::NotSent(NotSentReason::TooManyConnections))
     }
 
     async fn send_on(
@@ -247,7 +247,7 @@
                 return Err(match error.take_message() {
                     Some(unsent) => AttemptError::Unsent(Box::new(unsent)),
                     None => {
-                        self.losses.tell(Loss::Broken, destination);
+                        self.losses.report(Loss::Broken, destination);
                         AttemptError::Failed(SendError::NoAnswer(error.into_error().to_string()))
                     }
                 })
@@ -281,7 +281,7 @@
         checked.map_err(|mismatch| self.mismatch_error(worker, mismatch))?;
         let status = head.status.as_u16();
         self.notices
-            .record_answer(worker, request.asked, sent_at, status, &headers);
+            .record_answer(worker, request.kind, sent_at, status, &headers);
         let id = self.correlation.id_of(request);
         let usable_until = id.and_then(|id| {
             connection.carried_ids.record(id);
@@ -332,7 +332,7 @@
 }
 
 fn not_sent(reason: impl std::fmt::Display) -> SendError {
-    SendError::NotSent(Unconnected::Failed(reason.to_string()))
+    SendError::NotSent(NotSentReason::Failed(reason.to_string()))
 }
 
 enum AttemptError {
--- a/crates/gateway/src/correlation.rs
+++ b/crates/gateway/src/correlation.rs
@@ -12,7 +12,7 @@
 use prometheus::IntCounterVec;
 use tansyhall_forwarding::WorkerId;
 
-use crate::events::{Event, EventLog, Weight};
+use crate::events::{Event, EventLog, Priority};
 use crate::headers::HeaderList;
 use crate::protocol::Protocol;
 use crate::second_answer::contains_status_line;
@@ -92,7 +92,7 @@
         if requested_id == answered_id && !answer.contains_another_answer() {
             return Ok(());
         }
-        let work = request.asked.name();
+        let work = request.kind.name();
         self.mismatch_counter.with_label_values(&[work]).inc();
         let event = Event::ForeignAnswer {
             request: requested_id.unwrap_or_default(),
@@ -102,7 +102,7 @@
             status: answer.status,
             answers_before: answer.answers_before,
         };
-        self.log.record(Weight::Important, &event);
+        self.log.record(Priority::Important, &event);
         match answered_id.is_some() && answer.answers_before > 0 {
             true => Err(Mismatch::Late),
             false => Err(Mismatch::Unrelated),
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -312,7 +312,7 @@
 
 /// The importance of a line when the queue is nearly full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weight {
+pub enum Priority {
     /// A request that succeeded.
     Routine,
     /// A failure, or a change of what the gateway knows.
@@ -385,13 +385,13 @@
     }
 
     /// Adds an event to the queue, or drops and counts it if it does not fit.
-    pub fn record(&self, weight: Weight, event: &Event<'_>) {
+    pub fn record(&self, priority: Priority, event: &Event<'_>) {
         let at_ms = unix_time_ms();
         let mut queue = self.queue.lock();
-        let max_lines = match weight {
-            Weight::Important => self.capacity,
-            Weight::Routine if !queue.admits_routine(at_ms, self.routine_limit()) => 0,
-            Weight::Routine => self.capacity / 2,
+        let max_lines = match priority {
+            Priority::Important => self.capacity,
+            Priority::Routine if !queue.admits_routine(at_ms, self.routine_limit()) => 0,
+            Priority::Routine => self.capacity / 2,
         };
         if queue.lines.len() >= max_lines {
             queue.dropped += 1;
--- a/crates/gateway/src/exchange/deliver.rs
+++ b/crates/gateway/src/exchange/deliver.rs
@@ -151,7 +151,7 @@
     /// Sends a part to the caller and returns whether it was accepted. A caller that stops reading would otherwise
     /// occupy its worker forever, so the request ends at its deadline.
     async fn send_part(&self, part: Bytes) -> bool {
-        let accepted = timeout_at(self.deadline(), self.sink.part(part)).await;
+        let accepted = timeout_at(self.deadline(), self.sink.send_part(part)).await;
         accepted.unwrap_or(false)
     }
 
@@ -175,7 +175,9 @@
         let time_limit = (Instant::now() + max_silence).min(self.deadline());
         match self.next_bytes(answer, time_limit).await {
             NextBytes::DeadlinePassed if !self.time_left().is_zero() => {
-                self.shared.connections.give_up_unheard_for(max_silence);
+                self.shared
+                    .connections
+                    .close_silent_connections(max_silence);
                 answer.body.give_up();
                 NextBytes::Broken
             }
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -18,14 +18,14 @@
 };
 use tokio::time::Instant;
 
-use crate::answer::{Answer, AnswerHead, AnswerSink, OwnAnswer};
-use crate::events::{Event, Weight};
+use crate::answer::{Answer, AnswerHead, AnswerSink, GatewayAnswer};
+use crate::events::{Event, Priority};
 use crate::headers::HeaderList;
 use crate::placement::OpenPlacement;
 use crate::protocol::{CallerTerms, SendTerms, Work};
-use crate::send_guard::{SendGuard, Sent};
+use crate::send_guard::{SendDetails, SendGuard};
 use crate::state::{whole_millis, InFlight, Routed, Shared};
-use crate::worker_request::{Asked, WorkerRequest};
+use crate::worker_request::{RequestKind, WorkerRequest};
 
 /// Time after which a refused caller should retry if there is no better estimate; also the shortest such time
 /// for requests that are refused at admission.
@@ -119,7 +119,7 @@
         };
         match ended {
             Some((conclusion, sends)) => self.conclude(conclusion, sends).await,
-            None => self.record("caller_left", 0, Weight::Routine),
+            None => self.record("caller_left", 0, Priority::Routine),
         }
         self.release_unused_handle();
     }
@@ -236,16 +236,16 @@
         self.shared.directory.lock().get(id).cloned()
     }
 
-    fn begin_send(&mut self, worker: &Worker, asked: Asked, need: Need) -> SendGuard {
+    fn begin_send(&mut self, worker: &Worker, kind: RequestKind, need: Need) -> SendGuard {
         let is_for_worker = |placed: &OpenPlacement| placed.placement().worker == worker.id;
         let placement = self.placed.take().filter(is_for_worker);
-        let sent = Sent {
+        let sent = SendDetails {
             request_id: self.request_id().to_owned(),
             fingerprint: self.request.fingerprint,
             route: self.route().name.clone(),
             worker: worker.id.clone(),
             service: worker.service.clone(),
-            asked,
+            kind,
             prompt: self.request.terms.prompt.clone(),
             need,
         };
@@ -268,7 +268,7 @@
     /// Returns how long to wait for a silent worker if another worker may run the request.
     fn max_silence(&self, guard: &SendGuard) -> Duration {
         let by_objective = self.route().latency_objective * LATENCY_OBJECTIVE_FACTOR;
-        let by_expectation = guard.expected() * EXPECTED_LATENCY_FACTOR;
+        let by_expectation = guard.expected_latency() * EXPECTED_LATENCY_FACTOR;
         by_objective.max(by_expectation)
     }
 
@@ -283,7 +283,7 @@
         };
         let protocol = &self.shared.protocol;
         WorkerRequest {
-            asked: guard.asked(),
+            kind: guard.kind(),
             has_rate_token: guard.has_rate_token(),
             method: self.request.method.clone(),
             target: self.request.target.clone(),
@@ -308,31 +308,33 @@
             Conclusion::WorkerError => ("worker_error", None),
             Conclusion::Refused => {
                 let retry_after = self.retry_after;
-                ("refused", Some(OwnAnswer::NotRun { retry_after }))
+                ("refused", Some(GatewayAnswer::NotRun { retry_after }))
             }
-            Conclusion::Lost => ("lost", Some(OwnAnswer::Lost)),
-            Conclusion::TimedOut => ("timed_out", Some(OwnAnswer::TimedOut)),
-            Conclusion::Barred => ("barred", Some(OwnAnswer::Barred)),
+            Conclusion::Lost => ("lost", Some(GatewayAnswer::Lost)),
+            Conclusion::TimedOut => ("timed_out", Some(GatewayAnswer::TimedOut)),
+            Conclusion::Barred => ("barred", Some(GatewayAnswer::Barred)),
             Conclusion::Broken => ("broken", None),
         };
-        let weight = match conclusion {
-            Conclusion::Delivered | Conclusion::WorkerError => Weight::Routine,
-            _ => Weight::Important,
+        let priority = match conclusion {
+            Conclusion::Delivered | Conclusion::WorkerError => Priority::Routine,
+            _ => Priority::Important,
         };
-        self.record(outcome, sends, weight);
+        self.record(outcome, sends, priority);
         if let Some(own_answer) = own_answer {
-            self.sink.begin(Answer::Own(own_answer));
+            self.sink.begin(Answer::Gateway(own_answer));
         }
         match (conclusion, self.error_answer.take()) {
             (Conclusion::WorkerError, Some((head, body))) => {
                 self.sink.begin(Answer::Whole(head, body));
             }
-            (Conclusion::WorkerError, None) => self.sink.begin(Answer::Own(OwnAnswer::Lost)),
+            (Conclusion::WorkerError, None) => {
+                self.sink.begin(Answer::Gateway(GatewayAnswer::Lost))
+            }
             _ => {}
         }
     }
 
-    fn record(&self, outcome: &str, sends: u32, weight: Weight) {
+    fn record(&self, outcome: &str, sends: u32, priority: Priority) {
         let route = &self.route().name;
         let metrics = &self.shared.metrics;
         metrics
@@ -362,7 +364,7 @@
             store_age_ms: self.shared.store_age_ms(),
             gateways: self.shared.gateways.load(Ordering::Relaxed),
         };
-        self.shared.log.record(weight, &event);
+        self.shared.log.record(priority, &event);
     }
 }
 
--- a/crates/gateway/src/exchange/prompt.rs
+++ b/crates/gateway/src/exchange/prompt.rs
@@ -9,10 +9,10 @@
 
 use super::Exchange;
 use crate::connection_losses::Loss;
-use crate::connections::{SendError, Unconnected};
+use crate::connections::{NotSentReason, SendError};
 use crate::protocol::{AnswerKind, Work};
-use crate::send_guard::{result_of, SendGuard};
-use crate::worker_request::{Asked, WorkerRequest};
+use crate::send_guard::{unsent_result, SendGuard};
+use crate::worker_request::{RequestKind, WorkerRequest};
 
 /// Maximum length of an answer to a prompt read or to a release.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
@@ -27,9 +27,9 @@
 }
 
 impl FailedPromptRead {
-    fn not_sent(reason: &Unconnected) -> Self {
+    fn not_sent(reason: &NotSentReason) -> Self {
         Self {
-            result: result_of(reason),
+            result: unsent_result(reason),
             failure: PromptReadFailure::NotSent,
             detail: reason.to_string(),
         }
@@ -60,24 +60,24 @@
         let Some(worker) = self.worker(id) else {
             return RequestEvent::PromptNotRead(PromptReadFailure::NotSent);
         };
-        let mut guard = self.begin_send(&worker, Asked::ReadPrompt, Need::ReadPrompt);
+        let mut guard = self.begin_send(&worker, RequestKind::ReadPrompt, Need::ReadPrompt);
         let prompt_read = self.try_read_prompt(&worker, &guard);
         let limit = self.silence_deadline(&guard).min(self.deadline());
         let Ok(result) = timeout_at(limit, prompt_read).await else {
             let destination = self.shared.destination(&worker);
             let losses = &self.shared.connections.losses;
-            losses.tell(Loss::Silent, &destination);
+            losses.report(Loss::Silent, &destination);
             return RequestEvent::PromptNotRead(PromptReadFailure::NotStarted);
         };
         match result {
             Ok(handle) => {
-                guard.answered();
-                guard.answered_whole();
+                guard.record_answer_start();
+                guard.record_complete_answer();
                 self.unused_handle = Some(handle.clone());
                 RequestEvent::PromptRead(handle)
             }
             Err(failed) => {
-                guard.ended(failed.result, failed.detail);
+                guard.set_result(failed.result, failed.detail);
                 RequestEvent::PromptNotRead(failed.failure)
             }
         }
@@ -135,7 +135,7 @@
             return;
         };
         let call = self.shared.protocol.release_handle(&handle.handle);
-        let request = WorkerRequest::of_call(Asked::Release, call);
+        let request = WorkerRequest::from_call(RequestKind::Release, call);
         let destination = self.shared.destination(&worker);
         let connections = std::sync::Arc::clone(&self.shared.connections);
         actix_rt::spawn(async move {
--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -11,8 +11,8 @@
 use crate::connection_losses::Loss;
 use crate::connections::{SendError, WorkerAnswer};
 use crate::protocol::{AnswerKind, Work};
-use crate::send_guard::{result_of, SendGuard};
-use crate::worker_request::Asked;
+use crate::send_guard::{unsent_result, SendGuard};
+use crate::worker_request::RequestKind;
 
 impl Exchange {
     /// Sends the request to a worker and delivers the answer as far as possible. With `wait_until_deadline`, a silent
@@ -33,7 +33,7 @@
             },
             None => Need::Run,
         };
-        let mut guard = self.begin_send(&worker, Asked::Run, need);
+        let mut guard = self.begin_send(&worker, RequestKind::Run, need);
         let work = Work::Run {
             source,
             resume_after,
@@ -49,7 +49,9 @@
         if silence_deadline < deadline {
             sent = timeout_at(silence_deadline, &mut sending).await.ok();
             if sent.is_none() {
-                self.shared.connections.give_up_unheard_for(max_silence);
+                self.shared
+                    .connections
+                    .close_silent_connections(max_silence);
             }
             let may_retry_elsewhere =
                 !wait_until_deadline && self.retries_left(self.shared.now()) > 0;
@@ -57,8 +59,8 @@
                 self.shared
                     .connections
                     .losses
-                    .tell(Loss::Silent, &destination);
-                guard.ended(
+                    .report(Loss::Silent, &destination);
+                guard.set_result(
                     SendResult::Abandoned { silent: true },
                     "no answer within the allowed silence",
                 );
@@ -71,7 +73,7 @@
         let is_stream_route = self.route().repeatability.is_stream();
         let may_have_run = !matches!(&sent, Some(Ok(_) | Err(SendError::NotSent(_))));
         if may_have_run && !is_stream_route {
-            self.count_usage(guard.began());
+            self.count_usage(guard.started_at());
         }
         match sent {
             None => RequestEvent::DeadlinePassed,
@@ -80,11 +82,11 @@
                 self.handle_answer(answer, guard, max_silence).await
             }
             Some(Err(SendError::NotSent(reason))) => {
-                guard.ended(result_of(&reason), reason.to_string());
+                guard.set_result(unsent_result(&reason), reason.to_string());
                 failed(SendFailure::NotSent)
             }
             Some(Err(SendError::NoAnswer(reason))) => {
-                guard.ended(SendResult::Failed, reason);
+                guard.set_result(SendResult::Failed, reason);
                 failed(SendFailure::MayHaveRun)
             }
         }
@@ -100,48 +102,48 @@
         let kind = protocol.answer_kind(answer.status, &answer.headers);
         let detail = format!("status {}", answer.status);
         // If only the end of the connection marks the end of the body, a crash of the worker may have cut it off.
-        let has_explicit_end = answer.body.tells_its_end();
+        let has_explicit_end = answer.body.has_explicit_end();
         match kind {
             AnswerKind::Unusable => {
-                guard.ended(
+                guard.set_result(
                     SendResult::Failed,
                     format!("{detail}, answer is not signed"),
                 );
                 failed(SendFailure::MayHaveRun)
             }
             AnswerKind::NotRun => {
-                guard.ended(SendResult::Refused, detail);
+                guard.set_result(SendResult::Refused, detail);
                 failed(SendFailure::NotRun)
             }
             AnswerKind::Misdirected => {
-                guard.ended(SendResult::Absent, detail);
+                guard.set_result(SendResult::Absent, detail);
                 failed(SendFailure::NotRun)
             }
             AnswerKind::Failure => {
                 if !self.route().repeatability.is_stream() {
-                    self.count_usage(guard.began());
+                    self.count_usage(guard.started_at());
                 }
-                guard.ended(SendResult::Failed, detail);
+                guard.set_result(SendResult::Failed, detail);
                 let event = self.keep_error_answer(answer, max_silence).await;
                 if event == failed(SendFailure::ErrorAnswer) && has_explicit_end {
-                    guard.answered_whole();
+                    guard.record_complete_answer();
                 }
                 event
             }
             AnswerKind::Success => {
                 self.unused_handle = None;
-                guard.answered();
+                guard.record_answer_start();
                 let event = match self.route().repeatability.is_stream() {
                     true => self.deliver_stream(answer).await,
                     false => {
-                        self.count_usage(guard.began());
+                        self.count_usage(guard.started_at());
                         self.deliver_complete(answer, max_silence).await
                     }
                 };
                 match event {
-                    RequestEvent::Completed if has_explicit_end => guard.answered_whole(),
+                    RequestEvent::Completed if has_explicit_end => guard.record_complete_answer(),
                     RequestEvent::Completed | RequestEvent::DeadlinePassed => {}
-                    _ => guard.ended(SendResult::Failed, "answer was cut off"),
+                    _ => guard.set_result(SendResult::Failed, "answer was cut off"),
                 }
                 event
             }
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -18,7 +18,7 @@
 };
 use tokio::time::sleep;
 
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::mirror_refresh::refresh;
 use crate::peers::{self, RELAY_WAIT};
 use crate::presence::{self, Member};
@@ -249,7 +249,7 @@
                 epoch: epoch.0,
                 copy_revision: self.shared.mirror.lock().position().revision,
             };
-            self.shared.log.record(Weight::Important, &event);
+            self.shared.log.record(Priority::Important, &event);
         }
     }
 
@@ -276,7 +276,7 @@
             state,
             reason,
         };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 
     fn record_upstream(&mut self, upstream: &Upstream) {
@@ -296,7 +296,7 @@
             relay,
             store_age_ms: self.shared.store_age_ms(),
         };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 }
 
@@ -347,7 +347,7 @@
             store_revision,
             copy_revision,
         };
-        shared.log.record(Weight::Important, &event);
+        shared.log.record(Priority::Important, &event);
     }
 }
 
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -12,8 +12,8 @@
 use tansyhall_forwarding::{Fingerprint, RequestContent};
 use tokio::time::timeout;
 
-use crate::answer::{self, Answer, AnswerHead, AnswerSource, AnswerTruncated, OwnAnswer};
-use crate::events::{Event, Weight};
+use crate::answer::{self, Answer, AnswerHead, AnswerSource, AnswerTruncated, GatewayAnswer};
+use crate::events::{Event, Priority};
 use crate::exchange::{CallerRequest, Exchange};
 use crate::headers::HeaderList;
 use crate::protocol::CallerTerms;
@@ -174,8 +174,8 @@
             buffered_response(&head, source).await
         }
         Some(Answer::Streamed(head)) => builder(&head).body(BodyStream::new(source.into_parts())),
-        Some(Answer::Own(own)) => gateway_response(own),
-        None => gateway_response(OwnAnswer::Lost),
+        Some(Answer::Gateway(answer)) => gateway_response(answer),
+        None => gateway_response(GatewayAnswer::Lost),
     }
 }
 
@@ -185,7 +185,7 @@
     let parts = std::pin::pin!(source.into_parts());
     match buffer_body(parts).await {
         Some(body) => builder(head).body(body),
-        None => gateway_response(OwnAnswer::Lost),
+        None => gateway_response(GatewayAnswer::Lost),
     }
 }
 
@@ -212,18 +212,18 @@
     builder
 }
 
-fn gateway_response(own: OwnAnswer) -> HttpResponse {
-    match own {
-        OwnAnswer::NotRun { retry_after } => {
+fn gateway_response(answer: GatewayAnswer) -> HttpResponse {
+    match answer {
+        GatewayAnswer::NotRun { retry_after } => {
             not_run_response(retry_after, "no worker is available")
         }
-        OwnAnswer::Lost => {
+        GatewayAnswer::Lost => {
             HttpResponse::BadGateway().body("answer was lost; the request may have run\n")
         }
-        OwnAnswer::TimedOut => HttpResponse::GatewayTimeout()
+        GatewayAnswer::TimedOut => HttpResponse::GatewayTimeout()
             .body("no answer before the deadline; the request may have run\n"),
         // Neither 502 nor 504, which callers retry, nor a status which promises that the request did not run.
-        OwnAnswer::Barred => HttpResponse::InternalServerError()
+        GatewayAnswer::Barred => HttpResponse::InternalServerError()
             .body("request crashes workers; it will not be sent again\n"),
     }
 }
@@ -244,7 +244,7 @@
         configuration: in_force.map_or(0, |in_force| in_force.configuration.version),
         store_age_ms: shared.store_age_ms(),
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
 }
 
 impl Refusal {
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -15,7 +15,7 @@
     /// Sends to workers by service and outcome.
     pub sends: IntCounterVec,
     /// Answers that do not match the request sent before them, by kind of request.
-    pub foreign_answers: IntCounterVec,
+    pub mismatched_answers: IntCounterVec,
     /// New notices of workers, by kind: `leaving`, `rest` (back-off) or `rate_limit`.
     pub worker_notices: IntCounterVec,
     /// Workers that ended while they ran requests of this gateway.
@@ -83,7 +83,7 @@
                 Opts::new("gateway_sends_total", "Sends to workers by outcome"),
                 &["service", "outcome"],
             )?,
-            foreign_answers: IntCounterVec::new(
+            mismatched_answers: IntCounterVec::new(
                 Opts::new(
                     "gateway_foreign_answers_total",
                     "Answers that do not match the request sent before them",
@@ -209,7 +209,7 @@
         self.registry.register(Box::new(self.latency.clone()))?;
         self.registry.register(Box::new(self.sends.clone()))?;
         self.registry
-            .register(Box::new(self.foreign_answers.clone()))?;
+            .register(Box::new(self.mismatched_answers.clone()))?;
         self.registry
             .register(Box::new(self.worker_notices.clone()))?;
         self.registry.register(Box::new(self.worker_ends.clone()))?;
--- a/crates/gateway/src/mirror_refresh.rs
+++ b/crates/gateway/src/mirror_refresh.rs
@@ -9,7 +9,7 @@
 use tansyhall_forwarding::{sharing_gateways, Configuration, EngineCapacity, Item, Touched};
 
 use crate::desired_roles::{self, DesiredRoles};
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::fleet::Fleet;
 use crate::presence;
 use crate::quarantine;
@@ -110,7 +110,7 @@
                 revision: item.written.revision,
                 in_force: known_version.unwrap_or_default(),
             };
-            shared.log.record(Weight::Important, &event);
+            shared.log.record(Priority::Important, &event);
             false
         }
         Ok(configuration) => {
@@ -120,7 +120,7 @@
                 routes: configuration.routes.len(),
                 tenants: configuration.tenants.as_ref().map_or(0, Vec::len),
             };
-            shared.log.record(Weight::Important, &event);
+            shared.log.record(Priority::Important, &event);
             let version = i64::try_from(configuration.version).unwrap_or(i64::MAX);
             shared.metrics.configuration_version.set(version);
             let engines = engines(&configuration);
@@ -153,5 +153,5 @@
         revision: item.written.revision,
         reason: &format!("{error:#}"),
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -22,7 +22,7 @@
 use tansyhall_forwarding::{MirrorUpdate, Position, Touched};
 use tokio::time::{sleep, timeout};
 
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::mirror_refresh::refresh;
 use crate::presence::Member;
 use crate::state::Shared;
@@ -255,7 +255,7 @@
         state: if relying { "relied_on" } else { "not_needed" },
         reason: "",
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
 }
 
 fn pick(shared: &Shared) -> Option<SocketAddr> {
--- a/crates/gateway/src/placement/client.rs
+++ b/crates/gateway/src/placement/client.rs
@@ -15,7 +15,7 @@
 
 use super::message::MessageToScheduler;
 use crate::datagrams::Datagram;
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::state::Shared;
 
 /// Maximum number of schedulers that are asked for one placement before the gateway decides itself.
@@ -295,7 +295,7 @@
                 state: "silent",
                 reason: &scheduler.name,
             };
-            shared.log.record(Weight::Routine, &event);
+            shared.log.record(Priority::Routine, &event);
             None
         }
     }
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -63,7 +63,7 @@
             directory.receive_rate_limit(now, &worker, *stated);
         }
         let notices = &shared.connections.notices;
-        notices.take(&worker, *worker_notice, NoticeSource::Gateway);
+        notices.apply(&worker, *worker_notice, NoticeSource::Gateway);
     }
 }
 
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -8,7 +8,7 @@
 
 use tansyhall_forwarding::Fingerprint;
 
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::state::Shared;
 
 pub use exchange::{receive_update, record_worker_end, send_due_updates};
@@ -22,6 +22,6 @@
             fingerprint: &fingerprint.to_string(),
             source,
         };
-        shared.log.record(Weight::Important, &event);
+        shared.log.record(Priority::Important, &event);
     }
 }
--- a/crates/gateway/src/role_orders.rs
+++ b/crates/gateway/src/role_orders.rs
@@ -22,12 +22,12 @@
 use crate::authority::Authority;
 use crate::authority_claim;
 use crate::desired_roles::{self, DesiredRoles};
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::protocol::{EngineReport, RoleOrder, WorkerCall};
 use crate::state::Shared;
 use crate::store_call::in_time;
 use crate::worker_notices::NoticeSource;
-use crate::worker_request::{Asked, WorkerRequest};
+use crate::worker_request::{RequestKind, WorkerRequest};
 
 /// Pause between two looks.
 const PACE: Duration = Duration::from_millis(300);
@@ -202,7 +202,7 @@
     async fn order(&self, Epoch(fence): Epoch, worker: &Worker, role: Role) {
         let protocol = &self.shared.protocol;
         let report = self
-            .call(worker, Asked::Report, protocol.report_call())
+            .call(worker, RequestKind::Report, protocol.report_call())
             .await;
         let report = report.and_then(|body| protocol.engine_report(&body).ok());
         let Some(EngineReport {
@@ -220,7 +220,11 @@
                 ..WorkerNotice::default()
             };
             let notices = &self.shared.connections.notices;
-            notices.take(&worker.id, notice, NoticeSource::Answer(Asked::Report));
+            notices.apply(
+                &worker.id,
+                notice,
+                NoticeSource::Answer(RequestKind::Report),
+            );
             return;
         }
         if busy || present == Some(role) || self.authority.fence(&self.shared) != Some(Epoch(fence))
@@ -235,7 +239,7 @@
             orders_taken,
         };
         let answered = self
-            .call(worker, Asked::Order, protocol.role_order(&order))
+            .call(worker, RequestKind::Order, protocol.role_order(&order))
             .await;
         let event = Event::Order {
             worker: worker.id.as_str(),
@@ -248,12 +252,12 @@
                 "unknown"
             },
         };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 
     /// The body of a successful answer.
-    async fn call(&self, worker: &Worker, asked: Asked, call: WorkerCall) -> Option<Bytes> {
-        let request = WorkerRequest::of_call(asked, call);
+    async fn call(&self, worker: &Worker, asked: RequestKind, call: WorkerCall) -> Option<Bytes> {
+        let request = WorkerRequest::from_call(asked, call);
         let destination = self.shared.destination(worker);
         let answered = async {
             let sent = self.shared.connections.send(&destination, &request).await;
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -29,7 +29,7 @@
 use crate::datagrams::Datagrams;
 use crate::duties::DutyService;
 use crate::duty_calls::DutyCalls;
-use crate::events::{Event, EventLog, Weight};
+use crate::events::{Event, EventLog, Priority};
 use crate::fleet::Fleet;
 use crate::follower;
 use crate::lease::{self, NodeLease};
@@ -99,7 +99,7 @@
     ));
     log.start_writer()
         .context("cannot start the log writer thread")?;
-    let shared = share(settings, &adapter, log)?;
+    let shared = create_shared_state(settings, &adapter, log)?;
     let settings = shared.settings.read().clone();
     serve_callers(&shared, &settings)?;
     serve_peers(&shared, settings.listen.peers)?;
@@ -135,7 +135,7 @@
         version: build.version,
         commit: build.commit,
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
     wait_for_stop_signal(&shared, file).await?;
     stop(&shared).await;
     Ok(())
@@ -175,7 +175,7 @@
 }
 
 /// Creates the state that the tasks of a gateway share, as it is before the store has been read.
-pub fn share(
+pub fn create_shared_state(
     settings: GatewaySettings,
     adapter: &Adapter,
     log: Arc<EventLog>,
@@ -197,7 +197,7 @@
     let correlation = Correlation::new(
         Arc::clone(&adapter.protocol),
         Arc::clone(&log),
-        metrics.foreign_answers.clone(),
+        metrics.mismatched_answers.clone(),
     );
     let directory = Arc::new(Mutex::new(directory));
     let notices = WorkerNotices::new(
@@ -371,7 +371,7 @@
         Err(error) => format!("{error:#}"),
     };
     let event = Event::Reloaded { outcome: &outcome };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
 }
 
 /// Waits for requests in progress. New callers are served until the load balancer has noticed that this gateway is
@@ -382,7 +382,7 @@
     let event = Event::Stopping {
         in_flight: in_flight(),
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
     let plan = shared.stop_plan();
     while !plan.may_exit(shared.now().since(since), in_flight()) {
         sleep(STOP_CHECK_INTERVAL).await;
@@ -390,6 +390,6 @@
     let event = Event::Stopped {
         in_flight: in_flight(),
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
     sleep(STOP_CHECK_INTERVAL).await;
 }
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -10,24 +10,26 @@
     WorkerId,
 };
 
-use crate::connections::Unconnected;
-use crate::events::{Event, Weight};
+use crate::connections::NotSentReason;
+use crate::events::{Event, Priority};
 use crate::placement::OpenPlacement;
 use crate::state::{whole_millis, Shared};
-use crate::worker_request::Asked;
+use crate::worker_request::RequestKind;
 
 /// Returns the result of a send that failed before anything was sent.
-pub fn result_of(reason: &Unconnected) -> SendResult {
+pub fn unsent_result(reason: &NotSentReason) -> SendResult {
     match reason {
-        Unconnected::NothingListens => SendResult::Absent,
-        Unconnected::Unwanted(Unavailable::RateLimited) => SendResult::Withheld,
-        Unconnected::TooMany | Unconnected::Unwanted(_) => SendResult::Refused,
-        Unconnected::Failed(_) => SendResult::Unreachable,
+        NotSentReason::ConnectionRefused => SendResult::Absent,
+        NotSentReason::WorkerUnavailable(Unavailable::RateLimited) => SendResult::Withheld,
+        NotSentReason::TooManyConnections | NotSentReason::WorkerUnavailable(_) => {
+            SendResult::Refused
+        }
+        NotSentReason::Failed(_) => SendResult::Unreachable,
     }
 }
 
 /// What is sent, and to which worker.
-pub struct Sent {
+pub struct SendDetails {
     /// The id that the caller gave the request.
     pub request_id: String,
     /// The fingerprint of the request's content.
@@ -39,7 +41,7 @@
     /// The service of the worker.
     pub service: ServiceName,
     /// The kind of the request to the worker: running the request, or reading its prompt.
-    pub asked: Asked,
+    pub kind: RequestKind,
     /// The prompt of a request to a model engine.
     pub prompt: Vec<PromptPart>,
     /// What the worker is needed for.
@@ -49,12 +51,12 @@
 /// A send in progress. Dropping the guard records the end of the send.
 pub struct SendGuard {
     shared: Arc<Shared>,
-    sent: Sent,
+    details: SendDetails,
     ticket: SendTicket,
     /// The placement by a scheduler, if one has selected the worker.
     placement: Option<OpenPlacement>,
     planned_tokens: u64,
-    began: Timestamp,
+    started_at: Timestamp,
     send_id: SendId,
     result: SendResult,
     /// Whether the worker has answered completely and therefore no longer runs the request.
@@ -65,13 +67,17 @@
 
 impl SendGuard {
     /// Records the start of a send. `placement` is set if a scheduler has selected the worker.
-    pub fn begin(shared: &Arc<Shared>, sent: Sent, placement: Option<OpenPlacement>) -> Self {
+    pub fn begin(
+        shared: &Arc<Shared>,
+        details: SendDetails,
+        placement: Option<OpenPlacement>,
+    ) -> Self {
         let now = shared.now();
         let zone = shared.zone();
         let demand = Demand {
-            service: &sent.service,
-            prompt: &sent.prompt,
-            route: &sent.route,
+            service: &details.service,
+            prompt: &details.prompt,
+            route: &details.route,
             tenant: None,
             yields: false,
             zone: &zone,
@@ -79,18 +85,21 @@
             draw: 0,
         };
         let mut directory = shared.directory.lock();
-        let ticket = directory.begin_send(now, &sent.worker, demand, &sent.need);
+        let ticket = directory.begin_send(now, &details.worker, demand, &details.need);
         drop(directory);
-        let send_id = shared.sends.lock().begin(&sent.worker, sent.fingerprint);
+        let send_id = shared
+            .sends
+            .lock()
+            .begin(&details.worker, details.fingerprint);
         let scheduled = placement.as_ref().map(OpenPlacement::placement);
         let planned_tokens = scheduled.map(|placement| placement.reading_tokens);
         Self {
             shared: Arc::clone(shared),
             planned_tokens: planned_tokens.unwrap_or(ticket.reading_tokens()),
-            sent,
+            details,
             ticket,
             placement,
-            began: now,
+            started_at: now,
             send_id,
             is_answer_complete: false,
             result: SendResult::Abandoned { silent: true },
@@ -122,7 +131,7 @@
     }
 
     /// Returns the latency of the answer that was expected when the send began.
-    pub fn expected(&self) -> Duration {
+    pub fn expected_latency(&self) -> Duration {
         match self.scheduled_placement() {
             Some(placement) => placement.expected_latency,
             None => self.ticket.expected_latency(),
@@ -130,13 +139,13 @@
     }
 
     /// Returns the kind of the request to the worker.
-    pub fn asked(&self) -> Asked {
-        self.sent.asked
+    pub fn kind(&self) -> RequestKind {
+        self.details.kind
     }
 
     /// Returns when the send began.
-    pub fn began(&self) -> Timestamp {
-        self.began
+    pub fn started_at(&self) -> Timestamp {
+        self.started_at
     }
 
     /// Returns whether the worker may still be running the request.
@@ -154,8 +163,8 @@
     fn update_send_tracker(&self, now: Timestamp) {
         let mut sends = self.shared.sends.lock();
         match self.may_run() {
-            true => sends.abandon(now, &self.sent.worker, self.send_id),
-            false => sends.finish(&self.sent.worker, self.send_id),
+            true => sends.abandon(now, &self.details.worker, self.send_id),
+            false => sends.finish(&self.details.worker, self.send_id),
         }
     }
 
@@ -164,11 +173,11 @@
     }
 
     /// Records that the answer has begun, which means that the prompt has been read.
-    pub fn answered(&mut self) {
+    pub fn record_answer_start(&mut self) {
         let now = self.shared.now();
-        let latency = now.since(self.began);
+        let latency = now.since(self.started_at);
         let mut directory = self.shared.directory.lock();
-        directory.record_prompt_read(now, &mut self.ticket, &self.sent.prompt, latency);
+        directory.record_prompt_read(now, &mut self.ticket, &self.details.prompt, latency);
         drop(directory);
         if let Some(placement) = &self.placement {
             placement.report_prompt_read(latency);
@@ -178,17 +187,17 @@
     }
 
     /// Records that the worker has answered completely, even with an error.
-    pub fn answered_whole(&mut self) {
+    pub fn record_complete_answer(&mut self) {
         self.is_answer_complete = true;
-        if self.sent.asked == Asked::Run {
+        if self.details.kind == RequestKind::Run {
             let now = self.shared.now();
             let mut quarantine = self.shared.quarantine.lock();
-            quarantine.record_answer(now, self.sent.fingerprint);
+            quarantine.record_answer(now, self.details.fingerprint);
         }
     }
 
     /// Sets the result of the send, and the detail that the worker or the connection reported.
-    pub fn ended(&mut self, result: SendResult, detail: impl Into<String>) {
+    pub fn set_result(&mut self, result: SendResult, detail: impl Into<String>) {
         self.result = result;
         self.detail = detail.into();
     }
@@ -198,7 +207,7 @@
     fn drop(&mut self) {
         let now = self.shared.now();
         let mut directory = self.shared.directory.lock();
-        directory.end_send(now, &self.ticket, &self.sent.prompt, self.result);
+        directory.end_send(now, &self.ticket, &self.details.prompt, self.result);
         drop(directory);
         self.update_send_tracker(now);
         if let Some(placement) = &mut self.placement {
@@ -208,27 +217,27 @@
         self.shared
             .metrics
             .sends
-            .with_label_values(&[self.sent.service.as_str(), outcome])
+            .with_label_values(&[self.details.service.as_str(), outcome])
             .inc();
-        let weight = match self.result {
-            SendResult::Answered { .. } => Weight::Routine,
-            _ => Weight::Important,
+        let priority = match self.result {
+            SendResult::Answered { .. } => Priority::Routine,
+            _ => Priority::Important,
         };
         let event = Event::Send {
-            request: &self.sent.request_id,
-            fingerprint: &self.sent.fingerprint.to_string(),
-            worker: self.sent.worker.as_str(),
+            request: &self.details.request_id,
+            fingerprint: &self.details.fingerprint.to_string(),
+            worker: self.details.worker.as_str(),
             scheduler: self.placement.as_ref().map_or("", OpenPlacement::scheduler),
-            work: self.sent.asked.name(),
+            work: self.details.kind.name(),
             outcome,
             detail: &self.detail,
             reading_tokens: self.planned_tokens,
             fetched: self.fetch_from().is_some(),
-            expected_ms: whole_millis(self.expected()),
+            expected_ms: whole_millis(self.expected_latency()),
             head_ms: self.head_latency.map_or(0, whole_millis),
-            took_ms: whole_millis(now.since(self.began)),
+            took_ms: whole_millis(now.since(self.started_at)),
         };
-        self.shared.log.record(weight, &event);
+        self.shared.log.record(priority, &event);
     }
 }
 
--- a/crates/gateway/src/usage/reporter.rs
+++ b/crates/gateway/src/usage/reporter.rs
@@ -27,7 +27,7 @@
 use crate::authority_claim;
 use crate::duties::{DutyOutcome, UsageReport};
 use crate::duty_calls::DutyCalls;
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::state::Shared;
 use crate::store_call::in_time;
 
@@ -238,7 +238,7 @@
             complete,
             outcome: &outcome,
         };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 
     fn record_report(&self, window: WindowNumber, outcome: &DutyOutcome) {
@@ -253,7 +253,7 @@
             outcome,
             detail,
         };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 }
 
--- a/crates/gateway/src/worker_ends.rs
+++ b/crates/gateway/src/worker_ends.rs
@@ -24,7 +24,7 @@
 
 use crate::connection_losses::Loss;
 use crate::connections::Destination;
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::quarantine;
 use crate::state::Shared;
 
@@ -49,7 +49,7 @@
     while let Some((loss, destination)) = shared.connections.losses.next().await {
         match (announced_state(&shared, &destination), loss) {
             (AnnouncedState::Leaving | AnnouncedState::Gone | AnnouncedState::Replaced, _) => {}
-            (AnnouncedState::Restarted, _) | (AnnouncedState::Ready, Loss::NothingListens) => {
+            (AnnouncedState::Restarted, _) | (AnnouncedState::Ready, Loss::ConnectionRefused) => {
                 record_end(&shared, &destination.worker);
             }
             (AnnouncedState::Ready, Loss::Broken | Loss::Silent) => {
@@ -175,5 +175,5 @@
         requests: count,
         fingerprints: &fingerprints,
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
 }
--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -15,7 +15,7 @@
 use tokio::time::sleep;
 
 use crate::departed_workers::DepartedWorkers;
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::mirror_refresh::record_refused;
 use crate::state::Shared;
 
@@ -314,7 +314,7 @@
     }
     let revision = shared.mirror.lock().position().revision;
     let event = Event::WorkersChanged { ready, revision };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
 }
 
 /// The number of ready workers that was logged last.
--- a/crates/gateway/src/worker_notices.rs
+++ b/crates/gateway/src/worker_notices.rs
@@ -12,12 +12,12 @@
 use tansyhall_core::Timestamp;
 use tansyhall_forwarding::{Directory, RateToken, Unavailable, WorkerId, WorkerNotice};
 
-use crate::connections::{SendError, Unconnected};
-use crate::events::{Event, EventLog, Weight};
+use crate::connections::{NotSentReason, SendError};
+use crate::events::{Event, EventLog, Priority};
 use crate::headers::HeaderList;
 use crate::protocol::Protocol;
 use crate::state::whole_millis;
-use crate::worker_request::{Asked, WorkerRequest};
+use crate::worker_request::{RequestKind, WorkerRequest};
 
 /// Statuses of successful answers.
 const SUCCESS_STATUSES: RangeInclusive<u16> = 200..=299;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoticeSource {
     /// The worker's answer to a request of this kind.
-    Answer(Asked),
+    Answer(RequestKind),
     /// Another gateway, whose requests this one places.
     Gateway,
 }
@@ -35,7 +35,7 @@
     /// Returns the name used in logs.
     fn name(self) -> &'static str {
         match self {
-            NoticeSource::Answer(asked) => asked.name(),
+            NoticeSource::Answer(kind) => kind.name(),
             NoticeSource::Gateway => "gateway",
         }
     }
@@ -79,20 +79,20 @@
     pub fn record_answer(
         &self,
         worker: &WorkerId,
-        asked: Asked,
+        kind: RequestKind,
         sent_at: Timestamp,
         status: u16,
         headers: &HeaderList,
     ) {
-        let source = NoticeSource::Answer(asked);
+        let source = NoticeSource::Answer(kind);
         let notice = self.protocol.worker_notice(status, headers);
         if notice != WorkerNotice::default() {
-            self.take(worker, notice, source);
+            self.apply(worker, notice, source);
         }
         // An error, or an answer to a different kind of request, need not name the rate limit: only its absence from a
         // successful answer to work means that the limit has ended.
         let is_success = SUCCESS_STATUSES.contains(&status);
-        if asked.is_caller_work() && is_success && notice.rate_limit.is_none() {
+        if kind.is_caller_work() && is_success && notice.rate_limit.is_none() {
             self.record_no_rate_limit(worker, sent_at, source);
         }
     }
@@ -108,12 +108,12 @@
                 worker: worker.as_str(),
                 source: source.name(),
             };
-            self.log.record(Weight::Routine, &event);
+            self.log.record(Priority::Routine, &event);
         }
     }
 
     /// Applies a notice of a worker.
-    pub fn take(&self, worker: &WorkerId, notice: WorkerNotice, source: NoticeSource) {
+    pub fn apply(&self, worker: &WorkerId, notice: WorkerNotice, source: NoticeSource) {
         let now = self.clock.now();
         let changes = self.directory.lock().apply_notice(now, worker, notice);
         if changes.is_leaving {
@@ -122,7 +122,7 @@
                 worker: worker.as_str(),
                 source: source.name(),
             };
-            self.log.record(Weight::Important, &event);
+            self.log.record(Priority::Important, &event);
         }
         if let Some(backoff) = changes.backoff {
             self.notice_counter.with_label_values(&["rest"]).inc();
@@ -131,7 +131,7 @@
                 source: source.name(),
                 rest_ms: whole_millis(backoff),
             };
-            self.log.record(Weight::Important, &event);
+            self.log.record(Priority::Important, &event);
         }
         if let Some(limit) = changes.rate_limit {
             self.notice_counter.with_label_values(&["rate_limit"]).inc();
@@ -140,7 +140,7 @@
                 source: source.name(),
                 requests_per_second: limit.requests_per_second(),
             };
-            self.log.record(Weight::Routine, &event);
+            self.log.record(Priority::Routine, &event);
         }
     }
 
@@ -151,13 +151,13 @@
         worker: &WorkerId,
         request: &WorkerRequest,
     ) -> Result<RateToken, SendError> {
-        if request.has_rate_token || !request.asked.is_caller_work() {
+        if request.has_rate_token || !request.kind.is_caller_work() {
             return Ok(RateToken::Unlimited);
         }
         let now = self.clock.now();
         match self.directory.lock().take_rate_token(now, worker) {
             RateToken::Missing => {
-                let reason = Unconnected::Unwanted(Unavailable::RateLimited);
+                let reason = NotSentReason::WorkerUnavailable(Unavailable::RateLimited);
                 Err(SendError::NotSent(reason))
             }
             token => Ok(token),
@@ -172,12 +172,14 @@
 
     /// Checks whether the worker's notices permit a request of this kind. A worker that is leaving still frees the KV
     /// caches that it keeps for requests which continued on other workers.
-    pub fn check_permitted(&self, worker: &WorkerId, asked: Asked) -> Result<(), SendError> {
+    pub fn check_permitted(&self, worker: &WorkerId, kind: RequestKind) -> Result<(), SendError> {
         let now = self.clock.now();
         match self.directory.lock().unavailable(now, worker) {
             None => Ok(()),
-            Some(Unavailable::Leaving) if asked == Asked::Release => Ok(()),
-            Some(unavailable) => Err(SendError::NotSent(Unconnected::Unwanted(unavailable))),
+            Some(Unavailable::Leaving) if kind == RequestKind::Release => Ok(()),
+            Some(unavailable) => Err(SendError::NotSent(NotSentReason::WorkerUnavailable(
+                unavailable,
+            ))),
         }
     }
 }
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -32,7 +32,7 @@
 use crate::authority_claim;
 use crate::duties::{DutyOutcome, WorkerOrder};
 use crate::duty_calls::DutyCalls;
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::state::Shared;
 use crate::store_call::in_time;
 
@@ -324,7 +324,7 @@
             outcome,
             detail,
         };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 }
 
--- a/crates/gateway/src/worker_request.rs
+++ b/crates/gateway/src/worker_request.rs
@@ -7,7 +7,7 @@
 
 /// The kind of a request to a worker, as named in logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asked {
+pub enum RequestKind {
     /// Runs a caller's request.
     Run,
     /// Reads a prompt on behalf of another worker.
@@ -22,21 +22,21 @@
     Release,
 }
 
-impl Asked {
+impl RequestKind {
     /// Returns whether it does work for a caller, which counts against the worker's rate limit.
     pub fn is_caller_work(self) -> bool {
-        matches!(self, Asked::Run | Asked::ReadPrompt)
+        matches!(self, RequestKind::Run | RequestKind::ReadPrompt)
     }
 
     /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Asked::Run => "run",
-            Asked::ReadPrompt => "read_prompt",
-            Asked::Report => "report",
-            Asked::ListCache => "list_cache",
-            Asked::Order => "order",
-            Asked::Release => "release",
+            RequestKind::Run => "run",
+            RequestKind::ReadPrompt => "read_prompt",
+            RequestKind::Report => "report",
+            RequestKind::ListCache => "list_cache",
+            RequestKind::Order => "order",
+            RequestKind::Release => "release",
         }
     }
 }
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone)]
 pub struct WorkerRequest {
     /// Its kind.
-    pub asked: Asked,
+    pub kind: RequestKind,
     /// Whether a scheduler has already taken a token of the worker's rate limit for it.
     pub has_rate_token: bool,
     /// The HTTP method.
@@ -60,9 +60,9 @@
 
 impl WorkerRequest {
     /// Creates a request of the gateway itself.
-    pub fn of_call(asked: Asked, call: WorkerCall) -> Self {
+    pub fn from_call(kind: RequestKind, call: WorkerCall) -> Self {
         Self {
-            asked,
+            kind,
             has_rate_token: false,
             method: call.method.to_owned(),
             target: call.path,
--- a/crates/gateway/tests/callers_answers.rs
+++ b/crates/gateway/tests/callers_answers.rs
@@ -24,9 +24,9 @@
             status: 200,
             headers: HeaderList::default(),
         }));
-        sink.part(Bytes::from_static(b"one ")).await;
+        sink.send_part(Bytes::from_static(b"one ")).await;
         actix_rt::time::sleep(Duration::from_millis(30)).await;
-        sink.part(Bytes::from_static(b"two")).await;
+        sink.send_part(Bytes::from_static(b"two")).await;
         if is_complete {
             sink.end().await;
         }
--- a/crates/gateway/tests/event_log.rs
+++ b/crates/gateway/tests/event_log.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use serde_json::Value;
-use tansyhall_gateway::events::{Event, EventLog, Weight};
+use tansyhall_gateway::events::{Event, EventLog, Priority};
 
 fn event(request: &str) -> Event<'_> {
     Event::Refused {
@@ -24,7 +24,7 @@
 #[test]
 fn a_line_carries_time_node_event_and_its_fields() {
     let log = EventLog::new("gateway-1", 16, 100);
-    log.record(Weight::Important, &event("r"));
+    log.record(Priority::Important, &event("r"));
     let lines = take_parsed(&log);
     assert_eq!(lines[0]["node"], "gateway-1");
     assert_eq!(lines[0]["event"], "refused");
@@ -37,10 +37,10 @@
 fn without_a_reader_recording_does_not_block_and_the_queue_stays_bounded() {
     let log = EventLog::new("gateway-1", 100, u32::MAX);
     for _ in 0..10_000 {
-        log.record(Weight::Routine, &event("routine"));
+        log.record(Priority::Routine, &event("routine"));
     }
     for _ in 0..10_000 {
-        log.record(Weight::Important, &event("important"));
+        log.record(Priority::Important, &event("important"));
     }
     let lines = take_parsed(&log);
     assert_eq!(lines.len(), 101);
@@ -60,8 +60,8 @@
 fn routine_lines_can_be_switched_off_while_running() {
     let log = EventLog::new("gateway-1", 100, u32::MAX);
     log.set_routine_per_second(0);
-    log.record(Weight::Routine, &event("routine"));
-    log.record(Weight::Important, &event("important"));
+    log.record(Priority::Routine, &event("routine"));
+    log.record(Priority::Important, &event("important"));
     let lines = take_parsed(&log);
     assert_eq!(lines[0]["request"], "important");
     assert_eq!(lines[1]["count"], 1);
@@ -74,7 +74,7 @@
     let mut read = 0;
     for _ in 0..20 {
         for _ in 0..64 {
-            log.record(Weight::Important, &event("r"));
+            log.record(Priority::Important, &event("r"));
         }
         read += take_parsed(&log).len();
     }
