--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -14,8 +14,8 @@
 use tansyhall_forwarding::{Item, Position, Touched, Worker, WorkerId, WorkerState};
 use tokio::time::sleep;
 
+use crate::departed_workers::LeftWorkers;
 use crate::events::{Event, Weight};
-use crate::left_workers::LeftWorkers;
 use crate::mirror_refresh::record_refused;
 use crate::state::Shared;
 
