--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -13,14 +13,14 @@
 };
 use tansyhall_gateway::authority_claim::AuthorityClaim;
 use tansyhall_gateway::cache_recovery::CachesMessage;
-use tansyhall_gateway::copy_message::{ItemMessage, UpdateMessage};
 use tansyhall_gateway::datagrams::Datagram;
 use tansyhall_gateway::desired_roles::{self, DesiredRoles};
 use tansyhall_gateway::load_messages::{
     DemandMessage, LoadMessage, PartMessage, ReportMessage, StatedLimitMessage,
 };
-use tansyhall_gateway::placement::QuestionMessage;
+use tansyhall_gateway::placement::MessageToScheduler;
 use tansyhall_gateway::presence;
+use tansyhall_gateway::update_message::{ItemMessage, UpdateMessage};
 
 /// Seed of the property tests.
 const SEED: u64 = 20_261_203;
@@ -302,7 +302,7 @@
         }
         let _ = UpdateMessage::decode(damaged.as_slice());
         let _ = CachesMessage::decode(damaged.as_slice());
-        let _ = QuestionMessage::decode(damaged.as_slice());
+        let _ = MessageToScheduler::decode(damaged.as_slice());
         let _ = ItemMessage::decode(damaged.as_slice());
     }
 }
