--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -1,9 +1,9 @@
 //! Dispatch of completions to engines: what the node believes of the engines it follows, and the
 //! wiring between that and the routing decisions.
 
-pub mod follower;
 mod in_flight;
 mod lengths;
+pub mod load_poller;
 mod trackers;
 pub mod transfer;
 
@@ -11,9 +11,9 @@
 use tansyhall_core::{Duration, EngineName};
 use tansyhall_routing::{followed_engines, ServiceRates};
 
-pub use follower::LoadFollower;
 pub use in_flight::InFlight;
 pub use lengths::{OutputLengths, RequestClass};
+pub use load_poller::LoadFollower;
 pub use trackers::EngineTrackers;
 
 use crate::state::Node;
--- a/crates/node/src/limits/mod.rs
+++ b/crates/node/src/limits/mod.rs
@@ -3,14 +3,14 @@
 
 pub mod admission;
 pub mod canary;
-pub mod keeper;
 pub mod keys;
+pub mod limiter;
 pub mod tenant;
 pub mod ticker;
 pub mod transport;
 
 pub use admission::{Admission, Refusal};
 pub use canary::{Variant, AFFINITY_HEADER};
-pub use keeper::LimitKeeper;
+pub use limiter::LimitKeeper;
 pub use tenant::{tenant_of, TENANT_HEADER};
 pub use transport::{Alone, ShareTransport};
