--- a/crates/node/src/at_most_once/attempts.rs
+++ b/crates/node/src/at_most_once/attempts.rs
@@ -1,5 +1,5 @@
-//! Tries of this node's requests: the votes of the view's members are collected before anything is
-//! sent to a back end.
+//! Attempts of this node's requests: the votes of the view's members are collected before anything
+//! is sent to a back end.
 
 use std::sync::Arc;
 
@@ -11,15 +11,15 @@
 use tansyhall_journal::{Attempt, AttemptId, Decision, KeyOrigin, RecordKey, VoteReply};
 use tansyhall_proto::{JournalAnswer, JournalRequest};
 
-use super::members::ask_member;
-use super::views::{PlacedMember, PlacedView};
+use super::members::call_member;
+use super::views::{MemberWithAddress, ViewWithAddresses};
 use crate::state::Node;
 
-/// Bytes of a digest that name a record.
+/// Number of digest bytes that identify a record.
 const KEY_DIGEST_BYTES: usize = 16;
 
-/// The record's key of a caller's key for a service. It is a digest, so that every record takes the
-/// same room and callers' keys do not travel.
+/// Returns the record key of a caller's key for a service. It is a digest, so that all records have
+/// the same size and callers' keys are not sent between nodes.
 pub fn record_key(service: &ServiceName, key: &str) -> RecordKey {
     let mut digest = Sha256::new();
     digest.update(service.as_str());
@@ -28,34 +28,34 @@
     RecordKey(hex::encode(&digest.finalize()[..KEY_DIGEST_BYTES]))
 }
 
-/// A try that has its quorum: the request may run.
+/// An attempt with a quorum of votes: the request may run.
 #[derive(Debug, Clone)]
-pub struct RecordedTry {
-    view: Arc<PlacedView>,
+pub struct RecordedAttempt {
+    view: Arc<ViewWithAddresses>,
     key: RecordKey,
     id: AttemptId,
 }
 
-/// Why a request with a caller's key may not run by this try.
+/// Why this attempt of a request with a caller's key may not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denied {
-    /// Another try of the request has run, runs or may run.
+    /// Another attempt of the request has run, is running or may run.
     Duplicate {
-        /// The try, where it is known.
+        /// The other attempt, if it is known.
         holder: Option<RequestId>,
     },
-    /// Too few replicas granted the key. An earlier try may have run.
+    /// Too few replicas granted the key. An earlier attempt may have run.
     NoQuorum,
 }
 
-/// Records a try of a request with a caller's key.
-pub async fn record(
+/// Records an attempt of a request with a caller's key.
+pub async fn record_attempt(
     node: &Arc<Node>,
     key: RecordKey,
     request: RequestId,
-) -> Result<RecordedTry, Denied> {
+) -> Result<RecordedAttempt, Denied> {
     let outcome = match node.journal.view() {
-        Some(view) => record_in_newest(node, key, AttemptId(request), view).await,
+        Some(view) => record_in_latest_view(node, key, AttemptId(request), view).await,
         None => Err(Denied::NoQuorum),
     };
     let decision = match &outcome {
@@ -68,40 +68,41 @@
     outcome
 }
 
-/// Tries in `view`, and in a later one if that became known meanwhile.
-async fn record_in_newest(
+/// Records the attempt in `view`, and in a later one if that became known in the meantime.
+async fn record_in_latest_view(
     node: &Arc<Node>,
     key: RecordKey,
     id: AttemptId,
-    mut view: Arc<PlacedView>,
-) -> Result<RecordedTry, Denied> {
+    mut view: Arc<ViewWithAddresses>,
+) -> Result<RecordedAttempt, Denied> {
     loop {
-        let tried = RecordedTry {
+        let recorded = RecordedAttempt {
             view: Arc::clone(&view),
             key: key.clone(),
             id,
         };
-        let denied = match tried.collect(node).await {
-            Ok(()) => return Ok(tried),
+        let denied = match recorded.collect_votes(node).await {
+            Ok(()) => return Ok(recorded),
             Err(denied) => denied,
         };
         match node.journal.view() {
             Some(newer) if newer.number > view.number => view = newer,
             _ => {
-                tried.release(node);
+                recorded.release(node);
                 return Err(denied);
             }
         }
     }
 }
 
-impl RecordedTry {
-    async fn collect(&self, node: &Arc<Node>) -> Result<(), Denied> {
+impl RecordedAttempt {
+    async fn collect_votes(&self, node: &Arc<Node>) -> Result<(), Denied> {
         let view = self.view.view();
         let mut attempt = Attempt::new(self.key.clone(), self.id, KeyOrigin::Caller, view);
         let mut holder = None;
         let members = self.view.members.iter();
-        let mut votes: FuturesUnordered<_> = members.map(|it| self.vote(node, it)).collect();
+        let mut votes: FuturesUnordered<_> =
+            members.map(|member| self.vote(node, member)).collect();
         while attempt.is_open() {
             let Some(vote) = votes.next().await else {
                 break;
@@ -118,16 +119,16 @@
         }
     }
 
-    async fn vote<'a>(&self, node: &Arc<Node>, voter: &'a PlacedMember) -> Vote<'a> {
+    async fn vote<'a>(&self, node: &Arc<Node>, voter: &'a MemberWithAddress) -> Vote<'a> {
         let request = JournalRequest::Vote {
             view: self.view.number,
             digest: Some(self.view.view().digest()),
             key: self.key.clone(),
             attempt: self.id,
         };
-        let (reply, holder) = match ask_member(node, voter, request).await {
+        let (reply, holder) = match call_member(node, voter, request).await {
             Ok(JournalAnswer::Voted { reply, holder }) => (reply, holder),
-            // A replica that does not answer in time has no vote here.
+            // A replica that does not answer in time does not vote.
             Ok(_) | Err(_) => (VoteReply::NotVoting, None),
         };
         Vote {
@@ -137,24 +138,24 @@
         }
     }
 
-    /// Gives the records back. The request must never run by this try from now on.
+    /// Releases the records. The request must never run by this attempt afterwards.
     pub fn release(&self, node: &Arc<Node>) {
         let node = Arc::clone(node);
-        let tried = self.clone();
+        let recorded = self.clone();
         actix_rt::spawn(async move {
-            let releases = tried.view.members.iter().map(|member| {
-                let key = tried.key.clone();
-                let attempt = tried.id;
-                ask_member(&node, member, JournalRequest::Release { key, attempt })
+            let releases = recorded.view.members.iter().map(|member| {
+                let key = recorded.key.clone();
+                let attempt = recorded.id;
+                call_member(&node, member, JournalRequest::Release { key, attempt })
             });
-            // A replica that is not told keeps the key until its time has passed.
+            // A replica that does not receive the release keeps the key until it expires.
             futures_util::future::join_all(releases).await;
         });
     }
 }
 
 struct Vote<'a> {
-    voter: &'a PlacedMember,
+    voter: &'a MemberWithAddress,
     reply: VoteReply,
     holder: Option<AttemptId>,
 }
--- a/crates/node/src/at_most_once/members.rs
+++ b/crates/node/src/at_most_once/members.rs
@@ -1,4 +1,4 @@
-//! Requests to replicas, and the choice of a view's members.
+//! Requests to replicas, and the selection of a view's members.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,24 +12,29 @@
     decode_journal_answer, JournalAnswer, JournalCall, JournalRequest, PeerRequest,
 };
 
-use super::views::PlacedMember;
+use super::views::MemberWithAddress;
 use crate::peers::exchange;
 use crate::state::Node;
 
-/// Nodes asked at most when a member is sought.
+/// Maximum number of nodes queried when a member is selected.
 const MAX_CANDIDATES: usize = 8;
 
-/// Longest wait for an answer that carries, or follows, a whole table of records.
+/// Timeout of a request whose answer carries a complete table of records (seal) or that carries one
+/// itself (install).
 const TABLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A node that may become a member.
 struct Candidate {
     zone: ZoneName,
-    placed: PlacedMember,
+    member: MemberWithAddress,
 }
 
 /// Sends a request to the replica at an address.
-async fn ask(node: &Node, address: SocketAddr, call: JournalCall) -> Result<JournalAnswer> {
+async fn call_replica(
+    node: &Node,
+    address: SocketAddr,
+    call: JournalCall,
+) -> Result<JournalAnswer> {
     let timeout = match &call.request {
         JournalRequest::Seal { .. } | JournalRequest::Install { .. } => TABLE_TIMEOUT,
         JournalRequest::Identify | JournalRequest::Vote { .. } | JournalRequest::Release { .. } => {
@@ -41,10 +46,10 @@
     Ok(decode_journal_answer(&answer)?)
 }
 
-/// Sends a request to a member; this node's own replica answers without a connection.
-pub(super) async fn ask_member(
+/// Sends a request to a member. This node's own replica answers without a connection.
+pub(super) async fn call_member(
     node: &Node,
-    member: &PlacedMember,
+    member: &MemberWithAddress,
     request: JournalRequest,
 ) -> Result<JournalAnswer> {
     let is_own = member.member == *node.journal.member();
@@ -56,38 +61,38 @@
         let now = node.clock.now();
         return Ok(node.journal.answer(now, call, node.is_stopping()));
     }
-    ask(node, member.peers, call).await
+    call_replica(node, member.peers, call).await
 }
 
-/// How a member stands.
+/// Result of a probe of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Presence {
-    /// It answers, in its incarnation.
+    /// The member answers, in the same incarnation.
     Present,
-    /// It is stopping, or another incarnation answers in its place.
+    /// The member is stopping, or another incarnation answers at its address.
     Gone,
-    /// It does not answer.
-    Silent,
+    /// The member does not answer.
+    Unresponsive,
 }
 
-/// Looks whether a member answers in its incarnation.
-pub(super) async fn look_at(node: &Node, placed: &PlacedMember) -> Presence {
-    match ask_member(node, placed, JournalRequest::Identify).await {
+/// Probes whether a member answers in the same incarnation.
+pub(super) async fn probe_member(node: &Node, expected: &MemberWithAddress) -> Presence {
+    match call_member(node, expected, JournalRequest::Identify).await {
         Ok(JournalAnswer::Identity {
             member,
             is_stopping: false,
-        }) if member == placed.member => Presence::Present,
+        }) if member == expected.member => Presence::Present,
         Ok(_) => Presence::Gone,
-        Err(_) => Presence::Silent,
+        Err(_) => Presence::Unresponsive,
     }
 }
 
-/// Three members: those to keep, then others that answer, of zones that have none first. Absent if
-/// too few answer.
+/// Selects three members: those in `keep`, then other nodes that answer, preferably from zones
+/// without a member. Returns `None` if too few nodes answer.
 pub(super) async fn choose(
     node: &Node,
-    keep: Vec<PlacedMember>,
-) -> Option<[PlacedMember; VIEW_SIZE]> {
+    keep: Vec<MemberWithAddress>,
+) -> Option<[MemberWithAddress; VIEW_SIZE]> {
     let mut candidates = candidates(node, &keep).await;
     let mut zones: BTreeSet<ZoneName> = BTreeSet::new();
     let mut chosen = Vec::new();
@@ -97,27 +102,37 @@
         chosen.push(kept);
     }
     while chosen.len() < VIEW_SIZE && !candidates.is_empty() {
-        let elsewhere = candidates.iter().position(|it| !zones.contains(&it.zone));
+        let elsewhere = candidates
+            .iter()
+            .position(|member| !zones.contains(&member.zone));
         let candidate = candidates.remove(elsewhere.unwrap_or(0));
         zones.insert(candidate.zone);
-        chosen.push(candidate.placed);
+        chosen.push(candidate.member);
     }
     chosen.try_into().ok()
 }
 
-/// The zone of a node, as far as this node has heard of it.
+/// Returns the zone of a node, if this node knows it.
 fn zone_of(node: &Node, name: &str) -> Option<ZoneName> {
     let snapshot = node.peers.snapshot();
-    if snapshot.members.iter().any(|it| it.name.as_str() == name) {
+    if snapshot
+        .members
+        .iter()
+        .any(|member| member.name.as_str() == name)
+    {
         return Some(node.settings.zone.clone());
     }
     let mut zones = snapshot.zones.iter();
-    let zone = zones.find(|zone| zone.contacts.iter().any(|it| it.name.as_str() == name));
+    let zone = zones.find(|zone| {
+        zone.contacts
+            .iter()
+            .any(|member| member.name.as_str() == name)
+    });
     zone.map(|zone| zone.zone.clone())
 }
 
-/// Nodes that answer and are not about to stop, without those to keep.
-async fn candidates(node: &Node, keep: &[PlacedMember]) -> Vec<Candidate> {
+/// Returns nodes that answer and are not stopping, without those in `keep`.
+async fn candidates(node: &Node, keep: &[MemberWithAddress]) -> Vec<Candidate> {
     let snapshot = node.peers.snapshot();
     let members = snapshot.members.iter().filter(|member| member.takes_work);
     let here = members.map(|member| (&node.settings.zone, &member.name, member.peers));
@@ -127,11 +142,15 @@
     });
     let known = elsewhere.chain(here);
     let is_new = |name: &str| keep.iter().all(|kept| kept.member.node.as_str() != name);
-    let asked = known
+    let identifications = known
         .filter(|(_, name, _)| is_new(name.as_str()))
         .take(MAX_CANDIDATES)
         .map(|(zone, _, peers)| identify(node, zone.clone(), peers));
-    join_all(asked).await.into_iter().flatten().collect()
+    join_all(identifications)
+        .await
+        .into_iter()
+        .flatten()
+        .collect()
 }
 
 async fn identify(node: &Node, zone: ZoneName, peers: SocketAddr) -> Option<Candidate> {
@@ -139,7 +158,7 @@
         addressee: None,
         request: JournalRequest::Identify,
     };
-    let member = match ask(node, peers, call).await.ok()? {
+    let member = match call_replica(node, peers, call).await.ok()? {
         JournalAnswer::Identity {
             member,
             is_stopping: false,
@@ -148,6 +167,6 @@
     };
     Some(Candidate {
         zone,
-        placed: PlacedMember { member, peers },
+        member: MemberWithAddress { member, peers },
     })
 }
--- a/crates/node/src/at_most_once/metrics.rs
+++ b/crates/node/src/at_most_once/metrics.rs
@@ -2,17 +2,18 @@
 
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry};
 
-/// What passes at the replica and in this node's tries.
+/// Metrics of the replica and of this node's attempts.
 pub struct JournalMetrics {
-    /// Tries of this node's requests, by what they came to.
+    /// Attempts of this node's requests, by decision.
     pub tries: IntCounterVec,
-    /// Number of the view that tries use; zero while none is known.
+    /// Number of the view that attempts use; zero while none is known.
     pub view: IntGauge,
-    /// Members of the view that did not answer this node's last look, if it looks after the views.
+    /// Number of members of the view that did not answer this node's last probe, if it manages the
+    /// views.
     pub members_lost: IntGauge,
-    /// Changes of view that this node completed.
+    /// Number of changes of view that this node completed.
     pub view_changes: IntCounter,
-    /// Records at this node's replica.
+    /// Number of records at this node's replica.
     pub records: IntGauge,
 }
 
--- a/crates/node/src/at_most_once/mod.rs
+++ b/crates/node/src/at_most_once/mod.rs
@@ -1,5 +1,5 @@
-//! The replicated at-most-once records in a node: its replica, the view it votes by, the change of
-//! views, and the tries of its own requests. The decisions are those of the journal crate.
+//! Replicated at-most-once records: this node's replica, the view in which it votes, changes of
+//! view, and the attempts of this node's requests. The journal crate makes the decisions.
 
 mod attempts;
 mod members;
@@ -8,8 +8,8 @@
 mod view_manager;
 mod views;
 
-pub use attempts::{record, record_key, Denied, RecordedTry};
+pub use attempts::{record_attempt, record_key, Denied, RecordedAttempt};
 pub use metrics::JournalMetrics;
 pub use replica::Journal;
 pub use view_manager::JournalKeeper;
-pub use views::{PlacedMember, PlacedView, ViewRecord};
+pub use views::{MemberWithAddress, ViewRecord, ViewWithAddresses};
--- a/crates/node/src/at_most_once/replica.rs
+++ b/crates/node/src/at_most_once/replica.rs
@@ -1,4 +1,4 @@
-//! This node's replica, and the view that its own tries use.
+//! This node's replica, and the view that its attempts use.
 
 use std::sync::Arc;
 
@@ -9,19 +9,19 @@
 use tansyhall_journal::{Member, Replica, ReplicaLimits, VoteReply};
 use tansyhall_proto::{JournalAnswer, JournalCall, JournalRequest};
 
-use super::views::PlacedView;
+use super::views::ViewWithAddresses;
 
-/// The node's part of the at-most-once records.
+/// This node's part of the at-most-once records.
 #[derive(Debug)]
 pub struct Journal {
     member: Member,
     replica: Mutex<Replica>,
-    view: ArcSwapOption<PlacedView>,
+    view: ArcSwapOption<ViewWithAddresses>,
 }
 
 impl Journal {
-    /// A replica that knows nothing, in an incarnation of its own. Only whether two incarnations are
-    /// the same counts, so that one is drawn at random.
+    /// Returns an empty replica with a new incarnation. Incarnations are only compared for
+    /// equality, so it is drawn at random.
     pub fn new(settings: &NodeSettings) -> Self {
         let member = Member {
             node: settings.name.clone(),
@@ -38,37 +38,37 @@
         }
     }
 
-    /// The node in this incarnation.
+    /// Returns the node in this incarnation.
     pub fn member(&self) -> &Member {
         &self.member
     }
 
-    /// The view that tries use.
-    pub fn view(&self) -> Option<Arc<PlacedView>> {
+    /// Returns the view that attempts use.
+    pub fn view(&self) -> Option<Arc<ViewWithAddresses>> {
         self.view.load_full()
     }
 
-    /// Uses a view from now on, unless it is older than the one in use; returns whether it is new. Of two views
-    /// of one number, the store's counts.
-    pub(super) fn use_view(&self, view: &PlacedView) -> bool {
+    /// Adopts a view unless it is older than the one in use; returns whether it differs from that
+    /// one. Of two views with the same number, the one in the store counts.
+    pub(super) fn adopt_view(&self, view: &ViewWithAddresses) -> bool {
         let is_new = self
             .view()
-            .is_none_or(|held| held.number <= view.number && *held != *view);
+            .is_none_or(|current| current.number <= view.number && *current != *view);
         if is_new {
             self.view.store(Some(Arc::new(view.clone())));
         }
         is_new
     }
 
-    /// Forgets records whose time has passed; returns how many are left.
+    /// Removes expired records; returns the number of those left.
     pub(super) fn sweep(&self, now: Timestamp) -> usize {
         let mut replica = self.replica.lock();
         replica.forget_old(now);
         replica.len()
     }
 
-    /// Answers a request to the replica. One that is meant for another member changes nothing here:
-    /// a vote counts for the member that was asked, whoever is reached at its address.
+    /// Answers a request to the replica. A request addressed to another member has no effect here:
+    /// a vote counts for the member that was asked, whichever node is reached at its address.
     pub fn answer(&self, now: Timestamp, call: JournalCall, is_stopping: bool) -> JournalAnswer {
         match call.addressee {
             Some(addressee) if addressee != self.member => JournalAnswer::NotAddressed,
--- a/crates/node/src/at_most_once/view_manager.rs
+++ b/crates/node/src/at_most_once/view_manager.rs
@@ -1,5 +1,5 @@
-//! The actor that follows the views in the store, and at the node that follows the store for its
-//! zone, replaces members that are gone. Every step can be repeated by any node.
+//! Actor that adopts the views in the store. On the node that follows the store for its zone, it
+//! also replaces lost members. Every step can be repeated by any node.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,21 +10,21 @@
 use tansyhall_proto::{JournalAnswer, JournalRequest};
 use tansyhall_store::{EtcdStore, StoreError};
 
-use super::members::{ask_member, choose, look_at, Presence};
-use super::views::{PlacedMember, PlacedView, StoredViews, ViewRecord};
+use super::members::{call_member, choose, probe_member, Presence};
+use super::views::{MemberWithAddress, StoredViews, ViewRecord, ViewWithAddresses};
 use crate::state::Node;
 
-/// Looks in a row without an answer after which a member is replaced.
-const SILENT_LOOKS: u32 = 3;
+/// Number of consecutive unanswered probes after which a member is replaced.
+const MAX_MISSED_PROBES: u32 = 3;
 
-/// The actor.
+/// Adopts the stored view and replaces lost members.
 pub struct JournalKeeper {
     node: Arc<Node>,
     store: EtcdStore,
 }
 
 impl JournalKeeper {
-    /// A keeper for a node.
+    /// Returns the view manager of a node.
     pub fn new(node: Arc<Node>, store: EtcdStore) -> Self {
         Self { node, store }
     }
@@ -34,24 +34,24 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        let keeping = Keeping {
+        let task = ViewManagerTask {
             node: Arc::clone(&self.node),
             store: self.store.clone(),
-            silent: HashMap::new(),
+            missed_probes: HashMap::new(),
         };
-        context.spawn(keeping.keep().into_actor(self));
+        context.spawn(task.run().into_actor(self));
     }
 }
 
-struct Keeping {
+struct ViewManagerTask {
     node: Arc<Node>,
     store: EtcdStore,
-    /// Looks in a row at which a member did not answer.
-    silent: HashMap<Member, u32>,
+    /// Number of consecutive unanswered probes of each member.
+    missed_probes: HashMap<Member, u32>,
 }
 
-impl Keeping {
-    async fn keep(mut self) {
+impl ViewManagerTask {
+    async fn run(mut self) {
         loop {
             if self.round().await.is_err() {
                 self.node.metrics.platform_errors.inc();
@@ -65,100 +65,104 @@
 
     async fn round(&mut self) -> Result<(), StoreError> {
         let stored = StoredViews::read(&self.store).await?;
-        if let Some(lost) = self.lost_view(&stored.record) {
-            return self.write_back(&stored, lost).await;
+        if let Some(lost) = self.view_lost_by_store(&stored.record) {
+            return self.restore_view(&stored, lost).await;
         }
-        self.follow(&stored.record);
+        self.apply_view(&stored.record);
         if !self.node.peers.follows_store() || self.node.is_stopping() {
             return Ok(());
         }
         match (&stored.record.active, &stored.record.prepared) {
-            (None, None) => self.begin(&stored).await,
+            (None, None) => self.prepare_first(&stored).await,
             (None, Some(first)) => self.complete_first(&stored, first).await,
-            (Some(active), None) => self.replace_lost(&stored, active).await,
-            (Some(active), Some(next)) => self.change(&stored, active, next).await,
+            (Some(active), None) => self.replace_lost_members(&stored, active).await,
+            (Some(active), Some(next)) => self.carry_out_change(&stored, active, next).await,
         }
     }
 
-    fn follow(&self, record: &ViewRecord) {
+    fn apply_view(&self, record: &ViewRecord) {
         let Some(active) = &record.active else {
             return;
         };
-        if !self.node.journal.use_view(active) {
+        if !self.node.journal.adopt_view(active) {
             return;
         }
         let number = i64::try_from(active.number.0).unwrap_or(i64::MAX);
         self.node.metrics.journal.view.set(number);
-        let names = active.members.iter().map(|it| it.member.node.as_str());
+        let names = active
+            .members
+            .iter()
+            .map(|entry| entry.member.node.as_str());
         let names = names.collect::<Vec<_>>().join(", ");
-        log::info!("at-most-once records: view {number} of {names}");
+        log::info!("at-most-once records: using view {number} with members {names}");
     }
 
-    /// The view in use here, if the store's is older: the store was restored from a copy that does not have it.
-    fn lost_view(&self, record: &ViewRecord) -> Option<Arc<PlacedView>> {
+    /// Returns the view in use at this node if the one in the store is older: the store was then
+    /// restored from a copy that does not contain the newer view.
+    fn view_lost_by_store(&self, record: &ViewRecord) -> Option<Arc<ViewWithAddresses>> {
         let stored = record.active.as_ref()?;
         self.node
             .journal
             .view()
-            .filter(|held| held.number > stored.number)
+            .filter(|current| current.number > stored.number)
     }
 
-    /// Makes a view that a restored store has lost the active one again: its replicas hold what tries have recorded.
-    async fn write_back(
+    /// Writes a view that a restored store has lost back as the active one: its replicas hold the
+    /// recorded attempts.
+    async fn restore_view(
         &self,
         stored: &StoredViews,
-        lost: Arc<PlacedView>,
+        lost: Arc<ViewWithAddresses>,
     ) -> Result<(), StoreError> {
         let record = ViewRecord {
-            active: Some(PlacedView::clone(&lost)),
+            active: Some(ViewWithAddresses::clone(&lost)),
             prepared: None,
         };
         if stored.replace(&self.store, &record).await? {
             let number = lost.number.0;
-            log::warn!(
-                "at-most-once records: the store had lost view {number}; it is written back"
-            );
+            log::warn!("at-most-once records: the store had lost view {number}; wrote it back");
         }
         Ok(())
     }
 
-    /// Prepares the first view. Its number follows the store's revision, so that it is above that of any
-    /// view whose record an operator has removed.
-    async fn begin(&self, stored: &StoredViews) -> Result<(), StoreError> {
+    /// Prepares the first view. Its number is derived from the store's revision, so that it is
+    /// above that of any view whose record an operator has removed.
+    async fn prepare_first(&self, stored: &StoredViews) -> Result<(), StoreError> {
         let number = ViewNumber(stored.revision.0).next();
         self.prepare(stored, None, number, Vec::new()).await
     }
 
-    /// Completes a first view, which has no records to take over. As long as it is not active,
-    /// nobody has used it, and another may take its place.
+    /// Completes a first view, which has no records to take over. While it is not active, nobody
+    /// has used it, and another view may replace it.
     async fn complete_first(
         &mut self,
         stored: &StoredViews,
-        first: &PlacedView,
+        first: &ViewWithAddresses,
     ) -> Result<(), StoreError> {
         let installs = first.members.iter().map(|member| {
             let request = JournalRequest::Install {
                 view: first.view(),
                 records: Records::default(),
             };
-            ask_member(&self.node, member, request)
+            call_member(&self.node, member, request)
         });
         let answers = join_all(installs).await.into_iter();
-        let votes = answers.filter(|it| matches!(it, Ok(JournalAnswer::Installed(true))));
-        if votes.count() >= QUORUM {
+        let installed =
+            answers.filter(|answer| matches!(answer, Ok(JournalAnswer::Installed(true))));
+        if installed.count() >= QUORUM {
             return self.activate(stored, first).await;
         }
         self.prepare(stored, None, first.number.next(), Vec::new())
             .await
     }
 
-    /// Prepares the next view if a member is lost and two are left to take the records from.
-    async fn replace_lost(
+    /// Prepares the next view if a member is lost and two are left to copy the records from.
+    async fn replace_lost_members(
         &mut self,
         stored: &StoredViews,
-        active: &PlacedView,
+        active: &ViewWithAddresses,
     ) -> Result<(), StoreError> {
-        let present = self.present(active).await;
+        let present = self.present_members(active).await;
         let lost = active.members.len() - present.len();
         let gauge = &self.node.metrics.journal.members_lost;
         let before = gauge.get();
@@ -168,7 +172,7 @@
         }
         if present.len() < QUORUM {
             if before < gauge.get() {
-                log::error!("at-most-once records: {lost} members of the view are lost");
+                log::error!("at-most-once records: {lost} members of the view are lost, no quorum");
             }
             return Ok(());
         }
@@ -176,53 +180,58 @@
         self.prepare(stored, Some(active), number, present).await
     }
 
-    async fn present(&mut self, view: &PlacedView) -> Vec<PlacedMember> {
+    async fn present_members(&mut self, view: &ViewWithAddresses) -> Vec<MemberWithAddress> {
         let node = Arc::clone(&self.node);
-        let looks = view.members.iter().map(|placed| look_at(&node, placed));
-        let looks = join_all(looks).await;
-        let members = view.members.iter().zip(looks);
-        let present = members.filter(|(placed, presence)| self.counts(&placed.member, *presence));
-        let present: Vec<PlacedMember> = present.map(|(placed, _)| placed.clone()).collect();
-        self.silent.retain(|member, _| view.view().has(member));
+        let probes = view
+            .members
+            .iter()
+            .map(|member| probe_member(&node, member));
+        let probes = join_all(probes).await;
+        let members = view.members.iter().zip(probes);
+        let present =
+            members.filter(|(member, presence)| self.record_probe(&member.member, *presence));
+        let present: Vec<MemberWithAddress> = present.map(|(member, _)| member.clone()).collect();
+        self.missed_probes
+            .retain(|member, _| view.view().has(member));
         present
     }
 
-    /// Whether a member counts as present after a look at it.
-    fn counts(&mut self, member: &Member, presence: Presence) -> bool {
-        let silent = self.silent.entry(member.clone()).or_default();
+    /// Records the result of a probe and returns whether the member counts as present.
+    fn record_probe(&mut self, member: &Member, presence: Presence) -> bool {
+        let missed_probes = self.missed_probes.entry(member.clone()).or_default();
         match presence {
-            Presence::Present => *silent = 0,
-            Presence::Gone => *silent = SILENT_LOOKS,
-            Presence::Silent => *silent += 1,
+            Presence::Present => *missed_probes = 0,
+            Presence::Gone => *missed_probes = MAX_MISSED_PROBES,
+            Presence::Unresponsive => *missed_probes += 1,
         }
-        *silent < SILENT_LOOKS
+        *missed_probes < MAX_MISSED_PROBES
     }
 
     async fn prepare(
         &self,
         stored: &StoredViews,
-        active: Option<&PlacedView>,
+        active: Option<&ViewWithAddresses>,
         number: ViewNumber,
-        keep: Vec<PlacedMember>,
+        keep: Vec<MemberWithAddress>,
     ) -> Result<(), StoreError> {
         let Some(members) = choose(&self.node, keep).await else {
             return Ok(());
         };
-        let held = self.node.journal.view().map(|view| view.number.next());
-        let number = held.map_or(number, |least| number.max(least));
+        let current = self.node.journal.view().map(|view| view.number.next());
+        let number = current.map_or(number, |minimum| number.max(minimum));
         let record = ViewRecord {
             active: active.cloned(),
-            prepared: Some(PlacedView { number, members }),
+            prepared: Some(ViewWithAddresses { number, members }),
         };
         stored.replace(&self.store, &record).await.map(|_| ())
     }
 
-    /// Carries out a change of view as far as it goes; the next round begins again.
-    async fn change(
+    /// Carries out a change of view as far as possible. The next round starts it again.
+    async fn carry_out_change(
         &mut self,
         stored: &StoredViews,
-        active: &PlacedView,
-        next: &PlacedView,
+        active: &ViewWithAddresses,
+        next: &ViewWithAddresses,
     ) -> Result<(), StoreError> {
         let mut change = ViewChange::new(active.view(), next.view());
         self.seal(&mut change, active).await;
@@ -232,7 +241,7 @@
         match change.step() {
             ChangeStep::Activate => self.activate(stored, next).await,
             ChangeStep::PrepareAnew => {
-                let present = self.present(active).await;
+                let present = self.present_members(active).await;
                 let number = next.number.next();
                 self.prepare(stored, Some(active), number, present).await
             }
@@ -240,7 +249,7 @@
         }
     }
 
-    async fn seal(&self, change: &mut ViewChange, active: &PlacedView) {
+    async fn seal(&self, change: &mut ViewChange, active: &ViewWithAddresses) {
         let request = JournalRequest::Seal {
             active: change.active().number,
             next: change.next().number,
@@ -248,41 +257,45 @@
         let seals = active
             .members
             .iter()
-            .map(|member| ask_member(&self.node, member, request.clone()));
+            .map(|member| call_member(&self.node, member, request.clone()));
         let answers = join_all(seals).await;
-        for (placed, answer) in active.members.iter().zip(answers) {
+        for (member, answer) in active.members.iter().zip(answers) {
             if let Ok(JournalAnswer::Sealed(reply)) = answer {
-                change.seal_reply(&placed.member, reply);
+                change.seal_reply(&member.member, reply);
             }
         }
     }
 
-    async fn install(&self, change: &mut ViewChange, next: &PlacedView, records: Records) {
+    async fn install(&self, change: &mut ViewChange, next: &ViewWithAddresses, records: Records) {
         let installs = next.members.iter().map(|member| {
             let request = JournalRequest::Install {
                 view: next.view(),
                 records: records.clone(),
             };
-            ask_member(&self.node, member, request)
+            call_member(&self.node, member, request)
         });
         let answers = join_all(installs).await;
-        for (placed, answer) in next.members.iter().zip(answers) {
+        for (member, answer) in next.members.iter().zip(answers) {
             match answer {
-                Ok(JournalAnswer::Installed(true)) => change.installed(&placed.member),
+                Ok(JournalAnswer::Installed(true)) => change.installed(&member.member),
                 Ok(JournalAnswer::Installed(false)) => change.refused(),
                 Ok(_) | Err(_) => {}
             }
         }
     }
 
-    async fn activate(&self, stored: &StoredViews, view: &PlacedView) -> Result<(), StoreError> {
+    async fn activate(
+        &self,
+        stored: &StoredViews,
+        view: &ViewWithAddresses,
+    ) -> Result<(), StoreError> {
         let record = ViewRecord {
             active: Some(view.clone()),
             prepared: None,
         };
         if stored.replace(&self.store, &record).await? {
             self.node.metrics.journal.view_changes.inc();
-            self.follow(&record);
+            self.apply_view(&record);
         }
         Ok(())
     }
--- a/crates/node/src/at_most_once/views.rs
+++ b/crates/node/src/at_most_once/views.rs
@@ -1,5 +1,5 @@
-//! The views as the store holds them: one small record, written by compare-and-swap when nodes come
-//! and go, and never for a request.
+//! The views in the store: one small record, written by compare-and-swap when nodes join or leave,
+//! and never for a request.
 
 use std::net::SocketAddr;
 
@@ -9,54 +9,54 @@
     Compare, EtcdStore, KeyValueStore, Operation, Revision, StoreError, Transaction,
 };
 
-/// Key of the record.
+/// Store key of the record.
 const VIEW_KEY: &str = "/tansyhall/journal/views";
 
-/// A member of a view and where it is reached.
+/// A member of a view and its address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacedMember {
+pub struct MemberWithAddress {
     /// The node in one incarnation.
     pub member: Member,
-    /// Where nodes reach it.
+    /// Address for requests from other nodes.
     pub peers: SocketAddr,
 }
 
-/// A view and where its members are reached.
+/// A view and the addresses of its members.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacedView {
-    /// Its number.
+pub struct ViewWithAddresses {
+    /// Number of the view.
     pub number: ViewNumber,
-    /// Its members.
-    pub members: [PlacedMember; VIEW_SIZE],
+    /// Members of the view.
+    pub members: [MemberWithAddress; VIEW_SIZE],
 }
 
-impl PlacedView {
-    /// The view without addresses.
+impl ViewWithAddresses {
+    /// Returns the view without addresses.
     pub fn view(&self) -> View {
         View {
             number: self.number,
-            members: self.members.clone().map(|placed| placed.member),
+            members: self.members.clone().map(|member| member.member),
         }
     }
 }
 
-/// What the store holds.
+/// Content of the record.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewRecord {
-    /// The view that tries use; absent until the first view is complete.
-    pub active: Option<PlacedView>,
-    /// The view that follows it.
-    pub prepared: Option<PlacedView>,
+    /// View that attempts use; absent until the first view is complete.
+    pub active: Option<ViewWithAddresses>,
+    /// View that is prepared to follow it.
+    pub prepared: Option<ViewWithAddresses>,
 }
 
-/// The record as it was read.
+/// The record as it was read from the store.
 #[derive(Debug, Clone, Default)]
 pub(super) struct StoredViews {
     /// The record.
     pub(super) record: ViewRecord,
-    /// When it was last written; absent if it never was.
+    /// Revision of its last write; absent if it was never written.
     modified: Option<Revision>,
-    /// The store's revision at the read.
+    /// Revision of the store at the time of the read.
     pub(super) revision: Revision,
 }
 
@@ -80,7 +80,8 @@
         })
     }
 
-    /// Replaces the record, if nobody has written it since it was read; returns whether it did.
+    /// Replaces the record unless it was written after it was read; returns whether it was
+    /// replaced.
     pub(super) async fn replace(
         &self,
         store: &EtcdStore,
--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -1,5 +1,6 @@
-//! What stands between a request's arrival and its first attempt: the body, the options, the
-//! class, the node's limits, and for a request that is not repeatable, permission to run.
+//! Steps between a request's arrival and its first attempt: reading the body and the options,
+//! classifying the request, applying this node's limits and, for a request that is not repeatable,
+//! acquiring a run permit.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +15,7 @@
 use tansyhall_policy::Class;
 use tansyhall_policy::RequestFacts;
 
-use super::at_most_once::Permission;
+use super::at_most_once::RunPermit;
 use super::driver::InProgress;
 use super::failure::Failure;
 use super::options::RequestOptions;
@@ -25,10 +26,11 @@
 use crate::limits::{tenant_of, Admission, Refusal, Variant};
 use crate::state::Node;
 
-/// When to come back to a node that has no configuration yet.
+/// Wait advised to callers while this node has no configuration.
 const UNCONFIGURED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Refuses a request while no configuration is in force: whether it could be served is not known yet.
+/// Rejects a request while no configuration is in force: the node cannot know yet whether it could
+/// serve the request.
 pub fn require_configuration(node: &Node) -> Result<(), Failure> {
     if node.in_force.load().configuration.revision > 0 {
         return Ok(());
@@ -50,17 +52,17 @@
         Ok(Ok(Ok(body))) => Ok(body),
         Ok(Ok(Err(error))) => {
             let message = format!("the body cannot be read: {error}");
-            Err(refused(node, "body", StatusCode::BAD_REQUEST, message))
+            Err(rejection(node, "body", StatusCode::BAD_REQUEST, message))
         }
         Ok(Err(_)) => {
-            let message = format!("the body passes {} bytes", limits.max_body_bytes);
+            let message = format!("the body exceeds {} bytes", limits.max_body_bytes);
             let status = StatusCode::PAYLOAD_TOO_LARGE;
-            Err(refused(node, "too-large", status, message))
+            Err(rejection(node, "too-large", status, message))
         }
         Err(_) => {
             let message = "the body did not arrive in time".to_owned();
             let status = StatusCode::REQUEST_TIMEOUT;
-            Err(refused(node, "slow-body", status, message))
+            Err(rejection(node, "slow-body", status, message))
         }
     }
 }
@@ -68,7 +70,7 @@
 /// Decodes a completion request's body.
 pub fn decode(node: &Node, body: &[u8]) -> Result<CallerRequest, Failure> {
     serde_json::from_slice(body).map_err(|error| {
-        refused(
+        rejection(
             node,
             "malformed",
             StatusCode::BAD_REQUEST,
@@ -77,49 +79,49 @@
     })
 }
 
-/// Reads a request's options.
+/// Parses a request's options.
 pub fn options(node: &Node, http: &HttpRequest) -> Result<RequestOptions, Failure> {
     RequestOptions::parse(http.headers())
-        .map_err(|error| refused(node, "option", StatusCode::BAD_REQUEST, error.to_string()))
+        .map_err(|error| rejection(node, "option", StatusCode::BAD_REQUEST, error.to_string()))
 }
 
-/// Counts and builds the failure of a request that is invalid as it stands.
-pub fn refused(node: &Node, reason: &str, status: StatusCode, message: String) -> Failure {
+/// Returns the failure of an invalid request and counts it in the metrics.
+pub fn rejection(node: &Node, reason: &str, status: StatusCode, message: String) -> Failure {
     node.metrics.refused.with_label_values(&[reason]).inc();
     Failure::invalid(status, message)
 }
 
-/// What a request's class and options together ask for.
-pub struct Terms {
-    /// The service asked.
+/// Parameters of a request that follow from its class and its options.
+pub struct RequestParams {
+    /// Requested service.
     pub service: ServiceName,
     /// Name of the request's class in the service's policy.
     pub class: Arc<str>,
     /// The caller's tenant, if it has one.
     pub tenant: Option<TenantName>,
-    /// When the whole answer is due.
+    /// Deadline of the complete answer.
     pub deadline: Timestamp,
-    /// Queue order.
+    /// Priority in the queue.
     pub priority: Priority,
-    /// Whether another attempt is allowed once the request may have run.
+    /// Whether the request may be attempted again after it may have run.
     pub repeatable: bool,
-    /// The version to prefer and the adapter to apply.
+    /// Preferred version and adapter to apply.
     pub variant: Variant,
-    /// Estimated tokens of the prompt; zero for an application's request.
+    /// Estimated number of prompt tokens; zero for an application's request.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer; zero for an application's request.
+    /// Maximum number of output tokens; zero for an application's request.
     pub output_tokens: u32,
 }
 
-/// Classifies a completion request.
-pub fn completion_terms(
+/// Classifies a completion request by its service's policy.
+pub fn classify_completion(
     node: &Node,
     http: &HttpRequest,
     body_bytes: usize,
     request: &CallerRequest,
     options: &RequestOptions,
     record: &RequestRecord,
-) -> Result<Terms, Failure> {
+) -> Result<RequestParams, Failure> {
     let service = service_of_model(node, &request.model)?;
     let tenant = tenant(node, http, &service)?;
     let prompt_tokens = estimate_tokens(&request.prompt.flattened());
@@ -133,28 +135,29 @@
         headers: &headers,
         ..RequestFacts::new(http.path(), u64::from(prompt_tokens))
     };
-    let mut terms = terms(node, http, service.clone(), &facts, options, record);
-    terms.tenant = tenant.clone();
+    let mut params = classify(node, http, service.clone(), &facts, options, record);
+    params.tenant = tenant.clone();
     if let (None, Some(priority)) = (options.priority, request.priority) {
-        terms.priority = priority;
+        params.priority = priority;
     }
-    Ok(terms)
+    Ok(params)
 }
 
-/// Classifies a request by its service's policy; the caller's options go before its class.
-pub fn terms(
+/// Classifies a request by its service's policy. The caller's options take precedence over the
+/// class.
+pub fn classify(
     node: &Node,
     http: &HttpRequest,
     service: ServiceName,
     facts: &RequestFacts<'_>,
     options: &RequestOptions,
     record: &RequestRecord,
-) -> Terms {
+) -> RequestParams {
     let program = node.in_force.load().program(&service);
     let class = program.classify(facts);
-    Terms {
+    RequestParams {
         class: Arc::clone(&class.name),
-        deadline: record.arrived + options.deadline.unwrap_or(class.deadline),
+        deadline: record.arrived_at + options.deadline.unwrap_or(class.deadline),
         priority: options.priority.unwrap_or_else(|| priority_of(class)),
         repeatable: class.repeatable && !options.not_repeatable,
         prompt_tokens: u32::try_from(facts.prompt_tokens).unwrap_or(u32::MAX),
@@ -165,7 +168,7 @@
     }
 }
 
-/// The caller's tenant, checked against the configuration.
+/// Returns the caller's tenant. Fails if the configuration does not contain it.
 pub fn tenant(
     node: &Node,
     http: &HttpRequest,
@@ -173,7 +176,7 @@
 ) -> Result<Option<TenantName>, Failure> {
     tenant_of(&node.in_force.load(), service, http.headers()).map_err(|error| {
         let status = StatusCode::BAD_REQUEST;
-        refused(node, "unknown-tenant", status, error.to_string())
+        rejection(node, "unknown-tenant", status, error.to_string())
     })
 }
 
@@ -183,7 +186,7 @@
     let service = pool.map(|pool| pool.service.clone());
     service.ok_or_else(|| {
         let message = format!("no pool loads the model {model}");
-        refused(node, "unknown-model", StatusCode::NOT_FOUND, message)
+        rejection(node, "unknown-model", StatusCode::NOT_FOUND, message)
     })
 }
 
@@ -195,33 +198,33 @@
     }
 }
 
-/// Admits a request to this node, and if it is not repeatable, asks for permission to run.
+/// Admits a request to this node. If the request is not repeatable and has an idempotency key,
+/// acquires its run permit.
 pub async fn admit(
     node: &Arc<Node>,
     record: &Arc<RequestRecord>,
-    terms: &Terms,
+    params: &RequestParams,
     options: &RequestOptions,
 ) -> Result<Arc<InProgress>, Failure> {
-    record.set_deadline(terms.deadline);
-    check_limits(node, &terms.service)?;
-    let asked = Admission::ask(node, terms);
-    let admission = asked.map_err(|refusal| over_limit(node, &terms.service, refusal))?;
-    let permission = match &options.idempotency_key {
-        Some(key) if !terms.repeatable => {
-            Some(Permission::acquire(node, &terms.service, key, record.id).await?)
+    record.set_deadline(params.deadline);
+    check_limits(node, &params.service)?;
+    let acquired = Admission::acquire(node, params);
+    let admission = acquired.map_err(|refusal| limit_failure(node, &params.service, refusal))?;
+    let permit = match &options.idempotency_key {
+        Some(key) if !params.repeatable => {
+            Some(RunPermit::acquire(node, &params.service, key, record.id).await?)
         }
         _ => None,
     };
-    let service = terms.service.clone();
+    let service = params.service.clone();
     let record = Arc::clone(record);
     let node = Arc::clone(node);
-    Ok(InProgress::begin(
-        node, record, service, permission, admission,
-    ))
+    Ok(InProgress::begin(node, record, service, permit, admission))
 }
 
-/// Counts and builds the failure of a request that its tenant's limits or the node's places refuse.
-fn over_limit(node: &Node, service: &ServiceName, refusal: Refusal) -> Failure {
+/// Returns the failure of a request refused by its tenant's limits or for lack of a slot, and
+/// counts it in the metrics.
+fn limit_failure(node: &Node, service: &ServiceName, refusal: Refusal) -> Failure {
     let reason = refusal.name();
     node.metrics.refused.with_label_values(&[reason]).inc();
     let advised = || node.callers.health.advised_wait(service);
@@ -251,16 +254,16 @@
     Ok(())
 }
 
-/// Begins a request's record and names the request.
-pub fn arrive(node: &Node) -> Arc<RequestRecord> {
+/// Assigns an identifier to a new request and creates its record.
+pub fn register_request(node: &Node) -> Arc<RequestRecord> {
     let id = new_request_id(node);
-    node.callers.requests.begin(id, node.clock.now())
+    node.callers.requests.create(id, node.clock.now())
 }
 
 /// Ends a request that failed before it was admitted.
-pub fn end_refused(node: &Node, record: &RequestRecord, failure: &Failure) {
-    let ending = super::requests::Ending::Failed(failure.clone());
-    if record.end(node.clock.now(), ending) {
+pub fn end_rejected(node: &Node, record: &RequestRecord, failure: &Failure) {
+    let outcome = super::requests::RequestOutcome::Failed(failure.clone());
+    if record.end(node.clock.now(), outcome) {
         node.metrics
             .requests
             .with_label_values(&[failure.verdict.name()])
--- a/crates/node/src/callers/application.rs
+++ b/crates/node/src/callers/application.rs
@@ -1,7 +1,8 @@
-//! Plain HTTP to application workers. Bodies are streamed both ways, and are never held whole.
+//! Forwards plain HTTP requests to application workers. Bodies are streamed in both directions and
+//! are never buffered completely.
 //!
-//! Nothing in a worker's answer names its request, so that each request has a connection of its own:
-//! what a worker says late or twice reaches no other caller.
+//! A worker's answer does not identify its request. Each request therefore uses its own connection,
+//! so that a late or repeated answer cannot reach another caller.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,17 +23,18 @@
 use tansyhall_engine::transport::{connector, never_sent};
 
 use super::admit::{
-    admit, arrive, end_refused, options, refused, require_configuration, tenant, terms, Terms,
+    admit, classify, end_rejected, options, register_request, rejection, require_configuration,
+    tenant, RequestParams,
 };
 use super::driver::InProgress;
-use super::failure::{answer_with, Failure};
+use super::failure::{response_builder, Failure};
 use super::replay::ReplayableBody;
-use super::requests::{Ending, RequestRecord};
+use super::requests::{RequestOutcome, RequestRecord};
 use crate::configuration::RequestHeaders;
 use crate::state::Node;
 use tansyhall_policy::RequestFacts;
 
-/// Headers that belong to one connection and are not forwarded.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [header::HeaderName; 8] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -44,7 +46,8 @@
     header::HOST,
 ];
 
-/// The client of one worker thread, with its pool of connections to application workers.
+/// Returns the HTTP client of one worker thread, with its pool of connections to application
+/// workers.
 pub fn client(limits: &Limits) -> awc::Client {
     let connector = connector(limits.connect_timeout, limits.max_backend_connections);
     awc::Client::builder()
@@ -55,7 +58,7 @@
         .finish()
 }
 
-/// Forwards a request to a worker of the application whose prefix matches.
+/// Forwards a request to a worker of the application whose path prefix matches.
 pub async fn forward(
     node: web::Data<Node>,
     client: web::Data<awc::Client>,
@@ -63,11 +66,11 @@
     payload: web::Payload,
 ) -> HttpResponse {
     let node = node.into_inner();
-    let record = arrive(&node);
+    let record = register_request(&node);
     match try_forward(&node, &client, &http, payload, &record).await {
         Ok(response) => response,
         Err(failure) => {
-            end_refused(&node, &record, &failure);
+            end_rejected(&node, &record, &failure);
             failure.response(record.id)
         }
     }
@@ -91,36 +94,37 @@
         headers: &headers,
         ..RequestFacts::new(http.path(), 0)
     };
-    let mut terms = terms(node, http, service.clone(), &facts, &options, record);
-    terms.tenant = tenant.clone();
-    terms.repeatable = terms.repeatable && is_safe(http.method());
+    let mut params = classify(node, http, service.clone(), &facts, &options, record);
+    params.tenant = tenant.clone();
+    params.repeatable = params.repeatable && is_safe(http.method());
     let max_bytes = node.settings.limits.max_forwarded_body_bytes;
     let length = content_length(http);
     if length.is_some_and(|length| length > max_bytes) {
-        let message = format!("the body passes {max_bytes} bytes");
+        let message = format!("the body exceeds {max_bytes} bytes");
         let status = StatusCode::PAYLOAD_TOO_LARGE;
-        return Err(refused(node, "too-large", status, message));
+        return Err(rejection(node, "too-large", status, message));
     }
-    let in_progress = admit(node, record, &terms, &options).await?;
+    let in_progress = admit(node, record, &params, &options).await?;
     let forwarding = Forwarding {
         node,
         client,
         http,
         body: ReplayableBody::new(payload, max_bytes),
         length,
-        terms,
+        params,
         record,
     };
     match forwarding.run().await {
         Ok((response, worker)) => Ok(respond(response, worker, in_progress)),
         Err(failure) => {
-            in_progress.end(Ending::Failed(failure.clone()));
+            in_progress.end(RequestOutcome::Failed(failure.clone()));
             Err(failure)
         }
     }
 }
 
-/// Whether the method only reads, so that a request may be sent again after it may have run.
+/// Returns whether the method only reads, so that a request may be sent again after it may have
+/// run.
 fn is_safe(method: &Method) -> bool {
     [Method::GET, Method::HEAD, Method::OPTIONS].contains(method)
 }
@@ -135,7 +139,7 @@
     let service = in_force.application(path);
     service.map(|service| service.name.clone()).ok_or_else(|| {
         let message = "no application serves this path".to_owned();
-        refused(node, "unknown-path", StatusCode::NOT_FOUND, message)
+        rejection(node, "unknown-path", StatusCode::NOT_FOUND, message)
     })
 }
 
@@ -145,33 +149,35 @@
     http: &'a HttpRequest,
     body: ReplayableBody,
     length: Option<u64>,
-    terms: Terms,
+    params: RequestParams,
     record: &'a RequestRecord,
 }
 
 impl Forwarding<'_> {
-    /// Attempts workers until one answers; returns its answer and address.
+    /// Sends the request to workers until one answers; returns the answer and the worker's address.
     async fn run(&self) -> Result<(ClientResponse, SocketAddr), Failure> {
-        let mut tried = Vec::new();
+        let mut tried_workers = Vec::new();
         let mut verdict = Verdict::NotRun {
             retry_after: self.advised_wait(),
         };
         loop {
-            let worker = self.choose(&tried, verdict)?;
-            self.record.attempted();
-            let Ok(sent) = timeout(self.remaining(), self.send(worker.address)).await else {
+            let worker = self.choose(&tried_workers, verdict)?;
+            self.record.count_attempt();
+            let Ok(send_result) = timeout(self.time_to_deadline(), self.send(worker.address)).await
+            else {
                 self.observe(worker.address, BreakerEvent::Failure);
                 let message = "the deadline passed before the worker answered";
                 return Err(Failure::may_have_run(StatusCode::GATEWAY_TIMEOUT, message));
             };
-            let error = match sent {
+            let error = match send_result {
                 Ok(response) => return Ok((response, worker.address)),
                 Err(error) => error,
             };
-            let failure = self.send_failed(&worker, &error, verdict);
+            let failure = self.handle_send_failure(&worker, &error, verdict);
             verdict = failure.verdict;
-            tried.push(worker.name);
-            self.wait_before_retry(&failure, tried.len()).await?;
+            tried_workers.push(worker.name);
+            self.wait_before_retry(&failure, tried_workers.len())
+                .await?;
         }
     }
 
@@ -197,10 +203,15 @@
         }
     }
 
-    fn send_failed(&self, worker: &Backend, error: &SendRequestError, before: Verdict) -> Failure {
+    fn handle_send_failure(
+        &self,
+        worker: &Backend,
+        error: &SendRequestError,
+        earlier_verdict: Verdict,
+    ) -> Failure {
         if self.body.is_too_large() {
-            let message = "the body passes the limit".to_owned();
-            let mut failure = refused(
+            let message = "the body exceeds the limit".to_owned();
+            let mut failure = rejection(
                 self.node,
                 "too-large",
                 StatusCode::PAYLOAD_TOO_LARGE,
@@ -209,12 +220,16 @@
             failure.verdict = Verdict::MayHaveRun;
             return failure;
         }
-        let unsent = never_sent(error);
-        let outcome = if unsent { "unreachable" } else { "broken" };
+        let was_never_sent = never_sent(error);
+        let outcome = if was_never_sent {
+            "unreachable"
+        } else {
+            "broken"
+        };
         let metrics = &self.node.metrics;
         metrics.attempts.with_label_values(&[outcome]).inc();
         self.observe(worker.address, BreakerEvent::Failure);
-        let (status, verdict) = if unsent {
+        let (status, verdict) = if was_never_sent {
             let retry_after = self.advised_wait();
             let not_run = Verdict::NotRun { retry_after };
             (StatusCode::SERVICE_UNAVAILABLE, not_run)
@@ -223,16 +238,16 @@
         };
         Failure {
             status,
-            verdict: before.after_attempt(verdict),
+            verdict: earlier_verdict.after_attempt(verdict),
             message: error.to_string(),
         }
     }
 
-    /// Waits for the next attempt if the verdict, the body, the limits and the retry budget allow
-    /// one; otherwise gives up at once.
+    /// Waits before the next attempt if the verdict, the body, the limits and the retry budget
+    /// allow one; otherwise returns the failure immediately.
     async fn wait_before_retry(&self, failure: &Failure, attempts: usize) -> Result<(), Failure> {
         let max_attempts = self.node.settings.limits.max_attempts as usize;
-        let allowed = failure.verdict.allows_retry(self.terms.repeatable)
+        let allowed = failure.verdict.allows_retry(self.params.repeatable)
             && !self.body.is_started()
             && attempts < max_attempts;
         if !allowed {
@@ -241,20 +256,20 @@
         let now = self.node.clock.now();
         let retry = u32::try_from(attempts - 1).unwrap_or(u32::MAX);
         let health = &self.node.callers.health;
-        let wait = health.retry(&self.node.metrics, now, retry);
+        let wait = health.request_retry(&self.node.metrics, now, retry);
         let wait = wait.ok_or_else(|| failure.clone())?;
-        sleep(wait.min(self.remaining())).await;
+        sleep(wait.min(self.time_to_deadline())).await;
         Ok(())
     }
 
-    /// A worker that is not leaving, has not been tried and whose breaker admits an attempt, at
-    /// random.
-    fn choose(&self, tried: &[EngineName], verdict: Verdict) -> Result<Backend, Failure> {
+    /// Chooses at random a worker that is not leaving, has not been tried and whose circuit breaker
+    /// admits an attempt.
+    fn choose(&self, tried_workers: &[EngineName], verdict: Verdict) -> Result<Backend, Failure> {
         let in_force = self.node.in_force.load();
-        let pools = in_force.pools_of_service(&self.terms.service);
+        let pools = in_force.pools_of_service(&self.params.service);
         let workers = pools.flat_map(|pool| &pool.backends);
         let mut workers: Vec<&Backend> = workers
-            .filter(|worker| !tried.contains(&worker.name))
+            .filter(|worker| !tried_workers.contains(&worker.name))
             .filter(|worker| !self.node.peers.is_backend_leaving(&worker.name))
             .collect();
         let mut probe_in: Option<Duration> = None;
@@ -275,13 +290,13 @@
         })
     }
 
-    fn remaining(&self) -> Duration {
-        self.terms.deadline.since(self.node.clock.now())
+    fn time_to_deadline(&self) -> Duration {
+        self.params.deadline.since(self.node.clock.now())
     }
 
     fn advised_wait(&self) -> Duration {
         let health = &self.node.callers.health;
-        health.advised_wait(&self.terms.service)
+        health.advised_wait(&self.params.service)
     }
 
     fn observe(&self, address: SocketAddr, event: BreakerEvent) -> BreakerDecision {
@@ -291,7 +306,7 @@
     }
 }
 
-/// Answers of a worker that cannot do its work, though it can be reached.
+/// Returns whether the status means that a worker can be reached but cannot do its work.
 fn is_worker_fault(status: StatusCode) -> bool {
     matches!(
         status,
@@ -314,7 +329,7 @@
     node.callers
         .health
         .observe(&node.metrics, worker, now, event);
-    let mut answer = answer_with(response.status(), in_progress.id(), Verdict::Completed);
+    let mut answer = response_builder(response.status(), in_progress.id(), Verdict::Completed);
     for (name, value) in response.headers() {
         if !HOP_BY_HOP.contains(name) {
             answer.append_header((name.clone(), value.clone()));
@@ -327,7 +342,7 @@
     let body = WorkerBody {
         response,
         in_progress,
-        left: length,
+        remaining_bytes: length,
     };
     let body = futures_util::stream::unfold(Some(body), WorkerBody::read_next);
     match length {
@@ -336,12 +351,13 @@
     }
 }
 
-/// The worker's body on its way to the caller; its end, whole or broken, ends the request.
+/// The worker's body while it is streamed to the caller. The request ends with the body, whether
+/// the body is complete or broken.
 struct WorkerBody {
     response: ClientResponse,
     in_progress: Arc<InProgress>,
-    /// Bytes still to come, if the worker said how many there are.
-    left: Option<u64>,
+    /// Number of bytes still expected, if the worker sent a content length.
+    remaining_bytes: Option<u64>,
 }
 
 type BodyItem = Result<Bytes, std::io::Error>;
@@ -351,27 +367,29 @@
         let mut body = state?;
         match body.response.next().await {
             Some(Ok(bytes)) => {
-                body.count(bytes.len() as u64);
+                body.count_bytes(bytes.len() as u64);
                 Some((Ok(bytes), Some(body)))
             }
             Some(Err(error)) => {
-                let message = format!("the worker's answer broke off: {error}");
+                let message = format!("the worker's answer was interrupted: {error}");
                 let failure = Failure::may_have_run(StatusCode::BAD_GATEWAY, message.clone());
-                body.in_progress.end(Ending::Failed(failure));
+                body.in_progress.end(RequestOutcome::Failed(failure));
                 Some((Err(std::io::Error::other(message)), None))
             }
             None => {
-                body.in_progress.end(Ending::Completed);
+                body.in_progress.end(RequestOutcome::Completed);
                 None
             }
         }
     }
 
-    /// Ends the request with the last byte: nobody may ask for what comes after it.
-    fn count(&mut self, bytes: u64) {
-        self.left = self.left.map(|left| left.saturating_sub(bytes));
-        if self.left == Some(0) {
-            self.in_progress.end(Ending::Completed);
+    /// Ends the request with the last byte: the body may not be polled again after it.
+    fn count_bytes(&mut self, bytes: u64) {
+        self.remaining_bytes = self
+            .remaining_bytes
+            .map(|remaining_bytes| remaining_bytes.saturating_sub(bytes));
+        if self.remaining_bytes == Some(0) {
+            self.in_progress.end(RequestOutcome::Completed);
         }
     }
 }
--- a/crates/node/src/callers/at_most_once.rs
+++ b/crates/node/src/callers/at_most_once.rs
@@ -1,7 +1,7 @@
-//! Permission to run a request that is marked as not repeatable. Such a request asks here before
-//! it is sent to any back end: first in this node's own table, then, under a caller's key, on the
-//! replicas of the at-most-once records. A request without a key needs no record, since no other
-//! try of it can be told from a new request.
+//! Run permits of requests that are marked as not repeatable. Such a request needs a permit before
+//! it is sent to any back end: first from this node's own table and then, under the caller's
+//! idempotency key, from the replicas of the at-most-once records. A request without a key needs no
+//! record, since another attempt of it cannot be distinguished from a new request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,29 +12,29 @@
 
 use super::failure::Failure;
 use super::options::IdempotencyKey;
-use super::origin::ask_peers;
+use super::origin::query_peers;
 use super::requests::{answer_path, status_path, RequestState, RequestStatus};
-use crate::at_most_once::{record, record_key, Denied, RecordedTry};
+use crate::at_most_once::{record_attempt, record_key, Denied, RecordedAttempt};
 use crate::state::Node;
 
-/// When to come back if the table of permissions is full.
-const FULL_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Wait advised to callers while the permit table is full.
+const TABLE_FULL_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 #[derive(Debug, Clone, Copy)]
-struct Permitted {
+struct PermitEntry {
     request: RequestId,
-    at: Timestamp,
+    granted_at: Timestamp,
 }
 
-/// The permissions given lately, by idempotency key.
+/// Recently granted permits, by idempotency key.
 #[derive(Debug)]
-pub struct RunPermits {
-    permits: Sharded<IdempotencyKey, Permitted>,
+pub struct RunPermitTable {
+    permits: Sharded<IdempotencyKey, PermitEntry>,
     retention: Duration,
 }
 
-impl RunPermits {
-    /// An empty table for `capacity` keys, each kept for `retention`.
+impl RunPermitTable {
+    /// Returns an empty table for at most `capacity` keys, each kept for `retention`.
     pub fn new(capacity: usize, retention: Duration) -> Self {
         Self {
             permits: Sharded::with_capacity_limit(capacity),
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Asks for permission to run. Fails if a request with this key was permitted before, or if
-    /// the permission cannot be recorded; the request was not run then and must not be.
+    /// Grants a permit. Fails if a request with this key was granted one before or if the permit
+    /// cannot be recorded; the request was not run in that case and must not be.
     pub fn acquire(
         &self,
         key: &IdempotencyKey,
@@ -58,10 +58,13 @@
             );
             return Err(Failure::may_have_run(StatusCode::CONFLICT, message));
         }
-        let permitted = Permitted { request, at: now };
-        match self.permits.insert(key.clone(), permitted) {
+        let entry = PermitEntry {
+            request,
+            granted_at: now,
+        };
+        match self.permits.insert(key.clone(), entry) {
             Ok(None) => Ok(()),
-            // Another thread was faster with the same key.
+            // Another thread inserted the same key first.
             Ok(Some(other)) => {
                 let _ = self.permits.insert(key.clone(), other);
                 let message = "a request with this idempotency key is being accepted";
@@ -69,21 +72,21 @@
             }
             Err(_) => Err(Failure::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "no more idempotency keys can be recorded now",
-                FULL_RETRY_AFTER,
+                "the table of idempotency keys is full",
+                TABLE_FULL_RETRY_AFTER,
             )),
         }
     }
 
-    /// Gives a permission back if the request ended without having run, so that a later try may.
-    pub fn settle(&self, key: &IdempotencyKey, request: RequestId, verdict: Verdict) {
+    /// Removes the permit if the request ended without having run, so that a later attempt may run.
+    pub fn release_if_not_run(&self, key: &IdempotencyKey, request: RequestId, verdict: Verdict) {
         if matches!(verdict, Verdict::NotRun { .. }) {
-            self.forget(key, request);
+            self.remove(key, request);
         }
     }
 
-    /// Forgets the permission of a request that will never run.
-    fn forget(&self, key: &IdempotencyKey, request: RequestId) {
+    /// Removes the permit of a request that will never run.
+    fn remove(&self, key: &IdempotencyKey, request: RequestId) {
         self.permits.with(key, |shard| {
             if shard.get(key).is_some_and(|held| held.request == request) {
                 shard.remove(key);
@@ -91,23 +94,23 @@
         });
     }
 
-    /// Forgets permissions older than the retention time.
+    /// Removes permits older than the retention time.
     pub fn sweep(&self, now: Timestamp) {
         self.permits
-            .retain(|_, permitted| now.since(permitted.at) <= self.retention);
+            .retain(|_, entry| now.since(entry.granted_at) <= self.retention);
     }
 }
 
-/// Permission to run the request with a caller's key.
+/// Permit to run the request with a caller's idempotency key.
 #[derive(Debug)]
-pub struct Permission {
+pub struct RunPermit {
     key: IdempotencyKey,
-    /// The record on the replicas, if records are replicated.
-    recorded: Option<RecordedTry>,
+    /// Record on the replicas, if records are replicated.
+    recorded: Option<RecordedAttempt>,
 }
 
-impl Permission {
-    /// Asks for permission, at this node and then on the replicas.
+impl RunPermit {
+    /// Acquires a permit at this node and then on the replicas.
     pub async fn acquire(
         node: &Arc<Node>,
         service: &ServiceName,
@@ -116,42 +119,42 @@
     ) -> Result<Self, Failure> {
         let permits = &node.callers.run_permits;
         permits.acquire(key, request, node.clock.now())?;
-        let mut permission = Self {
+        let mut permit = Self {
             key: key.clone(),
             recorded: None,
         };
         if !node.settings.journal.is_replicated() {
-            return Ok(permission);
+            return Ok(permit);
         }
-        match record(node, record_key(service, key.as_str()), request).await {
+        match record_attempt(node, record_key(service, key.as_str()), request).await {
             Ok(recorded) => {
-                permission.recorded = Some(recorded);
-                Ok(permission)
+                permit.recorded = Some(recorded);
+                Ok(permit)
             }
             Err(denied) => {
-                permits.forget(key, request);
-                Err(denial(node, denied).await)
+                permits.remove(key, request);
+                Err(denial_failure(node, denied).await)
             }
         }
     }
 
-    /// Gives the permission back if the request ended without having run.
-    pub fn settle(&self, node: &Arc<Node>, request: RequestId, verdict: Verdict) {
+    /// Releases the permit if the request ended without having run.
+    pub fn release_if_not_run(&self, node: &Arc<Node>, request: RequestId, verdict: Verdict) {
         let permits = &node.callers.run_permits;
-        permits.settle(&self.key, request, verdict);
+        permits.release_if_not_run(&self.key, request, verdict);
         if let (Verdict::NotRun { .. }, Some(recorded)) = (verdict, &self.recorded) {
             recorded.release(node);
         }
     }
 }
 
-/// What the caller of a request that may not run is told.
-async fn denial(node: &Node, denied: Denied) -> Failure {
+/// Returns the failure that the caller of a request without a permit gets.
+async fn denial_failure(node: &Node, denied: Denied) -> Failure {
     match denied {
         Denied::NoQuorum => Failure::may_have_run(
             StatusCode::SERVICE_UNAVAILABLE,
-            "too few replicas can record this request: it was not run by this try, and an earlier \
-             try with the same key may have run",
+            "too few replicas can record this request: this attempt did not run it, but an \
+             earlier attempt with the same key may have run",
         ),
         Denied::Duplicate { holder: None } => Failure::may_have_run(
             StatusCode::CONFLICT,
@@ -159,22 +162,24 @@
         ),
         Denied::Duplicate {
             holder: Some(holder),
-        } => duplicate(node, holder).await,
+        } => duplicate_failure(node, holder).await,
     }
 }
 
-/// What is known of the request that holds the key.
-async fn duplicate(node: &Node, holder: RequestId) -> Failure {
+/// Returns the failure of a duplicate, with what is known about the request that holds the key.
+async fn duplicate_failure(node: &Node, holder: RequestId) -> Failure {
     let earlier = format!("a request with this idempotency key was accepted before, as {holder}");
-    let known = match ask_peers(node, holder).await {
+    let known = match query_peers(node, holder).await {
         StatusAnswer::Known(resource) => serde_json::from_slice::<RequestStatus>(&resource).ok(),
         StatusAnswer::Unknown | StatusAnswer::Unreachable => None,
     };
     let Some(status) = known else {
-        let message = format!("{earlier}, and may have run; the node that serves it is not known or cannot be reached");
+        let message = format!(
+            "{earlier}, and may have run; the node that serves it is unknown or cannot be reached"
+        );
         return Failure::may_have_run(StatusCode::CONFLICT, message);
     };
-    let (verdict, how) = match status.state {
+    let (verdict, description) = match status.state {
         RequestState::Queued | RequestState::Running | RequestState::Late => {
             let path = status_path(holder);
             (Verdict::MayHaveRun, format!("is in progress: see {path}"))
@@ -187,7 +192,8 @@
             )
         }
         RequestState::Completed => (Verdict::Completed, "has run".to_owned()),
-        // Its record has not been given back, so that nothing better than this is certain.
+        // The record of the earlier request has not been released, so it is only certain that the
+        // request may have run.
         RequestState::NotRun | RequestState::MayHaveRun => {
             (Verdict::MayHaveRun, "may have run".to_owned())
         }
@@ -195,6 +201,6 @@
     Failure {
         status: StatusCode::CONFLICT,
         verdict,
-        message: format!("{earlier}, and {how}"),
+        message: format!("{earlier}, and {description}"),
     }
 }
--- a/crates/node/src/callers/attempt.rs
+++ b/crates/node/src/callers/attempt.rs
@@ -1,5 +1,5 @@
-//! One request carried through as many attempts as it takes and its verdict allows. A stream that
-//! breaks is resumed at another engine from the tokens already delivered.
+//! Runs one request with as many attempts as are necessary and its verdict allows. If a stream
+//! breaks, the request is resumed at another engine after the tokens already delivered.
 
 mod connect;
 
@@ -18,21 +18,21 @@
 
 use super::failure::Failure;
 use super::requests::RequestRecord;
-use super::watch::watched;
+use super::watch::await_with_stall_check;
 use crate::dispatch::{InFlight, RequestClass};
 use crate::state::Node;
 
-/// What is known of a request before its first attempt.
-pub struct Plan {
-    /// The service asked, and the request's class in its policy.
+/// What is known about a request before its first attempt.
+pub struct RequestContext {
+    /// Requested service, and the request's class in the service's policy.
     pub class: RequestClass,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// The prompt's blocks, as engines name them in their cache events.
+    /// Block hashes of the prompt, as engines report them in their cache events.
     pub blocks: Vec<BlockHash>,
     /// Whether the request may be attempted again after it may have run.
     pub repeatable: bool,
-    /// When the whole answer is due.
+    /// Deadline of the complete answer.
     pub deadline: Timestamp,
     /// The request's record.
     pub record: Arc<RequestRecord>,
@@ -42,88 +42,94 @@
     stream: EngineStream,
     engine: Backend,
     in_flight: InFlight,
-    /// The engine that generates the answer after this one has prefilled the prompt.
+    /// Engine that generates the answer after this one has prefilled the prompt.
     decode: Option<Backend>,
 }
 
-/// A request whose prompt is prefilled, on its way to the engine that generates the answer.
-struct HandOver {
+/// A request whose prompt is prefilled and that continues at the engine that generates the answer.
+struct DecodeHandoff {
     source: Backend,
     target: Backend,
 }
 
-/// What was expected of the first attempt.
-struct Expectation {
-    sent: Timestamp,
+/// Predicted latency of the first attempt.
+struct LatencyPrediction {
+    sent_at: Timestamp,
     predicted: Duration,
 }
 
-/// Why an engine ended an answer that has as many tokens as it was asked for.
-const FINISHED_BY_LENGTH: &str = "length";
+/// Finish reason of an answer that has the requested number of tokens.
+const FINISH_REASON_LENGTH: &str = "length";
 
-/// A completion under way. Dropping it cancels the work at its engine.
+/// A completion in progress. Dropping it cancels the work at its engine.
 pub struct Execution {
     node: Arc<Node>,
     client: EngineClient,
     request: EngineRequest,
-    plan: Plan,
+    context: RequestContext,
     verdict: Verdict,
     attempts: u32,
     excluded: Vec<EngineName>,
-    /// The engine that was sent the request and has not answered yet.
-    unanswered: Option<SocketAddr>,
+    /// Engine that was sent the request and has not answered yet.
+    pending_engine: Option<SocketAddr>,
     current: Option<Attempt>,
-    hand_over: Option<HandOver>,
-    expectation: Option<Expectation>,
+    handoff: Option<DecodeHandoff>,
+    prediction: Option<LatencyPrediction>,
 }
 
 impl Execution {
-    /// A completion that has not been sent anywhere yet.
-    pub fn new(node: Arc<Node>, client: EngineClient, request: EngineRequest, plan: Plan) -> Self {
+    /// Returns a completion that has not been sent to any engine yet.
+    pub fn new(
+        node: Arc<Node>,
+        client: EngineClient,
+        request: EngineRequest,
+        context: RequestContext,
+    ) -> Self {
         let verdict = Verdict::NotRun {
-            retry_after: node.callers.health.advised_wait(&plan.class.service),
+            retry_after: node.callers.health.advised_wait(&context.class.service),
         };
         Self {
             node,
             client,
             request,
-            plan,
+            context,
             verdict,
             attempts: 0,
             excluded: Vec::new(),
-            unanswered: None,
+            pending_engine: None,
             current: None,
-            hand_over: None,
-            expectation: None,
+            handoff: None,
+            prediction: None,
         }
     }
 
-    /// The next chunk of the answer, or `None` after the last one.
+    /// Returns the next chunk of the answer, or `None` after the last one.
     pub async fn next(&mut self) -> Result<Option<EngineChunk>, Failure> {
         loop {
             let Some(attempt) = &mut self.current else {
-                match self.hand_over.take() {
-                    Some(hand_over) => self.continue_at(hand_over).await?,
+                match self.handoff.take() {
+                    Some(handoff) => self.continue_at_decode_engine(handoff).await?,
                     None => self.connect().await?,
                 }
                 continue;
             };
             let address = attempt.engine.address;
             let stall = self.node.settings.limits.engine_stall;
-            let chunk = watched(&self.client, address, stall, attempt.stream.next()).await;
+            let chunk =
+                await_with_stall_check(&self.client, address, stall, attempt.stream.next()).await;
             match chunk {
-                Ok(chunk) => return Ok(chunk.map(|chunk| self.progressed(chunk))),
-                Err(error) => self.broke_off(&error).await?,
+                Ok(chunk) => return Ok(chunk.map(|chunk| self.process_chunk(chunk))),
+                Err(error) => self.handle_broken_stream(&error).await?,
             }
         }
     }
 
-    /// Notes a chunk and returns it as the caller gets it.
-    fn progressed(&mut self, mut chunk: EngineChunk) -> EngineChunk {
+    /// Records a chunk and returns it in the form that the caller gets.
+    fn process_chunk(&mut self, mut chunk: EngineChunk) -> EngineChunk {
         let tokens = chunk.token_index.saturating_add(chunk.tokens);
-        self.plan.record.generated(tokens);
+        self.context.record.set_generated_tokens(tokens);
         if let Some(attempt) = &self.current {
-            attempt.in_flight.first_token();
+            attempt.in_flight.record_first_token();
         }
         let Some(reason) = &chunk.finish_reason else {
             return chunk;
@@ -132,57 +138,59 @@
             return chunk;
         };
         self.observe(attempt.engine.address, BreakerEvent::Success);
-        let whole = reason != FINISHED_BY_LENGTH || tokens >= self.request.max_tokens;
+        let is_complete = reason != FINISH_REASON_LENGTH || tokens >= self.request.max_tokens;
         match attempt.decode {
-            Some(target) if !whole => {
+            Some(target) if !is_complete => {
                 self.request.resume_after = tokens;
                 let source = attempt.engine;
-                self.hand_over = Some(HandOver { source, target });
+                self.handoff = Some(DecodeHandoff { source, target });
                 chunk.finish_reason = None;
             }
-            _ => self.completed(tokens),
+            _ => self.record_completion(tokens),
         }
         chunk
     }
 
-    /// Learns from a whole answer.
-    fn completed(&mut self, tokens: u32) {
+    /// Updates the expected lengths and the accuracy of predictions with a complete answer.
+    fn record_completion(&mut self, tokens: u32) {
         let lengths = &self.node.dispatch.lengths;
-        lengths.learn(&self.plan.class, tokens);
-        if let Some(expectation) = self.expectation.take() {
-            let actual = self.node.clock.now().since(expectation.sent);
-            let ratio = actual.as_secs_f64() / expectation.predicted.as_secs_f64();
+        lengths.learn(&self.context.class, tokens);
+        if let Some(prediction) = self.prediction.take() {
+            let actual = self.node.clock.now().since(prediction.sent_at);
+            let ratio = actual.as_secs_f64() / prediction.predicted.as_secs_f64();
             self.node.metrics.prediction_ratio.observe(ratio);
         }
     }
 
-    /// Ends the present attempt after its stream broke, and prepares to resume elsewhere.
-    async fn broke_off(&mut self, error: &EngineError) -> Result<(), Failure> {
+    /// Ends the current attempt after its stream broke, and prepares to resume at another engine.
+    async fn handle_broken_stream(&mut self, error: &EngineError) -> Result<(), Failure> {
         let Some(attempt) = self.current.take() else {
             return Ok(());
         };
         self.request.resume_after = attempt.stream.next_token();
-        self.expectation = None;
+        self.prediction = None;
         self.cancel_at(attempt.engine.address);
-        self.attempt_failed(&attempt.engine, error).await?;
+        self.handle_attempt_failure(&attempt.engine, error).await?;
         self.node.metrics.resumed.inc();
         Ok(())
     }
 
-    /// Records a failed attempt and waits before the next; an error ends the request.
-    async fn attempt_failed(
+    /// Records a failed attempt and waits before the next one. Returns an error if the request ends
+    /// here.
+    async fn handle_attempt_failure(
         &mut self,
         engine: &Backend,
         error: &EngineError,
     ) -> Result<(), Failure> {
         self.count_failure(engine, error);
-        self.verdict = self.verdict.after_attempt(self.outcome(error));
+        self.verdict = self.verdict.after_attempt(self.verdict_of_error(error));
         if let EngineError::Rejected { status, message } = error {
             let status = StatusCode::from_u16(*status).unwrap_or(StatusCode::BAD_REQUEST);
             return Err(self.failure(status, message.clone(), self.verdict));
         }
         if let EngineError::Unavailable(_) = error {
-            // Nothing was run and nobody is to blame: this is no retry, only a wait.
+            // The engine ran nothing and did not fail: this is only a wait and does not count as an
+            // attempt.
             self.attempts -= 1;
             return Ok(());
         }
@@ -195,16 +203,16 @@
         Ok(())
     }
 
-    /// The wait before the next attempt, or `None` if none is allowed.
+    /// Returns the wait before the next attempt, or `None` if no further attempt is allowed.
     fn wait_before_retry(&self) -> Option<Duration> {
         let max_attempts = self.node.settings.limits.max_attempts;
-        let allowed = self.verdict.allows_retry(self.plan.repeatable);
+        let allowed = self.verdict.allows_retry(self.context.repeatable);
         if !allowed || self.attempts >= max_attempts {
             return None;
         }
         let now = self.node.clock.now();
         let health = &self.node.callers.health;
-        health.retry(&self.node.metrics, now, self.attempts.saturating_sub(1))
+        health.request_retry(&self.node.metrics, now, self.attempts.saturating_sub(1))
     }
 
     fn count_failure(&self, engine: &Backend, error: &EngineError) {
@@ -215,7 +223,7 @@
         }
         if let EngineError::Unavailable(_) = error {
             let now = self.node.clock.now();
-            self.node.callers.health.pause(engine.address, now);
+            self.node.callers.health.start_backoff(engine.address, now);
         }
         let event = match error {
             EngineError::Unavailable(_)
@@ -228,7 +236,7 @@
         self.observe(engine.address, event);
     }
 
-    fn outcome(&self, error: &EngineError) -> Verdict {
+    fn verdict_of_error(&self, error: &EngineError) -> Verdict {
         match error {
             EngineError::Rejected { .. } => Verdict::NotRun {
                 retry_after: Duration::ZERO,
@@ -240,15 +248,15 @@
         }
     }
 
-    fn remaining(&self) -> Duration {
-        self.plan.deadline.since(self.node.clock.now())
+    fn time_to_deadline(&self) -> Duration {
+        self.context.deadline.since(self.node.clock.now())
     }
 
     fn advised_wait(&self) -> Duration {
         self.node
             .callers
             .health
-            .advised_wait(&self.plan.class.service)
+            .advised_wait(&self.context.class.service)
     }
 
     fn observe(&self, address: SocketAddr, event: BreakerEvent) -> BreakerDecision {
@@ -257,7 +265,7 @@
         health.observe(&self.node.metrics, address, now, event)
     }
 
-    /// A failure with `verdict`, unless the request may have run before.
+    /// Returns a failure with `verdict`, unless an earlier attempt may have run.
     fn failure(&self, status: StatusCode, message: String, verdict: Verdict) -> Failure {
         Failure {
             status,
@@ -270,7 +278,7 @@
         let client = self.client.clone();
         let request_id = self.request.request_id.clone();
         actix_rt::spawn(async move {
-            // An engine that cannot be reached has nothing to cancel that anyone waits for.
+            // If the engine cannot be reached, nobody waits for the work that would be cancelled.
             let _ = client.cancel(address, &request_id).await;
         });
     }
@@ -279,7 +287,7 @@
 impl Drop for Execution {
     fn drop(&mut self) {
         let current = self.current.as_ref().map(|attempt| attempt.engine.address);
-        if let Some(address) = current.or(self.unanswered) {
+        if let Some(address) = current.or(self.pending_engine) {
             self.cancel_at(address);
         }
     }
--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -1,5 +1,6 @@
-//! Chooses the engine, or the pair of engines, for the next attempt of a request. The decision is
-//! [`tansyhall_routing::choose`]; here it is told which engines may be used at all.
+//! Chooses the engine, or the pair of engines, for the next attempt of a request.
+//! [`tansyhall_routing::choose`] makes the decision; this module determines which engines may be
+//! used.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -13,51 +14,53 @@
 use tansyhall_routing::{ChoiceSettings, EngineEstimate, Placement, RequestEstimate};
 
 use super::failure::Failure;
-use crate::dispatch::{followed, InFlight};
+use crate::dispatch::{followed_engine_names, InFlight};
 use crate::state::Node;
 
 /// A request that needs an engine.
-pub struct Question<'a> {
-    /// The model to run.
+pub struct EngineQuery<'a> {
+    /// Model to run.
     pub model: &'a ModelName,
-    /// Engines that failed the request before.
+    /// Engines that have already failed the request.
     pub excluded: &'a [EngineName],
-    /// What the request asks of an engine.
+    /// Estimated work of the request.
     pub request: RequestEstimate,
-    /// The prompt's blocks.
+    /// Block hashes of the prompt.
     pub blocks: &'a [BlockHash],
-    /// Seconds to its deadline; infinite for a request that is to be finished however late.
+    /// Seconds until the deadline; infinite for a request that is to be finished however late it
+    /// is.
     pub time_left: f64,
 }
 
 /// The engines chosen for an attempt.
-pub struct Chosen {
-    /// The engine that is sent the request first.
+pub struct ChosenEngines {
+    /// Engine that is sent the request first.
     pub engine: Backend,
-    /// The request, counted at that engine already.
+    /// The request, already counted at that engine.
     pub in_flight: InFlight,
-    /// The engine that generates the answer once the first one has prefilled the prompt, if that is
-    /// another one.
+    /// Engine that generates the answer after the first one has prefilled the prompt, if it is a
+    /// different one.
     pub decode: Option<Backend>,
-    /// Expected time to the last token.
+    /// Predicted time to the last token.
     pub predicted: Duration,
 }
 
-/// What to do about the next attempt.
+/// How to proceed with the next attempt.
 pub enum Choice {
-    /// Make it.
-    Attempt(Box<Chosen>),
-    /// No engine accepts work now, but one is about to: it is changing, or ends its work first.
+    /// Send the request to these engines.
+    Attempt(Box<ChosenEngines>),
+    /// No engine accepts work now, but one is expected to do so soon: it is being changed or
+    /// finishes its current work first.
     Wait,
 }
 
-/// Chooses among the engines that load the model. Fails at once if none can make the deadline, or
-/// none accepts work and none is about to.
-pub fn choose(node: &Arc<Node>, question: &Question) -> Result<Choice, ChoiceError> {
-    let candidates = Candidates::collect(node, question)?;
+/// Chooses among the engines that load the model. Fails immediately if no engine can meet the
+/// deadline, or if no engine accepts work and none is expected to do so soon.
+pub fn choose(node: &Arc<Node>, query: &EngineQuery) -> Result<Choice, ChoiceError> {
+    let candidates = Candidates::collect(node, query)?;
     let settings = ChoiceSettings::default();
     let rates = &node.dispatch.rates;
-    let (request, time_left) = (&question.request, question.time_left);
+    let (request, time_left) = (&query.request, query.time_left);
     let estimates = &candidates.estimates;
     let choice = tansyhall_routing::choose(rates, &settings, estimates, request, time_left);
     let count = |name| node.metrics.choices.with_label_values(&[name]).inc();
@@ -68,9 +71,9 @@
         } => (placement, prediction),
         tansyhall_routing::Choice::Refuse { retry_after } => {
             count("refused");
-            return Err(ChoiceError::TooLate { retry_after });
+            return Err(ChoiceError::DeadlineUnreachable { retry_after });
         }
-        tansyhall_routing::Choice::NoEngine if candidates.some_is_changing => {
+        tansyhall_routing::Choice::NoEngine if candidates.some_temporarily_unavailable => {
             return Ok(Choice::Wait);
         }
         tansyhall_routing::Choice::NoEngine => {
@@ -87,8 +90,8 @@
     let first = engine(first_index);
     count(if decode.is_some() { "split" } else { "whole" });
     let prefill_tokens = estimates[first_index].tokens_to_prefill(request.prefill_tokens);
-    let in_flight = InFlight::begin(node, &first.name, prefill_tokens, question.blocks);
-    Ok(Choice::Attempt(Box::new(Chosen {
+    let in_flight = InFlight::begin(node, &first.name, prefill_tokens, query.blocks);
+    Ok(Choice::Attempt(Box::new(ChosenEngines {
         engine: first,
         in_flight,
         decode,
@@ -96,36 +99,37 @@
     })))
 }
 
-/// The engines to choose among, and what is believed of each.
+/// Engines to choose among, and the estimates for them.
 struct Candidates {
     engines: Vec<Backend>,
     estimates: Vec<EngineEstimate>,
-    /// Whether an engine is left out only for a while.
-    some_is_changing: bool,
-    /// Time until the next probe of an engine that was found broken.
+    /// Whether an engine was left out only because it is temporarily unavailable.
+    some_temporarily_unavailable: bool,
+    /// Time until the next probe of an engine whose circuit breaker is open.
     probe_in: Option<Duration>,
 }
 
 impl Candidates {
-    /// The engines that the node follows; if none of them is usable, those it does not.
-    fn collect(node: &Node, question: &Question) -> Result<Self, ChoiceError> {
+    /// Returns the usable engines among those that this node follows; if there are none, the usable
+    /// engines among all of the pools.
+    fn collect(node: &Node, query: &EngineQuery) -> Result<Self, ChoiceError> {
         let in_force = node.in_force.load();
-        let pools: Vec<&Pool> = in_force.pools_of_model(question.model).collect();
+        let pools: Vec<&Pool> = in_force.pools_of_model(query.model).collect();
         if pools.is_empty() {
             return Err(ChoiceError::UnknownModel);
         }
         let followed = pools.iter().flat_map(|pool| followed_backends(node, pool));
-        let candidates = Self::among(node, question, followed);
-        if !candidates.engines.is_empty() || candidates.some_is_changing {
+        let candidates = Self::select_usable(node, query, followed);
+        if !candidates.engines.is_empty() || candidates.some_temporarily_unavailable {
             return Ok(candidates);
         }
         let all = pools.iter().flat_map(|pool| pool.backends.iter());
-        Ok(Self::among(node, question, all))
+        Ok(Self::select_usable(node, query, all))
     }
 
-    fn among<'a>(
+    fn select_usable<'a>(
         node: &Node,
-        question: &Question,
+        query: &EngineQuery,
         engines: impl Iterator<Item = &'a Backend>,
     ) -> Self {
         let now = node.clock.now();
@@ -133,16 +137,15 @@
         let mut candidates = Self {
             engines: Vec::new(),
             estimates: Vec::new(),
-            some_is_changing: false,
+            some_temporarily_unavailable: false,
             probe_in: None,
         };
-        // A back end whose machine is about to be taken away gets no new work.
-        let leaving = node.peers.snapshot();
-        let stays = |engine: &&Backend| {
-            !question.excluded.contains(&engine.name)
-                && !leaving.leaving_backends.contains(&engine.name)
+        // A back end whose machine is about to be removed gets no new work.
+        let peers = node.peers.snapshot();
+        let is_eligible = |engine: &&Backend| {
+            !query.excluded.contains(&engine.name) && !peers.leaving_backends.contains(&engine.name)
         };
-        for engine in engines.filter(stays) {
+        for engine in engines.filter(is_eligible) {
             if let BreakerDecision::Refuse { probe_in } = health.peek(engine.address, now) {
                 let soonest = candidates.probe_in.unwrap_or(probe_in);
                 candidates.probe_in = Some(soonest.min(probe_in));
@@ -153,9 +156,9 @@
                 status.and_then(|status| status.state.clone())
             });
             let trackers = &node.dispatch.trackers;
-            let estimate = trackers.estimate(&engine.name, now, state.as_ref(), question.blocks);
-            if !estimate.accepts_work || health.is_paused(engine.address, now) {
-                candidates.some_is_changing = true;
+            let estimate = trackers.estimate(&engine.name, now, state.as_ref(), query.blocks);
+            if !estimate.accepts_work || health.is_backing_off(engine.address, now) {
+                candidates.some_temporarily_unavailable = true;
                 continue;
             }
             candidates.engines.push(engine.clone());
@@ -167,39 +170,39 @@
 
 fn followed_backends<'a>(node: &Node, pool: &'a Pool) -> impl Iterator<Item = &'a Backend> {
     let names = pool.backends.iter().map(|backend| &backend.name);
-    let names: HashSet<&EngineName> = followed(node, names).into_iter().collect();
+    let names: HashSet<&EngineName> = followed_engine_names(node, names).into_iter().collect();
     pool.backends
         .iter()
         .filter(move |backend| names.contains(&backend.name))
 }
 
-/// Why there is no engine to attempt.
+/// Why no engine was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChoiceError {
     /// No pool loads the model.
     UnknownModel,
     /// No engine is expected to answer before the deadline.
-    TooLate {
-        /// When one is expected to.
+    DeadlineUnreachable {
+        /// Time after which an engine is expected to.
         retry_after: Duration,
     },
     /// No engine accepts work.
     NoEngine {
-        /// Time until the next probe of an engine that was found broken.
+        /// Time until the next probe of an engine whose circuit breaker is open.
         probe_in: Option<Duration>,
     },
 }
 
 impl ChoiceError {
-    /// The failure of a request that has not run anywhere. `advised` is the wait to advise if no
-    /// better one is known.
+    /// Returns the failure of a request that has not run anywhere. `advised` is the advised wait if
+    /// no better one is known.
     pub fn failure(self, model: &ModelName, advised: Duration) -> Failure {
         match self {
             ChoiceError::UnknownModel => Failure::invalid(
                 StatusCode::NOT_FOUND,
                 format!("no pool loads the model {model}"),
             ),
-            ChoiceError::TooLate { retry_after } => Failure::not_run(
+            ChoiceError::DeadlineUnreachable { retry_after } => Failure::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no engine is expected to answer before the deadline",
                 retry_after,
--- a/crates/node/src/callers/driver.rs
+++ b/crates/node/src/callers/driver.rs
@@ -1,5 +1,5 @@
-//! Runs a completion on a task of its own and hands its chunks over through a bounded queue, so
-//! that the side that writes to the caller can say how the request stands while nothing arrives.
+//! Runs a completion on its own task and passes its chunks through a bounded queue, so that the
+//! side that writes to the caller can report the request's state while no chunk arrives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,87 +11,89 @@
 use tansyhall_engine::protocol::EngineChunk;
 use tokio::sync::mpsc;
 
-use super::at_most_once::Permission;
+use super::at_most_once::RunPermit;
 use super::attempt::Execution;
 use super::failure::Failure;
-use super::requests::{Ending, RequestRecord};
+use super::requests::{RequestOutcome, RequestRecord};
 use crate::limits::Admission;
 use crate::state::Node;
 
-/// Chunks that may wait for the caller to read them.
-const QUEUED_CHUNKS: usize = 32;
+/// Maximum number of chunks that wait for the caller to read them.
+const MAX_QUEUED_CHUNKS: usize = 32;
 
-/// A piece of a request's answer.
+/// Part of a request's answer.
 #[derive(Debug)]
 pub enum Delivery {
-    /// The next chunk; the last one has a finish reason.
+    /// The next chunk. The last one has a finish reason.
     Chunk(EngineChunk),
-    /// The request failed; nothing follows.
+    /// The request failed. Nothing follows.
     Failed(Failure),
 }
 
-/// A request in progress: counted in the node's metrics and its service's rate from admission
-/// until the last owner drops it, and ended in its record.
+/// A request in progress. It is counted in the node's metrics and in its service's rate from its
+/// admission until the last reference is dropped, which also ends it in its record.
 pub struct InProgress {
     /// The node.
     pub node: Arc<Node>,
     /// The request's record.
     pub record: Arc<RequestRecord>,
     service: ServiceName,
-    permission: Option<Permission>,
+    permit: Option<RunPermit>,
     admission: Admission,
 }
 
 impl InProgress {
-    /// Counts a request in. `permission` is given back if the request does not run.
+    /// Counts a request as in progress. `permit` is released if the request does not run.
     pub fn begin(
         node: Arc<Node>,
         record: Arc<RequestRecord>,
         service: ServiceName,
-        permission: Option<Permission>,
+        permit: Option<RunPermit>,
         admission: Admission,
     ) -> Arc<Self> {
         let now = node.clock.now();
         node.metrics.in_progress.inc();
-        node.callers.health.request_arrived(now);
+        node.callers.health.count_request(now);
         node.callers
             .health
-            .service(&service, now, ServiceEvent::Admitted);
+            .record_service_event(&service, now, ServiceEvent::Admitted);
         Arc::new(Self {
             node,
             record,
             service,
-            permission,
+            permit,
             admission,
         })
     }
 
     /// Ends the request and counts its verdict.
-    pub fn end(&self, ending: Ending) {
+    pub fn end(&self, outcome: RequestOutcome) {
         let node = &self.node;
         let now = node.clock.now();
-        let (verdict, event) = match &ending {
-            Ending::Completed => (Verdict::Completed, ServiceEvent::Served),
-            Ending::Failed(failure) => (failure.verdict, ServiceEvent::Abandoned),
-            Ending::Abandoned => (Verdict::MayHaveRun, ServiceEvent::Abandoned),
+        let (verdict, event) = match &outcome {
+            RequestOutcome::Completed => (Verdict::Completed, ServiceEvent::Served),
+            RequestOutcome::Failed(failure) => (failure.verdict, ServiceEvent::Abandoned),
+            RequestOutcome::Abandoned => (Verdict::MayHaveRun, ServiceEvent::Abandoned),
         };
-        if !self.record.end(now, ending) {
+        if !self.record.end(now, outcome) {
             return;
         }
-        node.callers.health.service(&self.service, now, event);
-        if self.record.passed_deadline(now) {
+        node.callers
+            .health
+            .record_service_event(&self.service, now, event);
+        if self.record.is_past_deadline(now) {
             node.metrics.late.inc();
         }
         node.metrics
             .requests
             .with_label_values(&[verdict.name()])
             .inc();
-        if let Some(permission) = &self.permission {
-            permission.settle(node, self.record.id, verdict);
+        if let Some(permit) = &self.permit {
+            permit.release_if_not_run(node, self.record.id, verdict);
         }
     }
 
-    /// The request's identifier.
+    /// Returns the request's identifier.
     pub fn id(&self) -> RequestId {
         self.record.id
     }
@@ -99,14 +101,14 @@
 
 impl Drop for InProgress {
     fn drop(&mut self) {
-        self.end(Ending::Abandoned);
+        self.end(RequestOutcome::Abandoned);
         self.node.metrics.in_progress.dec();
     }
 }
 
 /// Runs an execution on the current thread until it ends or the receiver is dropped.
 pub fn drive(execution: Execution, in_progress: Arc<InProgress>) -> mpsc::Receiver<Delivery> {
-    let (sender, receiver) = mpsc::channel(QUEUED_CHUNKS);
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
     actix_rt::spawn(run(execution, in_progress, sender));
     receiver
 }
@@ -127,30 +129,33 @@
             }
             next = execution.next() => next,
         };
-        let (delivery, ending) = match next {
+        let (delivery, outcome) = match next {
             Ok(Some(chunk)) => {
                 let generated = chunk.token_index.saturating_add(chunk.tokens);
-                in_progress.admission.note_generated(generated);
+                in_progress.admission.record_generated(generated);
                 let last = chunk.finish_reason.is_some();
-                (Delivery::Chunk(chunk), last.then_some(Ending::Completed))
+                (
+                    Delivery::Chunk(chunk),
+                    last.then_some(RequestOutcome::Completed),
+                )
             }
             Ok(None) => return,
             Err(failure) => {
-                let ending = Ending::Failed(failure.clone());
-                (Delivery::Failed(failure), Some(ending))
+                let outcome = RequestOutcome::Failed(failure.clone());
+                (Delivery::Failed(failure), Some(outcome))
             }
         };
         if !deliver(&node, &sender, delivery, stall).await {
             return;
         }
-        if let Some(ending) = ending {
-            in_progress.end(ending);
+        if let Some(outcome) = outcome {
+            in_progress.end(outcome);
             return;
         }
     }
 }
 
-/// Hands a piece over; false if the caller is gone or has stopped reading.
+/// Sends a delivery to the caller. Returns false if the caller has disconnected or stopped reading.
 async fn deliver(
     node: &Node,
     sender: &mpsc::Sender<Delivery>,
@@ -170,7 +175,7 @@
     }
 }
 
-/// Collects a whole answer of at most `max_bytes`; returns its text and last chunk.
+/// Collects a complete answer of at most `max_bytes`; returns its text and its last chunk.
 pub async fn collect(
     receiver: &mut mpsc::Receiver<Delivery>,
     max_bytes: usize,
@@ -182,7 +187,7 @@
             Delivery::Failed(failure) => return Err(failure),
         };
         if text.len() + chunk.text.len() > max_bytes {
-            let message = format!("the answer passes {max_bytes} bytes; ask for a stream");
+            let message = format!("the answer exceeds {max_bytes} bytes; request a stream");
             return Err(Failure::may_have_run(StatusCode::BAD_GATEWAY, message));
         }
         text.push_str(&chunk.text);
@@ -190,6 +195,6 @@
             return Ok((text, chunk));
         }
     }
-    let message = "the answer broke off";
+    let message = "the answer was interrupted";
     Err(Failure::may_have_run(StatusCode::BAD_GATEWAY, message))
 }
--- a/crates/node/src/callers/failure.rs
+++ b/crates/node/src/callers/failure.rs
@@ -1,4 +1,4 @@
-//! Answers to requests that failed: a status, a verdict, and for `not-run` when to come back.
+//! Answers to failed requests: a status, a verdict and, for `not-run`, when to retry.
 
 use std::time::Duration;
 
@@ -8,41 +8,42 @@
 use tansyhall_core::verdict::VERDICT_HEADER;
 use tansyhall_core::{RequestId, Verdict};
 
-/// Header that carries the request's identifier on every answer.
+/// Header of every answer with the request's identifier.
 pub const REQUEST_ID_HEADER: &str = "tansyhall-request-id";
 
-/// A request that failed.
+/// A failed request.
 #[derive(Debug, Clone)]
 pub struct Failure {
     /// The HTTP status.
     pub status: StatusCode,
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// What went wrong, for people.
+    /// Description of the failure for people.
     pub message: String,
 }
 
-/// The body of a failed request's answer.
+/// Body of the answer to a failed request.
 #[derive(Debug, Serialize)]
 pub struct FailureBody {
     /// The error.
     pub error: FailureDetail,
 }
 
-/// The error in a failed request's answer.
+/// Error in the answer to a failed request.
 #[derive(Debug, Serialize)]
 pub struct FailureDetail {
-    /// What went wrong, for people.
+    /// Description of the failure for people.
     pub message: String,
-    /// The verdict's name.
+    /// Name of the verdict.
     pub verdict: &'static str,
-    /// For `not-run`: when to come back, in milliseconds.
+    /// For `not-run`: when to retry, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
 
 impl Failure {
-    /// A request that was well formed but did not run; it may be sent again after `retry_after`.
+    /// Returns the failure of a well-formed request that did not run. It may be sent again after
+    /// `retry_after`.
     pub fn not_run(status: StatusCode, message: impl Into<String>, retry_after: Duration) -> Self {
         Self {
             status,
@@ -51,12 +52,13 @@
         }
     }
 
-    /// A request that can never run as it stands, so that coming back does not help.
+    /// Returns the failure of a request that can never run in this form, so that a retry does not
+    /// help.
     pub fn invalid(status: StatusCode, message: impl Into<String>) -> Self {
         Self::not_run(status, message, Duration::ZERO)
     }
 
-    /// A request that may have run.
+    /// Returns the failure of a request that may have run.
     pub fn may_have_run(status: StatusCode, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -65,7 +67,7 @@
         }
     }
 
-    /// When the caller should come back, if coming back can help.
+    /// Returns the time after which the caller should retry, if a retry can help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self.verdict {
             Verdict::NotRun { retry_after } if !retry_after.is_zero() => Some(retry_after),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// The body.
+    /// Returns the body of the answer.
     pub fn body(&self) -> FailureBody {
         let retry_after = self.retry_after();
         FailureBody {
@@ -85,9 +87,9 @@
         }
     }
 
-    /// The whole answer.
+    /// Returns the complete answer.
     pub fn response(&self, id: RequestId) -> HttpResponse {
-        let mut response = answer_with(self.status, id, self.verdict);
+        let mut response = response_builder(self.status, id, self.verdict);
         if let Some(retry_after) = self.retry_after() {
             let seconds = retry_after.as_millis().div_ceil(1_000).max(1);
             response.insert_header(("retry-after", seconds.to_string()));
@@ -96,8 +98,12 @@
     }
 }
 
-/// Begins an answer with the headers that every answer carries.
-pub fn answer_with(status: StatusCode, id: RequestId, verdict: Verdict) -> HttpResponseBuilder {
+/// Returns the builder of an answer, with the headers that every answer carries.
+pub fn response_builder(
+    status: StatusCode,
+    id: RequestId,
+    verdict: Verdict,
+) -> HttpResponseBuilder {
     let mut response = HttpResponse::build(status);
     response.insert_header((VERDICT_HEADER, verdict.name()));
     response.insert_header((REQUEST_ID_HEADER, id.to_string()));
--- a/crates/node/src/callers/health.rs
+++ b/crates/node/src/callers/health.rs
@@ -1,5 +1,5 @@
-//! What this node has observed of its back ends: circuit breakers, the retry budget and the rates
-//! at which services end requests.
+//! What this node has observed of its back ends and services: circuit breakers, the retry budget
+//! and the rates at which services end requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,15 +14,16 @@
 
 use crate::metrics::Metrics;
 
-/// Most back ends and services followed; more are served without a breaker or an estimate.
-const MAX_FOLLOWED: usize = 8_192;
-/// Wait between attempts of one request.
+/// Maximum number of back ends, and of services, that are tracked. Others are served without a
+/// circuit breaker or an estimate.
+const MAX_TRACKED: usize = 8_192;
+/// Back-off between attempts of one request.
 const RETRY_BACKOFF: Backoff = Backoff {
     base: Duration::from_millis(10),
     max_delay: Duration::from_millis(500),
 };
-/// Sizes of the breakers.
-const BREAKER: BreakerSettings = BreakerSettings {
+/// Settings of the circuit breakers.
+const BREAKER_SETTINGS: BreakerSettings = BreakerSettings {
     failure_threshold: 3,
     open_backoff: Backoff {
         base: Duration::from_millis(500),
@@ -30,36 +31,37 @@
     },
     probe_timeout: Duration::from_secs(5),
 };
-/// How long an engine that accepts no work is left alone before it is asked again.
-const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(200);
-/// Time in which the budget's reserve gains one retry.
-const BUDGET_REFILL: Duration = Duration::from_secs(1);
+/// Back-off before an engine that accepts no work is tried again.
+const UNAVAILABLE_BACKOFF: Duration = Duration::from_millis(200);
+/// Interval at which the reserve of the retry budget gains one retry.
+const RETRY_BUDGET_REFILL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The observations, shared by every thread.
+/// The observations, shared by all threads.
 pub struct BackendHealth {
     breakers: Sharded<SocketAddr, CircuitBreaker>,
-    paused_until: Sharded<SocketAddr, Timestamp>,
+    backoff_until: Sharded<SocketAddr, Timestamp>,
     rates: Sharded<ServiceName, ServiceRate>,
     budget: Mutex<RetryBudget>,
 }
 
 impl BackendHealth {
-    /// Nothing observed yet.
+    /// Returns a state without observations.
     pub fn new(limits: &Limits) -> Self {
         let budget = BudgetSettings {
             retries_per_thousand: limits.retries_per_thousand,
             reserve: limits.retry_reserve,
-            refill_interval: BUDGET_REFILL,
+            refill_interval: RETRY_BUDGET_REFILL_INTERVAL,
         };
         Self {
-            breakers: Sharded::with_capacity_limit(MAX_FOLLOWED),
-            paused_until: Sharded::with_capacity_limit(MAX_FOLLOWED),
-            rates: Sharded::with_capacity_limit(MAX_FOLLOWED),
+            breakers: Sharded::with_capacity_limit(MAX_TRACKED),
+            backoff_until: Sharded::with_capacity_limit(MAX_TRACKED),
+            rates: Sharded::with_capacity_limit(MAX_TRACKED),
             budget: Mutex::new(RetryBudget::new(budget, Timestamp::default())),
         }
     }
 
-    /// Whether a back end may be used now, without taking the probe's place.
+    /// Returns whether a back end may be used now, without claiming the probe of its circuit
+    /// breaker.
     pub fn peek(&self, address: SocketAddr, now: Timestamp) -> BreakerDecision {
         self.breakers.with(&address, |shard| {
             let breaker = shard.get(&address);
@@ -67,7 +69,7 @@
         })
     }
 
-    /// Tells a back end's breaker of an event.
+    /// Passes an event to a back end's circuit breaker and returns its decision.
     pub fn observe(
         &self,
         metrics: &Metrics,
@@ -82,37 +84,41 @@
             Some((decision, was_closed, breaker.is_closed()))
         });
         if let Some((decision, was_closed, is_closed)) = known {
-            note_change(metrics, address, was_closed, is_closed);
+            report_breaker_change(metrics, address, was_closed, is_closed);
             return decision;
         }
-        // Back ends that have never failed need no breaker.
+        // A back end that has never failed needs no breaker.
         if event == BreakerEvent::Failure {
-            let mut breaker = CircuitBreaker::new(BREAKER);
+            let mut breaker = CircuitBreaker::new(BREAKER_SETTINGS);
             breaker.step(now, event);
             let _ = self.breakers.insert(address, breaker);
         }
         BreakerDecision::Admit
     }
 
-    /// Leaves an engine alone for a moment that said it accepts no work now.
-    pub fn pause(&self, address: SocketAddr, now: Timestamp) {
-        let _ = self.paused_until.insert(address, now + UNAVAILABLE_PAUSE);
+    /// Starts the back-off of an engine that answered that it accepts no work now.
+    pub fn start_backoff(&self, address: SocketAddr, now: Timestamp) {
+        let _ = self
+            .backoff_until
+            .insert(address, now + UNAVAILABLE_BACKOFF);
     }
 
-    /// Whether an engine said a moment ago that it accepts no work.
-    pub fn is_paused(&self, address: SocketAddr, now: Timestamp) -> bool {
-        self.paused_until.with(&address, |shard| {
+    /// Returns whether an engine is backing off because it recently answered that it accepts no
+    /// work.
+    pub fn is_backing_off(&self, address: SocketAddr, now: Timestamp) -> bool {
+        self.backoff_until.with(&address, |shard| {
             shard.get(&address).is_some_and(|until| now < *until)
         })
     }
 
     /// Counts a request for the retry budget.
-    pub fn request_arrived(&self, now: Timestamp) {
+    pub fn count_request(&self, now: Timestamp) {
         self.budget.lock().step(now, BudgetEvent::Request);
     }
 
-    /// Asks the budget for a retry; returns the wait before it, or `None` if the budget is spent.
-    pub fn retry(&self, metrics: &Metrics, now: Timestamp, retry: u32) -> Option<Duration> {
+    /// Requests a retry from the budget. Returns the wait before it, or `None` if the budget is
+    /// spent.
+    pub fn request_retry(&self, metrics: &Metrics, now: Timestamp, retry: u32) -> Option<Duration> {
         let decision = self.budget.lock().step(now, BudgetEvent::Retry);
         let allowed = decision == BudgetDecision::Allowed;
         let label = if allowed { "allowed" } else { "budget-spent" };
@@ -120,8 +126,13 @@
         allowed.then(|| RETRY_BACKOFF.delay(retry, rand::random()))
     }
 
-    /// Tells a service's rate of an event, and returns the wait to advise.
-    pub fn service(&self, service: &ServiceName, now: Timestamp, event: ServiceEvent) -> Duration {
+    /// Passes an event to a service's rate and returns the wait to advise.
+    pub fn record_service_event(
+        &self,
+        service: &ServiceName,
+        now: Timestamp,
+        event: ServiceEvent,
+    ) -> Duration {
         let known = self.rates.with(service, |shard| {
             shard.get_mut(service).map(|rate| rate.step(now, event))
         });
@@ -133,7 +144,7 @@
         })
     }
 
-    /// The wait to advise to a caller of a service that is refused.
+    /// Returns the wait to advise to a refused caller of a service.
     pub fn advised_wait(&self, service: &ServiceName) -> Duration {
         self.rates.with(service, |shard| {
             let rate = shard.get(service);
@@ -144,15 +155,20 @@
         })
     }
 
-    /// Forgets pauses that are over, and breakers of back ends whose last attempt succeeded.
+    /// Removes back-offs that are over, and breakers of back ends whose last attempt succeeded.
     pub fn sweep(&self, now: Timestamp) {
-        self.paused_until.retain(|_, until| now < *until);
+        self.backoff_until.retain(|_, until| now < *until);
         self.breakers
             .retain(|_, breaker| !breaker.has_no_failures());
     }
 }
 
-fn note_change(metrics: &Metrics, address: SocketAddr, was_closed: bool, is_closed: bool) {
+fn report_breaker_change(
+    metrics: &Metrics,
+    address: SocketAddr,
+    was_closed: bool,
+    is_closed: bool,
+) {
     match (was_closed, is_closed) {
         (true, false) => {
             metrics.breakers_opened.inc();
--- a/crates/node/src/callers/mod.rs
+++ b/crates/node/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: completions and plain HTTP, each answered with a verdict.
+//! Interface to callers: completions and plain HTTP, each answered with a verdict.
 
 pub mod admit;
 pub mod application;
@@ -28,21 +28,21 @@
 
 use crate::state::Node;
 
-/// How often records whose time has passed are forgotten.
-const SWEEP_PERIOD: Duration = Duration::from_secs(1);
+/// Interval at which expired records are removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the callers' side keeps, shared by every thread.
+/// State of the interface to callers, shared by all threads.
 pub struct CallersState {
-    /// Requests served now or lately.
+    /// Requests that are being served or were served recently.
     pub requests: requests::RequestTable,
-    /// Permissions to run requests that are not repeatable.
-    pub run_permits: at_most_once::RunPermits,
-    /// What was observed of back ends.
+    /// Permits to run requests that are not repeatable.
+    pub run_permits: at_most_once::RunPermitTable,
+    /// Observations of back ends and services.
     pub health: health::BackendHealth,
 }
 
 impl CallersState {
-    /// Nothing kept yet.
+    /// Returns an empty state.
     pub fn new(limits: &Limits) -> Self {
         Self {
             requests: requests::RequestTable::new(
@@ -50,7 +50,7 @@
                 limits.max_kept_answers,
                 limits.request_retention,
             ),
-            run_permits: at_most_once::RunPermits::new(
+            run_permits: at_most_once::RunPermitTable::new(
                 limits.max_idempotency_keys,
                 limits.idempotency_retention,
             ),
@@ -59,10 +59,10 @@
     }
 }
 
-/// Forgets what is past its retention, for as long as the node runs.
+/// Removes expired state periodically for as long as the node runs.
 pub fn start_sweeping(node: Arc<Node>) {
     actix_rt::spawn(async move {
-        let mut ticks = actix_rt::time::interval(SWEEP_PERIOD);
+        let mut ticks = actix_rt::time::interval(SWEEP_INTERVAL);
         loop {
             ticks.tick().await;
             let now = node.clock.now();
@@ -73,13 +73,13 @@
     });
 }
 
-/// Routes of the callers' side; everything that is neither a completion nor a request's status
+/// Registers the routes for callers. Every request that is neither a completion nor a status query
 /// goes to an application.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .route(COMPLETIONS_PATH, web::post().to(completion::complete))
         .route(CHAT_COMPLETIONS_PATH, web::post().to(completion::complete))
-        .route("/v1/requests/{id}", web::get().to(status::read))
+        .route("/v1/requests/{id}", web::get().to(status::read_status))
         .route(
             "/v1/requests/{id}/answer",
             web::get().to(status::read_answer),
--- a/crates/node/src/callers/options.rs
+++ b/crates/node/src/callers/options.rs
@@ -1,4 +1,4 @@
-//! What a caller asks of the system besides the work itself, read from the request's headers.
+//! Options that a caller sets in the headers of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,67 +6,67 @@
 use actix_web::http::header::HeaderMap;
 use tansyhall_engine::protocol::Priority;
 
-/// Header with the time from arrival to the whole answer, in milliseconds.
+/// Header with the time from arrival to the complete answer, in milliseconds.
 pub const DEADLINE_HEADER: &str = "tansyhall-deadline-ms";
-/// Header with the queue order: `interactive`, `standard` or `batch`.
+/// Header with the priority in the queue: `interactive`, `standard` or `batch`.
 pub const PRIORITY_HEADER: &str = "tansyhall-priority";
-/// Header that marks a request as running at most once: `true` or `false`.
+/// Header that marks a request to be run at most once: `true` or `false`.
 pub const NOT_REPEATABLE_HEADER: &str = "tansyhall-not-repeatable";
-/// Header that names a request across the caller's own tries.
+/// Header that identifies a request across the caller's own retries.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Header with the caller's preferences; only `wait=N`, in seconds, is read.
+/// Header with the caller's preferences. Only `wait=N`, in seconds, is read.
 pub const PREFER_HEADER: &str = "prefer";
 
-/// Longest deadline accepted.
+/// Longest accepted deadline.
 const MAX_DEADLINE: Duration = Duration::from_secs(24 * 60 * 60);
-/// Longest idempotency key accepted, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// A name that a caller gave its request, the same on each of its tries.
+/// Identifier that a caller gave its request, the same for each of its retries.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct IdempotencyKey(Arc<str>);
 
 impl IdempotencyKey {
-    /// Checks a key: 1 to 255 visible ASCII characters.
+    /// Parses a key: 1 to 255 visible ASCII characters.
     pub fn parse(text: &str) -> Option<Self> {
         let length_fits = (1..=MAX_KEY_BYTES).contains(&text.len());
         let visible = text.bytes().all(|byte| byte.is_ascii_graphic());
         (length_fits && visible).then(|| Self(text.into()))
     }
 
-    /// The key as the caller wrote it.
+    /// Returns the key as the caller wrote it.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// A header that cannot be used.
+/// A header with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header {header}: {allowed}")]
 pub struct OptionsError {
-    /// The header.
+    /// Name of the header.
     pub header: &'static str,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: &'static str,
 }
 
-/// A caller's options.
+/// Options of a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestOptions {
-    /// Time from arrival to the whole answer; the class's if absent.
+    /// Time from arrival to the complete answer; if absent, that of the class.
     pub deadline: Option<Duration>,
-    /// Queue order; the class's if absent.
+    /// Priority in the queue; if absent, that of the class.
     pub priority: Option<Priority>,
     /// Whether the request runs at most once, whatever its class says.
     pub not_repeatable: bool,
-    /// The caller's name for the request.
+    /// Identifier of the request across the caller's retries.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// How long the caller waits before it wants a status resource instead of the answer.
+    /// How long the caller waits for the answer before it wants the status resource instead.
     pub wait: Option<Duration>,
 }
 
 impl RequestOptions {
-    /// Reads the options from a request's headers.
+    /// Parses the options in a request's headers.
     pub fn parse(headers: &HeaderMap) -> Result<Self, OptionsError> {
         Ok(Self {
             deadline: parse_header(
@@ -136,8 +136,8 @@
     text.parse().ok()
 }
 
-/// Reads `wait=N` from a list of preferences; what is not understood is ignored, as the header's
-/// standard asks.
+/// Parses `wait=N` in a list of preferences. Unknown preferences are ignored, as the header's
+/// standard requires.
 fn parse_wait(text: &str) -> Option<Duration> {
     let preference = text
         .split([',', ';'])
--- a/crates/node/src/callers/requests.rs
+++ b/crates/node/src/callers/requests.rs
@@ -1,5 +1,5 @@
-//! The table of requests that this node serves or has lately served, from which a caller learns
-//! how its request stands.
+//! Table of the requests that this node serves or has recently served. Callers read the status of
+//! their requests from it.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use super::failure::Failure;
 
-/// How a request stands.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestState {
@@ -20,9 +20,9 @@
     Queued,
     /// Part of the answer has been generated.
     Running,
-    /// The deadline has passed and the answer is not whole.
+    /// The deadline has passed and the answer is not complete.
     Late,
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     Completed,
     /// The request ended and did not run.
     NotRun,
@@ -31,7 +31,7 @@
 }
 
 impl RequestState {
-    /// The state's name on the wire.
+    /// Returns the state's name on the wire.
     pub const fn name(self) -> &'static str {
         match self {
             RequestState::Queued => "queued",
@@ -49,17 +49,17 @@
 pub struct RequestStatus {
     /// The request's identifier.
     pub id: String,
-    /// How it stands.
+    /// State of the request.
     pub state: RequestState,
-    /// Time since the request arrived, or until it ended, in milliseconds.
+    /// Time from the request's arrival until now or until its end, in milliseconds.
     pub waited_ms: u64,
     /// Time from arrival to the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Attempts at back ends so far.
+    /// Number of attempts at back ends so far.
     pub attempts: u32,
-    /// Tokens of the answer so far.
+    /// Number of tokens generated so far.
     pub tokens: u32,
-    /// For a request that did not run: when to come back, in milliseconds.
+    /// For a request that did not run: when to retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
     /// Path of the kept answer, if there is one.
@@ -69,12 +69,12 @@
 
 /// How a request ended.
 #[derive(Debug, Clone)]
-pub enum Ending {
-    /// The whole answer was delivered, or is kept for the caller.
+pub enum RequestOutcome {
+    /// The complete answer was delivered or is kept for the caller.
     Completed,
-    /// It failed.
+    /// The request failed.
     Failed(Failure),
-    /// The caller went away first; the work was cancelled.
+    /// The caller disconnected first, and the work was cancelled.
     Abandoned,
 }
 
@@ -83,11 +83,11 @@
     deadline: Timestamp,
     attempts: u32,
     tokens: u32,
-    ended: Option<(Timestamp, Ending)>,
+    ended: Option<(Timestamp, RequestOutcome)>,
     answer: Option<KeptAnswer>,
 }
 
-/// A place for a kept answer, free again once this is dropped.
+/// Slot for a kept answer. It becomes free when this value is dropped.
 #[derive(Debug)]
 pub struct AnswerSlot(Arc<AtomicUsize>);
 
@@ -103,25 +103,25 @@
     _slot: AnswerSlot,
 }
 
-/// One request's record.
+/// Record of one request.
 #[derive(Debug)]
 pub struct RequestRecord {
     /// The request's identifier.
     pub id: RequestId,
-    /// When it arrived.
-    pub arrived: Timestamp,
+    /// Time of arrival.
+    pub arrived_at: Timestamp,
     progress: Mutex<Progress>,
 }
 
 impl RequestRecord {
-    fn new(id: RequestId, arrived: Timestamp) -> Self {
+    fn new(id: RequestId, arrived_at: Timestamp) -> Self {
         let progress = Progress {
-            deadline: arrived,
+            deadline: arrived_at,
             ..Progress::default()
         };
         Self {
             id,
-            arrived,
+            arrived_at,
             progress: Mutex::new(progress),
         }
     }
@@ -132,50 +132,50 @@
     }
 
     /// Counts an attempt at a back end.
-    pub fn attempted(&self) {
+    pub fn count_attempt(&self) {
         self.progress.lock().attempts += 1;
     }
 
-    /// Notes how many tokens have been generated.
-    pub fn generated(&self, tokens: u32) {
+    /// Sets the number of tokens that have been generated.
+    pub fn set_generated_tokens(&self, tokens: u32) {
         self.progress.lock().tokens = tokens;
     }
 
-    /// Ends the request; only the first ending counts, and is answered with true.
-    pub fn end(&self, now: Timestamp, ending: Ending) -> bool {
+    /// Ends the request. Returns false if it had already ended: only the first outcome counts.
+    pub fn end(&self, now: Timestamp, outcome: RequestOutcome) -> bool {
         let mut progress = self.progress.lock();
         let first = progress.ended.is_none();
         if first {
-            progress.ended = Some((now, ending));
+            progress.ended = Some((now, outcome));
         }
         first
     }
 
-    /// Whether the deadline lies before `now`.
-    pub fn passed_deadline(&self, now: Timestamp) -> bool {
+    /// Returns whether the deadline lies before `now`.
+    pub fn is_past_deadline(&self, now: Timestamp) -> bool {
         now > self.progress.lock().deadline
     }
 
-    /// Keeps the whole answer for the caller to fetch.
+    /// Keeps the complete answer for the caller to fetch.
     pub fn keep_answer(&self, body: Bytes, slot: AnswerSlot) {
         self.progress.lock().answer = Some(KeptAnswer { body, _slot: slot });
     }
 
-    /// The kept answer.
+    /// Returns the kept answer.
     pub fn answer(&self) -> Option<Bytes> {
         let progress = self.progress.lock();
         progress.answer.as_ref().map(|answer| answer.body.clone())
     }
 
-    /// The failure that ended the request.
+    /// Returns the failure that ended the request.
     pub fn failure(&self) -> Option<Failure> {
         match &self.progress.lock().ended {
-            Some((_, Ending::Failed(failure))) => Some(failure.clone()),
+            Some((_, RequestOutcome::Failed(failure))) => Some(failure.clone()),
             _ => None,
         }
     }
 
-    /// The status resource.
+    /// Returns the status resource.
     pub fn status(&self, now: Timestamp) -> RequestStatus {
         let progress = self.progress.lock();
         let until = progress.ended.as_ref().map_or(now, |(at, _)| *at);
@@ -183,8 +183,8 @@
         RequestStatus {
             id: self.id.to_string(),
             state: progress.state(now),
-            waited_ms: millis(until.since(self.arrived)),
-            deadline_ms: millis(progress.deadline.since(self.arrived)),
+            waited_ms: millis(until.since(self.arrived_at)),
+            deadline_ms: millis(progress.deadline.since(self.arrived_at)),
             attempts: progress.attempts,
             tokens: progress.tokens,
             retry_after_ms: progress.retry_after().map(millis),
@@ -192,7 +192,7 @@
         }
     }
 
-    fn expired(&self, now: Timestamp, retention: Duration) -> bool {
+    fn is_expired(&self, now: Timestamp, retention: Duration) -> bool {
         let progress = self.progress.lock();
         let ended = progress.ended.as_ref();
         ended.is_some_and(|(at, _)| now.since(*at) > retention)
@@ -202,12 +202,12 @@
 impl Progress {
     fn state(&self, now: Timestamp) -> RequestState {
         match &self.ended {
-            Some((_, Ending::Completed)) => RequestState::Completed,
-            Some((_, Ending::Failed(failure))) => match failure.verdict {
+            Some((_, RequestOutcome::Completed)) => RequestState::Completed,
+            Some((_, RequestOutcome::Failed(failure))) => match failure.verdict {
                 Verdict::NotRun { .. } => RequestState::NotRun,
                 Verdict::Completed | Verdict::MayHaveRun => RequestState::MayHaveRun,
             },
-            Some((_, Ending::Abandoned)) => RequestState::MayHaveRun,
+            Some((_, RequestOutcome::Abandoned)) => RequestState::MayHaveRun,
             None if now > self.deadline => RequestState::Late,
             None if self.tokens > 0 => RequestState::Running,
             None => RequestState::Queued,
@@ -216,7 +216,7 @@
 
     fn retry_after(&self) -> Option<Duration> {
         match &self.ended {
-            Some((_, Ending::Failed(failure))) => failure.retry_after(),
+            Some((_, RequestOutcome::Failed(failure))) => failure.retry_after(),
             _ => None,
         }
     }
@@ -226,18 +226,18 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Path of a request's status resource.
+/// Returns the path of a request's status resource.
 pub fn status_path(id: RequestId) -> String {
     format!("/v1/requests/{id}")
 }
 
-/// Path of a request's kept answer.
+/// Returns the path of a request's kept answer.
 pub fn answer_path(id: RequestId) -> String {
     format!("/v1/requests/{id}/answer")
 }
 
-/// The table. Records of requests that ended are kept for a retention time; when the table is
-/// full, new requests are served without a record.
+/// Table of request records. The record of a request that ended is kept for the retention time. If
+/// the table is full, new requests are served without a record.
 #[derive(Debug)]
 pub struct RequestTable {
     records: Sharded<RequestId, Arc<RequestRecord>>,
@@ -247,7 +247,7 @@
 }
 
 impl RequestTable {
-    /// An empty table for `capacity` records and `max_kept_answers` answers.
+    /// Returns an empty table for at most `capacity` records and `max_kept_answers` kept answers.
     pub fn new(capacity: usize, max_kept_answers: usize, retention: Duration) -> Self {
         Self {
             records: Sharded::with_capacity_limit(capacity),
@@ -257,42 +257,42 @@
         }
     }
 
-    /// Begins a record. It is returned even if the table has no room to keep it.
-    pub fn begin(&self, id: RequestId, now: Timestamp) -> Arc<RequestRecord> {
+    /// Creates a record. It is returned even if the table has no room for it.
+    pub fn create(&self, id: RequestId, now: Timestamp) -> Arc<RequestRecord> {
         let record = Arc::new(RequestRecord::new(id, now));
-        // A full table costs the caller its status resource, not its answer.
+        // If the table is full, the request has no status resource but is still answered.
         let _ = self.records.insert(id, Arc::clone(&record));
         record
     }
 
-    /// The record of a request.
+    /// Returns the record of a request.
     pub fn get(&self, id: RequestId) -> Option<Arc<RequestRecord>> {
         self.records.with(&id, |shard| shard.get(&id).cloned())
     }
 
-    /// Takes a place for a request's answer, if there is one and the request has a record.
+    /// Reserves a slot for a request's answer, if one is free and the request has a record.
     pub fn reserve_answer(&self, id: RequestId) -> Option<AnswerSlot> {
         self.get(id)?;
-        let most = self.max_kept_answers;
-        let take = |kept: usize| (kept < most).then_some(kept + 1);
+        let max = self.max_kept_answers;
+        let reserve = |kept: usize| (kept < max).then_some(kept + 1);
         self.kept_answers
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, take)
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, reserve)
             .ok()?;
         Some(AnswerSlot(Arc::clone(&self.kept_answers)))
     }
 
-    /// Forgets the requests that ended longer ago than the retention time.
+    /// Removes the records of requests that ended longer ago than the retention time.
     pub fn sweep(&self, now: Timestamp) {
         self.records
-            .retain(|_, record| !record.expired(now, self.retention));
+            .retain(|_, record| !record.is_expired(now, self.retention));
     }
 
-    /// Records in the table.
+    /// Returns the number of records in the table.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether the table is empty.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/node/src/callers/shape.rs
+++ b/crates/node/src/callers/shape.rs
@@ -1,13 +1,13 @@
-//! The callers' JSON: requests and answers in the shape that language-model clients speak.
+//! JSON exchanged with callers: requests and answers in the format of language-model clients.
 
 use serde::{Deserialize, Serialize};
 use tansyhall_core::ModelName;
 use tansyhall_engine::protocol::{EngineChunk, Priority, Prompt};
 
-/// Tokens generated when the caller names no number.
+/// Number of tokens generated if the caller sets no maximum.
 pub const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// A completion request from a caller; fields that the system does not use are ignored.
+/// A completion request from a caller. Fields that the system does not use are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CallerRequest {
     /// The model.
@@ -15,16 +15,16 @@
     /// The adapter, if any.
     #[serde(default)]
     pub adapter: Option<String>,
-    /// What to complete.
+    /// Prompt to complete.
     #[serde(flatten)]
     pub prompt: Prompt,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// Whether to answer in a stream.
+    /// Whether to stream the answer.
     #[serde(default)]
     pub stream: bool,
-    /// Overrides the class's priority.
+    /// Overrides the priority of the class.
     #[serde(default)]
     pub priority: Option<Priority>,
 }
@@ -32,15 +32,15 @@
 /// Token counts of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Generated tokens.
+    /// Number of generated tokens.
     pub completion_tokens: u32,
-    /// Both.
+    /// Sum of both.
     pub total_tokens: u32,
 }
 
-/// The text of one choice, in the field its kind of answer calls for.
+/// Text of one choice, in the field that the kind of answer requires.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum ChoiceText<'a> {
@@ -75,22 +75,22 @@
     tansyhall_verdict: Option<&'static str>,
 }
 
-/// Writes answers to one request.
+/// Encodes the answers to one request.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct AnswerEncoder {
     /// The request's identifier.
     pub id: String,
-    /// The model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Whether the request was a chat.
+    /// Whether the request is a chat completion.
     pub chat: bool,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
 }
 
-const ASSISTANT: &str = "assistant";
+const ASSISTANT_ROLE: &str = "assistant";
 
-impl Shape {
+impl AnswerEncoder {
     fn usage(&self, completion_tokens: u32) -> Usage {
         let total_tokens = self.prompt_tokens.saturating_add(completion_tokens);
         Usage {
@@ -100,11 +100,11 @@
         }
     }
 
-    /// One event of a streamed answer.
+    /// Returns one event of a streamed answer.
     pub fn event(&self, chunk: &EngineChunk) -> Result<String, serde_json::Error> {
-        let last = chunk.finish_reason.is_some();
+        let is_last = chunk.finish_reason.is_some();
         let message = MessageText {
-            role: ASSISTANT,
+            role: ASSISTANT_ROLE,
             content: &chunk.text,
         };
         let text = if self.chat {
@@ -117,27 +117,27 @@
         } else {
             "text_completion"
         };
-        let usage = last.then(|| self.usage(chunk.token_index.saturating_add(chunk.tokens)));
-        let verdict = last.then_some("completed");
+        let usage = is_last.then(|| self.usage(chunk.token_index.saturating_add(chunk.tokens)));
+        let verdict = is_last.then_some("completed");
         let finish_reason = chunk.finish_reason.as_deref();
         let body = self.body(object, text, finish_reason, usage, verdict);
         let json = serde_json::to_string(&body)?;
-        let done = if last { "data: [DONE]\n\n" } else { "" };
+        let done = if is_last { "data: [DONE]\n\n" } else { "" };
         Ok(format!("data: {json}\n\n{done}"))
     }
 
-    /// The whole answer at once.
-    pub fn whole(
+    /// Returns the complete answer.
+    pub fn complete_answer(
         &self,
         text: &str,
         completion_tokens: u32,
         finish_reason: &str,
     ) -> Result<String, serde_json::Error> {
         let message = MessageText {
-            role: ASSISTANT,
+            role: ASSISTANT_ROLE,
             content: text,
         };
-        let choice = if self.chat {
+        let text_in_choice = if self.chat {
             ChoiceText::Message(message)
         } else {
             ChoiceText::Text(text)
@@ -150,7 +150,7 @@
         let usage = Some(self.usage(completion_tokens));
         let body = self.body(
             object,
-            choice,
+            text_in_choice,
             Some(finish_reason),
             usage,
             Some("completed"),
--- a/crates/node/src/callers/status.rs
+++ b/crates/node/src/callers/status.rs
@@ -1,47 +1,47 @@
-//! The request-status resource: how a request stands, and the kept answer of one that the caller
-//! did not wait for. Identifiers are random and known to the caller alone.
+//! The request-status resource: the state of a request, and the kept answer of a request whose
+//! caller did not wait for it. Identifiers are random and known only to the caller.
 
 use actix_web::http::StatusCode;
 use actix_web::{web, HttpResponse};
 use tansyhall_core::{RequestId, Verdict};
 use tansyhall_proto::StatusAnswer;
 
-use super::failure::{answer_with, Failure};
-use super::origin::ask_peers;
+use super::failure::{response_builder, Failure};
+use super::origin::query_peers;
 use super::requests::RequestRecord;
 use crate::state::Node;
 
-/// Answers how a request stands.
-pub async fn read(node: web::Data<Node>, path: web::Path<String>) -> HttpResponse {
+/// Answers with the status of a request.
+pub async fn read_status(node: web::Data<Node>, path: web::Path<String>) -> HttpResponse {
     let Some(id) = RequestId::parse(&path) else {
-        return unknown(RequestId(0));
+        return unknown_request(RequestId(0));
     };
     if let Some(record) = node.callers.requests.get(id) {
         let status = record.status(node.clock.now());
-        return answer_with(StatusCode::OK, id, Verdict::Completed).json(status);
+        return response_builder(StatusCode::OK, id, Verdict::Completed).json(status);
     }
-    match ask_peers(&node, id).await {
-        StatusAnswer::Known(resource) => answer_with(StatusCode::OK, id, Verdict::Completed)
+    match query_peers(&node, id).await {
+        StatusAnswer::Known(resource) => response_builder(StatusCode::OK, id, Verdict::Completed)
             .content_type("application/json")
             .body(resource),
-        StatusAnswer::Unreachable => unreachable_server(id),
-        StatusAnswer::Unknown => unknown(id),
+        StatusAnswer::Unreachable => serving_node_unreachable(id),
+        StatusAnswer::Unknown => unknown_request(id),
     }
 }
 
-/// Answers with a request's kept answer, or with how it failed.
+/// Answers with a request's kept answer, or with the failure that ended it.
 pub async fn read_answer(node: web::Data<Node>, path: web::Path<String>) -> HttpResponse {
     let id = RequestId::parse(&path);
     let record = id.and_then(|id| node.callers.requests.get(id));
     match record {
         Some(record) => kept_answer(&node, &record),
-        None => unknown(id.unwrap_or(RequestId(0))),
+        None => unknown_request(id.unwrap_or(RequestId(0))),
     }
 }
 
 fn kept_answer(node: &Node, record: &RequestRecord) -> HttpResponse {
     if let Some(body) = record.answer() {
-        return answer_with(StatusCode::OK, record.id, Verdict::Completed)
+        return response_builder(StatusCode::OK, record.id, Verdict::Completed)
             .content_type("application/json")
             .body(body);
     }
@@ -49,16 +49,16 @@
         return failure.response(record.id);
     }
     let status = record.status(node.clock.now());
-    answer_with(StatusCode::ACCEPTED, record.id, Verdict::MayHaveRun).json(status)
+    response_builder(StatusCode::ACCEPTED, record.id, Verdict::MayHaveRun).json(status)
 }
 
-/// The node that knows how the request stands does not answer this one.
-fn unreachable_server(id: RequestId) -> HttpResponse {
+/// Returns the answer if the node that knows the request's status does not answer this node.
+fn serving_node_unreachable(id: RequestId) -> HttpResponse {
     let message = "the node that served this request cannot be reached; the request may have run";
     Failure::may_have_run(StatusCode::SERVICE_UNAVAILABLE, message).response(id)
 }
 
-fn unknown(id: RequestId) -> HttpResponse {
-    let message = "no node that can be reached knows such a request, or no longer";
+fn unknown_request(id: RequestId) -> HttpResponse {
+    let message = "no reachable node knows this request; its record may have expired";
     Failure::invalid(StatusCode::NOT_FOUND, message).response(id)
 }
--- a/crates/node/src/callers/watch.rs
+++ b/crates/node/src/callers/watch.rs
@@ -1,4 +1,4 @@
-//! Waits for engines that may have fallen silent.
+//! Detection of engines that no longer answer.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,9 +8,9 @@
 use actix_rt::time::timeout;
 use tansyhall_engine::{EngineClient, EngineError};
 
-/// Awaits an engine's answer. Whenever nothing has come for the time `stall`, the engine is asked
-/// for its state; if it does not answer that either, the attempt is broken off.
-pub async fn watched<T>(
+/// Awaits an engine's answer. Whenever nothing has arrived for the time `stall`, the engine is
+/// queried for its state; if that query fails as well, the attempt is aborted.
+pub async fn await_with_stall_check<T>(
     client: &EngineClient,
     address: SocketAddr,
     stall: Duration,
@@ -25,7 +25,7 @@
             biased;
             result = answer.as_mut() => return result,
             state = client.state(address) => {
-                state.map_err(|error| EngineError::Broken(format!("a silent engine: {error}")))?;
+                state.map_err(|error| EngineError::Broken(format!("the engine stopped answering and a state query failed: {error}")))?;
             }
         }
     }
--- a/crates/node/src/dispatch/in_flight.rs
+++ b/crates/node/src/dispatch/in_flight.rs
@@ -7,8 +7,8 @@
 
 use crate::state::Node;
 
-/// Counts a request at an engine until it is dropped. Each attempt counts under an identifier of
-/// its own, so that the end of one attempt is never taken for that of the next.
+/// Counts a request at an engine until this value is dropped. Each attempt has its own identifier,
+/// so that the end of one attempt cannot be mistaken for that of the next.
 pub struct InFlight {
     node: Arc<Node>,
     engine: EngineName,
@@ -16,7 +16,8 @@
 }
 
 impl InFlight {
-    /// Counts a request with `prefill_tokens` to prefill of a prompt with these blocks.
+    /// Starts to count a request whose prompt has these blocks and of which `prefill_tokens` tokens
+    /// are to be prefilled.
     pub fn begin(
         node: &Arc<Node>,
         engine: &EngineName,
@@ -27,7 +28,7 @@
         let now = node.clock.now();
         node.dispatch
             .trackers
-            .sent(engine, now, attempt, prefill_tokens, blocks);
+            .record_sent(engine, now, attempt, prefill_tokens, blocks);
         Self {
             node: Arc::clone(node),
             engine: engine.clone(),
@@ -35,19 +36,19 @@
         }
     }
 
-    /// The first token arrived.
-    pub fn first_token(&self) {
+    /// Records the arrival of the first token.
+    pub fn record_first_token(&self) {
         let now = self.node.clock.now();
         let trackers = &self.node.dispatch.trackers;
-        trackers.first_token(&self.engine, now, self.attempt);
+        trackers.record_first_token(&self.engine, now, self.attempt);
     }
 
-    /// The engine did not take the request.
-    pub fn refused(self) {
+    /// Records that the engine did not accept the request.
+    pub fn record_refused(self) {
         self.node
             .dispatch
             .trackers
-            .refused(&self.engine, self.attempt);
+            .record_refused(&self.engine, self.attempt);
     }
 }
 
@@ -55,6 +56,6 @@
     fn drop(&mut self) {
         let now = self.node.clock.now();
         let trackers = &self.node.dispatch.trackers;
-        trackers.finished(&self.engine, now, self.attempt);
+        trackers.record_finished(&self.engine, now, self.attempt);
     }
 }
--- a/crates/node/src/dispatch/lengths.rs
+++ b/crates/node/src/dispatch/lengths.rs
@@ -1,4 +1,4 @@
-//! Expected lengths of answers, learned by class from answers that ended.
+//! Expected lengths of answers, learned for each class from answers that ended.
 
 use std::sync::Arc;
 
@@ -12,17 +12,17 @@
 pub struct RequestClass {
     /// The service.
     pub service: ServiceName,
-    /// The class's name in the service's policy.
+    /// Name of the class in the service's policy.
     pub class: Arc<str>,
 }
 
-/// The lengths learned so far, shared by every thread.
+/// The learned lengths, shared by all threads.
 pub struct OutputLengths {
     estimator: Mutex<OutputEstimator<RequestClass>>,
 }
 
 impl OutputLengths {
-    /// Nothing learned yet.
+    /// Returns a state in which nothing is learned yet.
     pub fn new(settings: &RoutingSettings) -> Self {
         let unlearned = f64::from(settings.unlearned_output_tokens);
         let estimator = OutputEstimator::with_limits(settings.max_learned_classes, unlearned);
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Expected tokens of an answer that may have `max_tokens`.
-    pub fn expect(&self, class: &RequestClass, max_tokens: u32) -> f64 {
+    /// Returns the expected number of tokens of an answer that may have up to `max_tokens`.
+    pub fn expected_tokens(&self, class: &RequestClass, max_tokens: u32) -> f64 {
         self.estimator
             .lock()
             .expected_tokens(class, f64::from(max_tokens))
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! Dispatch of completions to engines: what the node believes of the engines it follows, and the
-//! wiring between that and the routing decisions.
+//! Dispatch of completions to engines: what the node knows about the engines that it follows, and
+//! how the routing decisions use it.
 
 mod in_flight;
 mod lengths;
@@ -18,18 +18,18 @@
 
 use crate::state::Node;
 
-/// What dispatch keeps, shared by every thread.
+/// State of the dispatch, shared by all threads.
 pub struct DispatchState {
-    /// What is believed of each engine.
+    /// Trackers of the engines' load and caches.
     pub trackers: EngineTrackers,
-    /// Lengths of answers, by class.
+    /// Expected lengths of answers, by class.
     pub lengths: OutputLengths,
-    /// Costs of the engines' iterations.
+    /// Time costs of the engines' iterations.
     pub rates: ServiceRates,
 }
 
 impl DispatchState {
-    /// Nothing known yet.
+    /// Returns a state in which nothing is known yet.
     pub fn new(settings: &RoutingSettings) -> Self {
         Self {
             trackers: EngineTrackers::new(settings),
@@ -50,8 +50,8 @@
     }
 }
 
-/// The engines of a pool that the node follows, by name.
-pub fn followed<'a>(
+/// Returns the names of the engines of a pool that this node follows.
+pub fn followed_engine_names<'a>(
     node: &Node,
     engines: impl IntoIterator<Item = &'a EngineName>,
 ) -> Vec<&'a EngineName> {
@@ -59,7 +59,7 @@
     followed_engines(&node.settings.name, engines, limit)
 }
 
-/// Time between reads of one engine's load report when `engines` are followed.
+/// Returns the time between polls of one engine's load report if `engines` engines are followed.
 pub fn poll_period(settings: &RoutingSettings, engines: usize) -> Duration {
     let engines = u32::try_from(engines).unwrap_or(u32::MAX);
     let spread = Duration::from_secs(1) * engines / settings.max_load_polls_per_second;
--- a/crates/node/src/dispatch/trackers.rs
+++ b/crates/node/src/dispatch/trackers.rs
@@ -1,5 +1,5 @@
-//! One tracker for each engine, in shards, each under its own lock. An engine that was never heard
-//! of is believed to be idle.
+//! One tracker for each engine, in shards with a lock each. An engine from which nothing was ever
+//! received is assumed to be idle.
 
 use tansyhall_config::RoutingSettings;
 use tansyhall_core::{Duration, EngineName, RequestId, Role, Sharded, Timestamp};
@@ -11,13 +11,13 @@
     BlockChange, BlockEvent, EngineEstimate, EngineTracker, LoadSnapshot, PrefixIndex,
 };
 
-/// What is known of one engine.
+/// What is known about one engine.
 struct TrackedEngine {
     load: EngineTracker,
     prefixes: PrefixIndex,
 }
 
-/// The trackers, shared by every thread.
+/// The trackers, shared by all threads.
 pub struct EngineTrackers {
     trackers: Sharded<EngineName, TrackedEngine>,
     max_cached_blocks: usize,
@@ -26,7 +26,7 @@
 }
 
 impl EngineTrackers {
-    /// No engine known yet.
+    /// Returns a table without engines.
     pub fn new(settings: &RoutingSettings) -> Self {
         Self {
             trackers: Sharded::with_capacity_limit(settings.max_tracked_engines),
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The belief about an engine at `now`, for a prompt of these blocks. `state` is the control
-    /// state as last read, which counts while the engine does not report.
+    /// Returns the estimate for an engine at `now` and a prompt with these blocks. `state` is the
+    /// last control state that was read; it is used while the engine does not report.
     pub fn estimate(
         &self,
         engine: &EngineName,
@@ -57,32 +57,32 @@
         if reporting {
             return estimate;
         }
-        // What an engine said before it fell silent may no longer hold. It is tried: it refuses by
-        // itself what it cannot do.
+        // What an engine reported before it stopped reporting may be outdated. The engine is tried:
+        // it refuses by itself what it cannot do.
         estimate.accepts_work = state.is_none_or(accepts_work);
         estimate.role = state.map_or(estimate.role, |state| state.role);
         estimate
     }
 
-    /// Notes a load report that was asked for at `asked`.
-    pub fn report(&self, engine: &EngineName, asked: Timestamp, report: &LoadReport) {
-        let snapshot = snapshot(asked, report);
-        self.with(engine, |tracked| {
+    /// Records a load report that was requested at `requested_at`.
+    pub fn record_report(&self, engine: &EngineName, requested_at: Timestamp, report: &LoadReport) {
+        let load_snapshot = load_snapshot(requested_at, report);
+        self.update(engine, |tracked| {
             tracked.load.role = report.role;
             tracked.load.accepts_work = report.accepts_work;
-            tracked.load.record_report(snapshot);
+            tracked.load.record_report(load_snapshot);
         });
     }
 
-    /// Notes cache events.
-    pub fn cache_events(&self, engine: &EngineName, events: &CacheEvents) {
+    /// Records cache events.
+    pub fn record_cache_events(&self, engine: &EngineName, events: &CacheEvents) {
         let changes: Vec<BlockEvent> = events.events.iter().map(block_event).collect();
-        self.with(engine, |tracked| {
+        self.update(engine, |tracked| {
             tracked.prefixes.apply_events(events.incarnation, &changes);
         });
     }
 
-    /// The sequence number after which an engine's cache events are wanted.
+    /// Returns the sequence number after which an engine's cache events are to be read.
     pub fn latest_cache_event(&self, engine: &EngineName) -> u64 {
         self.trackers.with(engine, |shard| {
             shard
@@ -91,8 +91,8 @@
         })
     }
 
-    /// A request was sent, whose prompt has these blocks.
-    pub fn sent(
+    /// Records that a request was sent whose prompt has these blocks.
+    pub fn record_sent(
         &self,
         engine: &EngineName,
         now: Timestamp,
@@ -100,28 +100,28 @@
         prefill_tokens: f64,
         blocks: &[BlockHash],
     ) {
-        self.with(engine, |tracked| {
+        self.update(engine, |tracked| {
             tracked.load.record_sent(now, id, prefill_tokens);
             tracked.prefixes.record_prompt(blocks);
         });
     }
 
-    /// A request's first token arrived.
-    pub fn first_token(&self, engine: &EngineName, now: Timestamp, id: RequestId) {
-        self.with(engine, |tracked| tracked.load.record_first_token(now, id));
+    /// Records the arrival of a request's first token.
+    pub fn record_first_token(&self, engine: &EngineName, now: Timestamp, id: RequestId) {
+        self.update(engine, |tracked| tracked.load.record_first_token(now, id));
     }
 
-    /// A request ended.
-    pub fn finished(&self, engine: &EngineName, now: Timestamp, id: RequestId) {
-        self.with(engine, |tracked| tracked.load.record_finished(now, id));
+    /// Records the end of a request.
+    pub fn record_finished(&self, engine: &EngineName, now: Timestamp, id: RequestId) {
+        self.update(engine, |tracked| tracked.load.record_finished(now, id));
     }
 
-    /// A request was refused, or never arrived.
-    pub fn refused(&self, engine: &EngineName, id: RequestId) {
-        self.with(engine, |tracked| tracked.load.record_refused(id));
+    /// Records that a request was refused or did not reach the engine.
+    pub fn record_refused(&self, engine: &EngineName, id: RequestId) {
+        self.update(engine, |tracked| tracked.load.record_refused(id));
     }
 
-    /// Requests of this node in progress at an engine.
+    /// Returns the number of this node's requests in progress at an engine.
     pub fn in_flight(&self, engine: &EngineName) -> usize {
         self.trackers.with(engine, |shard| {
             shard
@@ -130,7 +130,7 @@
         })
     }
 
-    /// Whether an engine's last report is recent enough to say something.
+    /// Returns whether an engine's last report is recent enough to be used.
     pub fn is_reporting(&self, engine: &EngineName, now: Timestamp) -> bool {
         self.trackers.with(engine, |shard| {
             shard
@@ -139,23 +139,23 @@
         })
     }
 
-    /// Forgets the engines that `keep` does not name and that run nothing of this node's.
+    /// Removes the engines for which `keep` returns false and that run no request of this node.
     pub fn retain(&self, keep: impl Fn(&EngineName) -> bool) {
         self.trackers
             .retain(|engine, tracked| keep(engine) || tracked.load.in_flight() > 0);
     }
 
-    /// Engines known.
+    /// Returns the number of known engines.
     pub fn len(&self) -> usize {
         self.trackers.len()
     }
 
-    /// Whether no engine is known.
+    /// Returns whether no engine is known.
     pub fn is_empty(&self) -> bool {
         self.trackers.is_empty()
     }
 
-    fn with(&self, engine: &EngineName, change: impl Fn(&mut TrackedEngine)) {
+    fn update(&self, engine: &EngineName, change: impl Fn(&mut TrackedEngine)) {
         let known = self
             .trackers
             .with(engine, |shard| shard.get_mut(engine).map(&change).is_some());
@@ -164,7 +164,7 @@
         }
         let mut tracker = self.new_tracker();
         change(&mut tracker);
-        // A full table costs an engine its place in predictions, not its work.
+        // If the table is full, the engine is missing from predictions but still gets work.
         let _ = self.trackers.insert(engine.clone(), tracker);
     }
 
@@ -186,16 +186,16 @@
     }
 }
 
-/// Whether an engine in this state takes new work.
+/// Returns whether an engine in this state accepts new work.
 pub fn accepts_work(state: &EngineState) -> bool {
     !state.draining && state.active_order.is_none()
 }
 
-/// The report's figures. They were taken its age before the engine answered, which is no earlier
-/// than its age before it was asked.
-fn snapshot(asked: Timestamp, report: &LoadReport) -> LoadSnapshot {
+/// Converts a load report. Its figures were taken `age_ms` before the engine answered, which is no
+/// earlier than `age_ms` before the report was requested.
+fn load_snapshot(requested_at: Timestamp, report: &LoadReport) -> LoadSnapshot {
     LoadSnapshot {
-        taken_at: asked - Duration::from_millis(report.age_ms),
+        taken_at: requested_at - Duration::from_millis(report.age_ms),
         decoding: f64::from(report.decoding),
         waiting: f64::from(report.waiting),
         pending_prefill_tokens: report.pending_prefill_tokens as f64,
--- a/crates/node/src/dispatch/transfer.rs
+++ b/crates/node/src/dispatch/transfer.rs
@@ -1,15 +1,15 @@
-//! Hands a request's KV cache from the engine that prefilled the prompt to the one that generates
-//! the answer. The blocks go from engine to engine; the node passes the handle.
+//! Moves a request's KV cache from the engine that prefilled the prompt to the one that generates
+//! the answer. The engines transfer the blocks directly; the node only passes the handle.
 
 use std::net::SocketAddr;
 
 use tansyhall_engine::protocol::{KvExport, KvImport};
 use tansyhall_engine::{EngineClient, EngineError};
 
-/// A transfer that failed, by its step. The decode engine then prefills the prompt itself.
+/// A failed transfer, by its step. The decode engine then prefills the prompt itself.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum TransferError {
-    /// The prefill engine gave no handle.
+    /// The prefill engine did not return a handle.
     #[error("the KV cache was not exported: {0}")]
     Export(EngineError),
     /// The decode engine could not fetch the cache.
@@ -18,7 +18,7 @@
 }
 
 impl TransferError {
-    /// The step's name in metrics.
+    /// Returns the step's name in metrics.
     pub const fn name(&self) -> &'static str {
         match self {
             TransferError::Export(_) => "export-failed",
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Whether the prefill engine did not answer at all.
-    pub const fn source_is_lost(&self) -> bool {
+    /// Returns whether the prefill engine did not answer at all.
+    pub const fn is_source_unresponsive(&self) -> bool {
         matches!(
             self,
             TransferError::Export(EngineError::Unreachable(_) | EngineError::Broken(_))
--- a/crates/node/src/limits/admission.rs
+++ b/crates/node/src/limits/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of one request by its tenant's limits and the node's places. What it holds is given
-//! back when it is dropped, however the request ends.
+//! Admission of one request by its tenant's limits and the node's slots. What the request holds is
+//! released when the admission is dropped, however the request ends.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
@@ -11,63 +11,63 @@
 
 use super::keys::LimitKeys;
 use super::LimitKeeper;
-use crate::callers::admit::Terms;
+use crate::callers::admit::RequestParams;
 use crate::state::Node;
 
 /// Why a request was not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The tenant's requests in a second are spent.
+    /// The tenant's requests per second are used up.
     Requests {
-        /// When one more would be admitted.
+        /// Time until one more would be admitted.
         retry_after: Duration,
     },
-    /// The tenant's tokens in a second are spent.
+    /// The tenant's tokens per second are used up.
     Tokens {
-        /// When as many would be admitted.
+        /// Time until the same number of tokens would be admitted.
         retry_after: Duration,
     },
-    /// The tenant has as many requests in progress as it may.
+    /// The tenant has its maximum number of requests in progress.
     Concurrent,
-    /// The node has no places left.
+    /// The node has no free slots.
     Full,
-    /// The node's last places are for tenants that hold fewer.
-    Unfair,
+    /// The remaining slots of the node are reserved for tenants below their fair share.
+    AboveFairShare,
 }
 
 impl Refusal {
-    /// The refusal's name in metrics.
+    /// Returns the refusal's name in metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Refusal::Requests { .. } => "requests-limit",
             Refusal::Tokens { .. } => "tokens-limit",
             Refusal::Concurrent => "concurrent-limit",
             Refusal::Full => "full",
-            Refusal::Unfair => "fair-part",
+            Refusal::AboveFairShare => "fair-part",
         }
     }
 
-    /// Whether the tenant's own limit was reached, rather than the node's places.
+    /// Returns whether the tenant's own limit was reached, rather than the node's number of slots.
     pub const fn is_limit(self) -> bool {
-        !matches!(self, Refusal::Full | Refusal::Unfair)
+        !matches!(self, Refusal::Full | Refusal::AboveFairShare)
     }
 
-    /// When to come back, if a rate says so.
+    /// Returns the time after which to retry, if a rate determines it.
     pub const fn retry_after(self) -> Option<Duration> {
         match self {
             Refusal::Requests { retry_after } | Refusal::Tokens { retry_after } => {
                 Some(retry_after)
             }
-            Refusal::Concurrent | Refusal::Full | Refusal::Unfair => None,
+            Refusal::Concurrent | Refusal::Full | Refusal::AboveFairShare => None,
         }
     }
 }
 
-/// An admitted request's hold on its tenant's limits and on a place of the node.
+/// What an admitted request holds of its tenant's limits and of the node's slots.
 pub struct Admission {
     node: Arc<Node>,
     tenant: Option<TenantName>,
-    has_place: bool,
+    has_slot: bool,
     concurrent: Option<LimitKey>,
     tokens: Option<LimitKey>,
     estimated_tokens: u32,
@@ -76,77 +76,77 @@
 }
 
 impl Admission {
-    /// Admits a request, or says which limit stands against it. What a request that is refused
-    /// had taken of other limits is given back.
-    pub fn ask(node: &Arc<Node>, terms: &Terms) -> Result<Self, Refusal> {
+    /// Admits a request, or returns the limit that refuses it. What a refused request had taken of
+    /// other limits is released.
+    pub fn acquire(node: &Arc<Node>, params: &RequestParams) -> Result<Self, Refusal> {
         let in_force = node.in_force.load_full();
-        node.limits.divide(node.clock.now(), &in_force);
-        let keys = match &terms.tenant {
-            Some(tenant) => LimitKeys::of(&in_force, &terms.service, tenant),
+        node.limits.apply_limits(node.clock.now(), &in_force);
+        let keys = match &params.tenant {
+            Some(tenant) => LimitKeys::of(&in_force, &params.service, tenant),
             None => LimitKeys::default(),
         };
         let mut admission = Self {
             node: Arc::clone(node),
-            tenant: terms.tenant.clone(),
-            has_place: false,
+            tenant: params.tenant.clone(),
+            has_slot: false,
             concurrent: None,
             tokens: None,
-            estimated_tokens: terms.prompt_tokens.saturating_add(terms.output_tokens),
-            prompt_tokens: terms.prompt_tokens,
+            estimated_tokens: params.prompt_tokens.saturating_add(params.output_tokens),
+            prompt_tokens: params.prompt_tokens,
             generated: AtomicU32::new(0),
         };
-        admission.take_place()?;
+        admission.take_slot()?;
         admission.take_limits(&keys)?;
         Ok(admission)
     }
 
-    /// Notes how many tokens have been generated.
-    pub fn note_generated(&self, tokens: u32) {
+    /// Records how many tokens have been generated.
+    pub fn record_generated(&self, tokens: u32) {
         self.generated.fetch_max(tokens, Ordering::Relaxed);
     }
 
-    fn keeper(&self) -> &LimitKeeper {
+    fn limiter(&self) -> &LimitKeeper {
         &self.node.limits
     }
 
-    fn take_place(&mut self) -> Result<(), Refusal> {
-        let decision = self.keeper().places.lock().acquire(self.tenant.clone());
+    fn take_slot(&mut self) -> Result<(), Refusal> {
+        let decision = self.limiter().slots.lock().acquire(self.tenant.clone());
         match decision {
             SlotDecision::Admitted => {
-                self.has_place = true;
+                self.has_slot = true;
                 Ok(())
             }
             SlotDecision::Full => Err(Refusal::Full),
-            SlotDecision::AboveFairShare => Err(Refusal::Unfair),
+            SlotDecision::AboveFairShare => Err(Refusal::AboveFairShare),
         }
     }
 
-    /// Takes the concurrent limit first and the requests' last, since a request counts as soon as
-    /// it is taken, while the others are given back.
+    /// Takes from the concurrency limit first and from the request rate last: a request counts
+    /// against the rate as soon as it is taken, while the other two are given back.
     fn take_limits(&mut self, keys: &LimitKeys) -> Result<(), Refusal> {
         let now = self.node.clock.now();
         if let Some(key) = keys.concurrent {
-            if !self.keeper().enter(now, key) {
+            if !self.limiter().start_request(now, key) {
                 return Err(Refusal::Concurrent);
             }
             self.concurrent = Some(key);
         }
         if let Some(key) = keys.tokens {
             let units = u64::from(self.estimated_tokens);
-            if let BucketDecision::Refused { retry_after } = self.keeper().take(now, key, units) {
+            if let BucketDecision::Refused { retry_after } = self.limiter().take(now, key, units) {
                 return Err(Refusal::Tokens { retry_after });
             }
             self.tokens = Some(key);
         }
         if let Some(key) = keys.requests {
-            if let BucketDecision::Refused { retry_after } = self.keeper().take(now, key, 1) {
+            if let BucketDecision::Refused { retry_after } = self.limiter().take(now, key, 1) {
                 return Err(Refusal::Requests { retry_after });
             }
         }
         Ok(())
     }
 
-    /// Tokens that the request used: none if nothing was generated.
+    /// Returns the number of tokens that the request used; zero if nothing was generated.
     fn used_tokens(&self) -> u32 {
         match self.generated.load(Ordering::Relaxed) {
             0 => 0,
@@ -161,7 +161,7 @@
         } else {
             BucketEvent::Refund(u64::from(self.estimated_tokens - used))
         };
-        self.keeper().correct(self.node.clock.now(), key, event);
+        self.limiter().correct(self.node.clock.now(), key, event);
     }
 }
 
@@ -171,10 +171,10 @@
             self.correct_tokens(key);
         }
         if let Some(key) = self.concurrent {
-            self.keeper().leave(key);
+            self.limiter().finish_request(key);
         }
-        if self.has_place {
-            self.keeper().places.lock().release(&self.tenant);
+        if self.has_slot {
+            self.limiter().slots.lock().release(&self.tenant);
         }
     }
 }
--- a/crates/node/src/limits/keys.rs
+++ b/crates/node/src/limits/keys.rs
@@ -1,4 +1,4 @@
-//! The limits that a configuration sets, by their keys.
+//! Limits of a configuration and their keys.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,20 @@
 
 use crate::configuration::InForce;
 
-/// The keys of the limits that apply to one tenant at one service; no limit where absent.
+/// Keys of the limits that apply to one tenant at one service; absent if there is no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LimitKeys {
-    /// Requests in a second.
+    /// Requests per second.
     pub requests: Option<LimitKey>,
-    /// Tokens in a second.
+    /// Tokens per second.
     pub tokens: Option<LimitKey>,
     /// Requests in progress.
     pub concurrent: Option<LimitKey>,
 }
 
 impl LimitKeys {
-    /// The limits of a service's policy, each in place of that of the tenant's resource.
+    /// Returns the keys of the limits of a tenant at a service. A limit in the service's policy
+    /// replaces that in the tenant's resource.
     pub fn of(in_force: &InForce, service: &ServiceName, tenant: &TenantName) -> Self {
         let own = in_force.configuration.tenants.get(tenant);
         let own = own.map(|tenant| tenant.limits).unwrap_or_default();
@@ -40,7 +41,7 @@
     }
 }
 
-/// Every limit in force.
+/// Returns all limits in force.
 pub fn limits_in_force(in_force: &InForce) -> BTreeMap<LimitKey, Amount> {
     let mut limits = BTreeMap::new();
     for tenant in in_force.configuration.tenants.values() {
--- a/crates/node/src/limits/mod.rs
+++ b/crates/node/src/limits/mod.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants at this node: who the caller's tenant is, what it may use, and the shares of
-//! its limits that this node holds.
+//! Limits of tenants at this node: which tenant a caller belongs to, what it may use, and the
+//! shares of its limits that this node holds.
 
 pub mod admission;
 pub mod canary;
--- a/crates/node/src/limits/tenant.rs
+++ b/crates/node/src/limits/tenant.rs
@@ -5,15 +5,16 @@
 
 use crate::configuration::InForce;
 
-/// Header by which a caller names its tenant.
+/// Header with the name of the caller's tenant.
 pub const TENANT_HEADER: &str = "tansyhall-tenant";
 
-/// A tenant that the configuration does not know.
+/// The caller names a tenant that is not in the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header {TENANT_HEADER}: no tenant has this name")]
 pub struct UnknownTenant;
 
-/// The tenant that the caller names, or else the one that owns the service, if any.
+/// Returns the tenant that the caller names or, if it names none, the one that owns the service, if
+/// any.
 pub fn tenant_of(
     in_force: &InForce,
     service: &ServiceName,
--- a/crates/node/src/limits/ticker.rs
+++ b/crates/node/src/limits/ticker.rs
@@ -1,4 +1,4 @@
-//! Keeps the shares of this node up to date for as long as it runs.
+//! Updates the shares of this node periodically.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use super::transport::ShareTransport;
 use crate::state::Node;
 
-/// How often demand is looked at and due asks are sent.
-const TICK: Duration = Duration::from_secs(1);
+/// Interval at which demand is measured and due share requests are sent.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Ticks for as long as the node runs.
+/// Starts the updates, which continue for as long as the node runs.
 pub fn start(node: Arc<Node>, transport: Arc<dyn ShareTransport>) {
     actix_rt::spawn(async move {
-        let mut ticks = actix_rt::time::interval(TICK);
+        let mut ticks = actix_rt::time::interval(TICK_INTERVAL);
         loop {
             ticks.tick().await;
             tick(&node, transport.as_ref());
@@ -24,15 +24,16 @@
 
 fn tick(node: &Node, transport: &dyn ShareTransport) {
     let now = node.clock.now();
-    node.limits.set_view(now, view(node));
-    node.limits.divide(now, &node.in_force.load_full());
+    node.limits.set_view(now, fleet_view(node));
+    node.limits.apply_limits(now, &node.in_force.load_full());
     node.limits.tick(now, transport);
 }
 
-/// Shares do not travel between nodes yet, so a node owns its own shares and lends to nobody: its
-/// part of each limit is the limit over the size of the fleet. Every node that is known counts for
-/// that size, the dead included, so that it is not too small while one of them may still run.
-fn view(node: &Node) -> FleetView {
+/// Returns this node's view of the fleet. Shares are not exchanged between nodes yet, so a node is
+/// the owner of its own shares and lends to no other: its part of each limit is the limit divided
+/// by the size of the fleet. Every known node counts, including the dead ones, so that the size is
+/// not too small while one of them may still run.
+fn fleet_view(node: &Node) -> FleetView {
     let peers = node.peers.snapshot();
     let elsewhere: u64 = peers
         .zones
--- a/crates/node/src/limits/transport.rs
+++ b/crates/node/src/limits/transport.rs
@@ -1,17 +1,17 @@
-//! How messages about shares reach other nodes.
+//! Transport of messages about shares between nodes.
 
 use tansyhall_core::NodeId;
 use tansyhall_shares::Message;
 
-/// Sends messages to other nodes by name. Messages may be lost, delayed or repeated; a receiver
-/// hands them to [`super::LimitKeeper::receive`].
+/// Sends messages to other nodes by name. Messages may be lost, delayed or repeated. A receiver
+/// passes them to [`super::LimitKeeper::receive`].
 pub trait ShareTransport: Send + Sync {
-    /// Sends a message, without waiting for it to arrive.
+    /// Sends a message without waiting for its arrival.
     fn send(&self, to: &NodeId, message: &Message);
 }
 
-/// The transport of a node that reaches no other: every message is lost, so that the node keeps to
-/// its home shares.
+/// Transport of a node that reaches no other. Every message is lost, so the node uses only its base
+/// shares.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Alone;
 
--- a/crates/node/tests/applications.rs
+++ b/crates/node/tests/applications.rs
@@ -1,4 +1,5 @@
-//! Plain HTTP to application workers: bodies streamed both ways, retries only where allowed.
+//! Plain HTTP to application workers: bodies are streamed in both directions, and requests are
+//! retried only where this is allowed.
 
 mod support;
 
@@ -23,7 +24,8 @@
     address
 }
 
-/// A worker that reads a request's head and closes the connection; it counts its requests.
+/// Starts a worker that reads a request's head and closes the connection. Returns its address and
+/// its count of requests.
 fn start_broken_worker() -> (SocketAddr, Rc<Cell<u32>>) {
     let (listener, address) = listener();
     listener.set_nonblocking(true).expect("a listener");
@@ -121,11 +123,7 @@
     let known = send(address, Method::POST, "more than ten bytes").await;
     assert_eq!(known.status(), 413);
     assert_eq!(header(&known, "tansyhall-verdict"), "not-run");
-    assert_eq!(
-        header(&known, "retry-after"),
-        "",
-        "coming back does not help"
-    );
+    assert_eq!(header(&known, "retry-after"), "", "a retry does not help");
     let piece = || Ok::<_, std::io::Error>(Bytes::from_static(b"eight by"));
     let request = client().post(format!("http://{address}/stock/ledger"));
     let body = stream::repeat_with(piece).take(4);
@@ -137,7 +135,7 @@
 }
 
 #[actix_rt::test]
-async fn a_worker_that_answers_too_late_is_given_up_on_at_the_deadline() {
+async fn a_request_to_a_slow_worker_fails_at_the_deadline() {
     let (_node, address) = start_node(&[], &[start_worker("app-0")], "");
     let request = client().get(format!("http://{address}/stock/rice?delay_ms=60000"));
     let request = request.insert_header(("tansyhall-deadline-ms", "100"));
@@ -146,8 +144,8 @@
     assert_eq!(header(&response, "tansyhall-verdict"), "may-have-run");
 }
 
-/// A worker that answers its first request with `part` and closes the connection.
-fn start_cut_worker(part: &'static [u8]) -> SocketAddr {
+/// Starts a worker that answers its first request with `part` and closes the connection.
+fn start_interrupting_worker(part: &'static [u8]) -> SocketAddr {
     let (listener, address) = listener();
     listener.set_nonblocking(true).expect("a listener");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
@@ -161,14 +159,14 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_that_breaks_off_is_cut_and_counted() {
+async fn an_interrupted_answer_closes_the_connection_and_is_counted() {
     let parts: [&[u8]; 3] = [
         b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nfive ",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nfive \r\n",
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nfiv",
     ];
     for part in parts {
-        let (node, address) = start_node(&[], &[start_cut_worker(part)], "");
+        let (node, address) = start_node(&[], &[start_interrupting_worker(part)], "");
         let mut caller = TcpStream::connect(address).await.expect("a connection");
         let request = b"GET /stock/rice HTTP/1.1\r\nhost: x\r\n\r\n";
         caller
@@ -176,11 +174,11 @@
             .await
             .expect("the request is sent");
         let mut answer = Vec::new();
-        // The node closes the connection; a reset is as good a sign of it as an end.
+        // The node closes the connection; a reset shows this as well as an end of the stream.
         let _ = caller.read_to_end(&mut answer).await;
         let answer = String::from_utf8_lossy(&answer);
-        let whole = answer.contains("content-length: 5") || answer.ends_with("0\r\n\r\n");
-        assert!(!whole, "a part is passed off as the whole: {answer}");
+        let looks_complete = answer.contains("content-length: 5") || answer.ends_with("0\r\n\r\n");
+        assert!(!looks_complete, "a partial answer looks complete: {answer}");
         let verdict = node.metrics.requests.with_label_values(&["may-have-run"]);
         assert_eq!(verdict.get(), 1, "{answer}");
     }
@@ -211,17 +209,18 @@
 }
 
 #[actix_rt::test]
-async fn no_caller_gets_the_second_answer_of_another() {
+async fn no_caller_gets_a_repeated_answer_of_another_request() {
     for second in Second::ALL {
         let answers = vec![(200, b"rice".to_vec()), (200, b"lentils".to_vec())];
         let worker = TwiceAnswering::start(second, answers);
         let (_node, address) = start_node(&[], &[worker.address], "");
-        // One connection to the node, so that both requests reach the same of its threads.
+        // Both requests use one connection to the node, so that the same thread of the node handles
+        // them.
         let client = client();
         for expected in ["rice", "lentils"] {
             let request = client.post(format!("http://{address}/stock/rice"));
             let mut response = request.send().await.expect("an answer");
-            let body = response.body().await.expect("a whole answer");
+            let body = response.body().await.expect("a complete answer");
             assert_eq!(body, expected.as_bytes(), "{second:?}");
             actix_rt::time::sleep(ARRIVAL).await;
         }
--- a/crates/node/tests/at_most_once_connections.rs
+++ b/crates/node/tests/at_most_once_connections.rs
@@ -1,4 +1,4 @@
-//! A request between nodes that comes while all connections are taken waits for one.
+//! A request between nodes that arrives while all connections are in use waits for a free one.
 
 use std::time::Duration;
 
@@ -9,24 +9,24 @@
 };
 use tokio::net::TcpStream;
 
-/// Longer than a node lets one connection last.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longer than a node keeps one connection open.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[actix_rt::test]
-async fn a_request_beyond_the_connections_waits_and_is_answered() {
+async fn a_request_beyond_the_connection_limit_waits_and_is_answered() {
     let text = "name = 'node-0'\nzone = 'kalimati'\nplatform = '127.0.0.1:1'\n\
                 callers = '127.0.0.1:0'\nadmin = '127.0.0.1:0'\npeers = '127.0.0.1:0'\n\
                 [peer_limits]\nmax_connections = 1\n";
     let settings = NodeSettings::parse("test", text).expect("settings");
     let running = tansyhall_node::run(settings).expect("a node");
-    // It is accepted first, and asks nothing for as long as the node lets it.
+    // This connection is accepted first, and sends nothing for as long as the node keeps it open.
     let idle = TcpStream::connect(running.peers).await;
     let idle = idle.expect("a connection");
     let request = PeerRequest::Journal(JournalCall {
         addressee: None,
         request: JournalRequest::Identify,
     });
-    let answer = exchange::ask(&running.node, running.peers, request, PATIENCE).await;
+    let answer = exchange::ask(&running.node, running.peers, request, ANSWER_TIMEOUT).await;
     let answer =
         decode_journal_answer(&answer.expect("an answer")).expect("an answer of a replica");
     let JournalAnswer::Identity { member, .. } = answer else {
--- a/crates/node/tests/at_most_once_messages.rs
+++ b/crates/node/tests/at_most_once_messages.rs
@@ -1,5 +1,5 @@
-//! The node's replicas by their encoded messages, which are lost, repeated and reordered while
-//! nodes restart and views change: of several tries of one key at most one may run.
+//! Exchanges encoded messages with the nodes' replicas. Messages are lost, repeated and reordered
+//! while nodes restart and views change; of several attempts with one key at most one may run.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
 };
 
 const NODES: usize = 4;
-const TRIES: usize = 3;
+const ATTEMPTS: usize = 3;
 const NOW: Timestamp = Timestamp(0);
 
 #[derive(Debug, Clone)]
@@ -28,33 +28,34 @@
         node: usize,
         answer_lost: bool,
     },
-    /// A try ends without its quorum, and its records are given back where the messages arrive.
+    /// An attempt ends without a quorum, and its records are released at the nodes that receive the
+    /// message.
     GiveUp {
         attempt: usize,
-        heard: [bool; NODES],
+        received: [bool; NODES],
     },
-    /// A node restarts and knows nothing.
+    /// A node restarts with an empty replica.
     Restart { node: usize },
-    /// One step of a change of view, at the nodes that hear of it.
+    /// One step of a change of view, at the nodes that receive the message.
     Change {
         left_out: usize,
-        heard: [bool; NODES],
+        received: [bool; NODES],
     },
-    /// The node that carries the change out is replaced by another.
-    ForgetChange,
+    /// The node that carries out the change is replaced by another.
+    RestartChange,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        8 => (0..TRIES, 0..NODES, any::<bool>()).prop_map(|(attempt, node, answer_lost)| {
+        8 => (0..ATTEMPTS, 0..NODES, any::<bool>()).prop_map(|(attempt, node, answer_lost)| {
             Step::Vote { attempt, node, answer_lost }
         }),
-        1 => (0..TRIES, any::<[bool; NODES]>())
-            .prop_map(|(attempt, heard)| Step::GiveUp { attempt, heard }),
+        1 => (0..ATTEMPTS, any::<[bool; NODES]>())
+            .prop_map(|(attempt, received)| Step::GiveUp { attempt, received }),
         1 => (0..NODES).prop_map(|node| Step::Restart { node }),
         4 => (0..NODES, any::<[bool; NODES]>())
-            .prop_map(|(left_out, heard)| Step::Change { left_out, heard }),
-        1 => Just(Step::ForgetChange),
+            .prop_map(|(left_out, received)| Step::Change { left_out, received }),
+        1 => Just(Step::RestartChange),
     ]
 }
 
@@ -66,12 +67,12 @@
     Journal::new(&NodeSettings::parse("test", &text).expect("settings"))
 }
 
-/// Sends a request as the wire carries it, and returns the answer as the wire carries it.
+/// Encodes a request as on the wire, and returns its answer decoded from the wire.
 fn exchange(journal: &Journal, request: JournalRequest) -> JournalAnswer {
     exchange_with(journal, Some(journal.member().clone()), request)
 }
 
-/// Sends a request that is meant for `addressee` to a replica.
+/// Sends a request that is addressed to `addressee` to a replica.
 fn exchange_with(
     journal: &Journal,
     addressee: Option<Member>,
@@ -94,8 +95,8 @@
     active: View,
     prepared: Option<View>,
     change: Option<ViewChange>,
-    tries: Vec<Attempt>,
-    given_up: [bool; TRIES],
+    attempts: Vec<Attempt>,
+    given_up: [bool; ATTEMPTS],
     running: usize,
 }
 
@@ -120,11 +121,11 @@
             Attempt::new(key, id, KeyOrigin::Caller, active.clone())
         };
         Self {
-            tries: (0..TRIES).map(attempt).collect(),
+            attempts: (0..ATTEMPTS).map(attempt).collect(),
             nodes,
             prepared: None,
             change: None,
-            given_up: [false; TRIES],
+            given_up: [false; ATTEMPTS],
             running: 0,
             active,
         }
@@ -137,15 +138,15 @@
                 node,
                 answer_lost,
             } => self.vote(attempt, node, answer_lost),
-            Step::GiveUp { attempt, heard } => self.give_up(attempt, heard),
+            Step::GiveUp { attempt, received } => self.give_up(attempt, received),
             Step::Restart { node } => self.nodes[node] = journal(node),
-            Step::Change { left_out, heard } => self.change(left_out, heard),
-            Step::ForgetChange => self.change = None,
+            Step::Change { left_out, received } => self.change(left_out, received),
+            Step::RestartChange => self.change = None,
         }
     }
 
     fn vote(&mut self, index: usize, node: usize, answer_lost: bool) {
-        let attempt = &mut self.tries[index];
+        let attempt = &mut self.attempts[index];
         attempt.view_changed(self.active.clone());
         let request = JournalRequest::Vote {
             view: attempt.view(),
@@ -159,21 +160,25 @@
         if answer_lost || self.given_up[index] {
             return;
         }
-        let ran = attempt.reply(self.nodes[node].member(), attempt.view(), reply);
-        if ran == Some(Decision::Run) {
+        let decision = attempt.reply(self.nodes[node].member(), attempt.view(), reply);
+        if decision == Some(Decision::Run) {
             self.given_up[index] = true;
             self.running += 1;
         }
     }
 
-    fn give_up(&mut self, index: usize, heard: [bool; NODES]) {
+    fn give_up(&mut self, index: usize, received: [bool; NODES]) {
         if self.given_up[index] {
             return;
         }
         self.given_up[index] = true;
-        let attempt = &mut self.tries[index];
+        let attempt = &mut self.attempts[index];
         attempt.give_up();
-        let reached = self.nodes.iter().zip(heard).filter(|(_, heard)| *heard);
+        let reached = self
+            .nodes
+            .iter()
+            .zip(received)
+            .filter(|(_, received)| *received);
         for (node, _) in reached {
             let key = attempt.key().clone();
             let attempt = attempt.id();
@@ -181,11 +186,13 @@
         }
     }
 
-    fn change(&mut self, left_out: usize, heard: [bool; NODES]) {
+    fn change(&mut self, left_out: usize, received: [bool; NODES]) {
         let next = self.prepared.get_or_insert_with(|| {
             let nodes = self.nodes.iter().enumerate();
             let members = nodes.filter(|(node, _)| *node != left_out);
-            let members: Vec<Member> = members.map(|(_, it)| it.member().clone()).collect();
+            let members: Vec<Member> = members
+                .map(|(_, journal)| journal.member().clone())
+                .collect();
             View {
                 number: self.active.number.next(),
                 members: members.try_into().expect("three members"),
@@ -202,7 +209,11 @@
             self.change = None;
             return;
         }
-        let reached = self.nodes.iter().zip(heard).filter(|(_, heard)| *heard);
+        let reached = self
+            .nodes
+            .iter()
+            .zip(received)
+            .filter(|(_, received)| *received);
         for (node, _) in reached {
             let request = match &step {
                 ChangeStep::Install(records) => JournalRequest::Install {
@@ -239,9 +250,9 @@
 }
 
 #[test]
-fn a_try_whose_messages_arrive_runs_and_the_next_does_not() {
+fn an_attempt_whose_messages_arrive_runs_and_later_ones_do_not() {
     let mut cluster = Cluster::new();
-    for attempt in 0..TRIES {
+    for attempt in 0..ATTEMPTS {
         for node in 0..NODES {
             cluster.vote(attempt, node, false);
         }
@@ -249,9 +260,10 @@
     }
 }
 
-// Guards against a run whose quorum holds the vote of a replica that took a member's address.
+// Guards against a run whose quorum includes the vote of a replica that took over a member's
+// address.
 #[test]
-fn a_replica_at_the_address_of_another_member_has_no_part_in_its_view() {
+fn a_replica_at_the_address_of_another_member_does_not_act_for_it() {
     let cluster = Cluster::new();
     let before = cluster.nodes[0].member().clone();
     let another = journal(0);
