--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input from callers: the right status, a verdict, a counter, and nothing stuck.
+//! Invalid input from callers: the right status, a verdict and a counter, and no request is left in
+//! progress.
 
 mod support;
 
@@ -23,11 +24,7 @@
 fn assert_invalid(response: &awc::ClientResponse, status: u16) {
     assert_eq!(response.status(), status);
     assert_eq!(header(response, "tansyhall-verdict"), "not-run");
-    assert_eq!(
-        header(response, "retry-after"),
-        "",
-        "coming back does not help"
-    );
+    assert_eq!(header(response, "retry-after"), "", "a retry does not help");
     assert!(!header(response, "tansyhall-request-id").is_empty());
 }
 
@@ -86,7 +83,7 @@
 }
 
 #[actix_rt::test]
-async fn a_body_that_does_not_arrive_is_given_up_on() {
+async fn a_body_that_does_not_arrive_times_out() {
     let limits = "body_timeout = '100ms'";
     let (node, address) = start_node(&[start_engine("engine-0")], &[], limits);
     let mut connection = TcpStream::connect(address).await.expect("a connection");
@@ -104,7 +101,7 @@
 }
 
 #[actix_rt::test]
-async fn a_caller_that_closes_its_side_is_gone_and_holds_nothing() {
+async fn closing_the_callers_side_of_a_connection_cancels_its_request() {
     let (node, address) = start_node(&[start_engine("engine-0")], &[], "");
     let body = body(50_000, false).to_string();
     let request = format!(
@@ -132,32 +129,32 @@
 }
 
 #[actix_rt::test]
-async fn a_caller_that_stops_reading_is_cut_off() {
+async fn a_caller_that_stops_reading_is_disconnected() {
     // Enough tokens to fill every buffer between the engine and the caller.
     const TOKENS: u32 = 150_000;
     let limits = "caller_stall = '200ms'";
     let (listener, engine) = support::listener();
     let server = actix_web::HttpServer::new(|| {
-        actix_web::App::new().default_service(actix_web::web::to(flood))
+        actix_web::App::new().default_service(actix_web::web::to(stream_endlessly))
     });
     let server = server.workers(1).disable_signals().listen(listener);
     actix_rt::spawn(server.expect("a server").run());
     let (node, address) = start_node(&[engine], &[], limits);
     let response = ask(address, &[], &body(TOKENS, true)).await;
-    eventually("the caller is cut off", || async {
+    eventually("the caller is disconnected", || async {
         (node.metrics.callers_stalled.get() == 1).then_some(())
     })
     .await;
     let reader = Reader::new(response).read_all().await;
     assert_eq!(
         reader.verdict, None,
-        "the part is not passed off as the whole"
+        "the partial answer does not look complete"
     );
     assert_eq!(node.metrics.in_progress.get(), 0);
 }
 
-/// An engine without end: it sends chunks as fast as they are read.
-async fn flood(
+/// Answers with chunks without end, as fast as they are read.
+async fn stream_endlessly(
     request: actix_web::web::Json<tansyhall_engine::protocol::EngineRequest>,
 ) -> actix_web::HttpResponse {
     let id = request.into_inner().request_id;
@@ -221,7 +218,7 @@
     ];
     for head in heads {
         let mut connection = TcpStream::connect(address).await.expect("a connection");
-        // The node may close before it has read everything.
+        // The node may close the connection before it has read everything.
         let _ = connection.write_all(head).await;
         let mut answer = Vec::new();
         let _ = connection.read_to_end(&mut answer).await;
--- a/crates/node/tests/dispatch_choice.rs
+++ b/crates/node/tests/dispatch_choice.rs
@@ -1,4 +1,4 @@
-//! Which engine gets a request, what a node learns of engines, and when it refuses.
+//! Which engine gets a request, what a node learns about engines, and when it refuses requests.
 
 mod support;
 
@@ -12,8 +12,8 @@
 use tansyhall_node::Node;
 use tansyhall_testing::eventually;
 
-/// Follows the engines' load, and waits until each of them reports.
-async fn follow(node: &Arc<Node>, engines: usize) {
+/// Polls the engines' load, and waits until each of them has reported.
+async fn start_polling(node: &Arc<Node>, engines: usize) {
     LoadFollower::new(Arc::clone(node)).start();
     let names: Vec<EngineName> = (0..engines)
         .map(|index| format!("engine-{index}").as_str().into())
@@ -40,9 +40,9 @@
     assert_eq!(response.status(), 503);
     assert_eq!(header(&response, "tansyhall-verdict"), "not-run");
     assert_eq!(header(&response, "retry-after"), "1");
-    // 200 iterations of 4.2 ms and the prompt's, less four fifths of the time left.
+    // 200 iterations of 4.2 ms and those of the prompt, less four fifths of the time left.
     let retry_after = json_of(&mut response).await["error"]["retry_after_ms"].as_u64();
-    let retry_after = retry_after.expect("when to come back");
+    let retry_after = retry_after.expect("an advised wait");
     assert!((600..850).contains(&retry_after), "{retry_after} ms");
     assert_eq!(choices(&node, "refused"), 1);
     assert_eq!(choices(&node, "whole"), 0);
@@ -60,14 +60,14 @@
         reader.read_text().await;
         others.push(reader);
     }
-    follow(&node, engines.len()).await;
+    start_polling(&node, engines.len()).await;
     eventually("the load is known", || {
         let now = node.clock.now();
-        let belief = node
+        let estimate = node
             .dispatch
             .trackers
             .estimate(&"engine-0".into(), now, None, &[]);
-        async move { (belief.decoding >= 8.0).then_some(()) }
+        async move { (estimate.decoding >= 8.0).then_some(()) }
     })
     .await;
     let response = ask(address, &[], &body(4, false)).await;
@@ -80,24 +80,24 @@
 async fn an_engine_that_drains_elsewhere_is_left_out_once_it_reports_so() {
     let engines = [start_engine("engine-0"), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
-    follow(&node, engines.len()).await;
+    start_polling(&node, engines.len()).await;
     order_drain(engines[0]).await;
     eventually("the drain is known", || {
         let now = node.clock.now();
-        let belief = node
+        let estimate = node
             .dispatch
             .trackers
             .estimate(&"engine-0".into(), now, None, &[]);
-        async move { (!belief.accepts_work).then_some(()) }
+        async move { (!estimate.accepts_work).then_some(()) }
     })
     .await;
     assert_eq!(ask(address, &[], &body(4, false)).await.status(), 200);
     let unavailable = node.metrics.attempts.with_label_values(&["unavailable"]);
-    assert_eq!(unavailable.get(), 0, "the draining engine was not asked");
+    assert_eq!(unavailable.get(), 0, "the draining engine got no request");
 }
 
 #[actix_rt::test]
-async fn an_engine_that_does_not_report_serves_by_the_nodes_own_count() {
+async fn an_engine_that_does_not_report_is_chosen_by_the_nodes_own_count() {
     let engines = [dead_address(), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
     LoadFollower::new(Arc::clone(&node)).start();
@@ -167,16 +167,16 @@
         assert_eq!(ask(node, &[], &body).await.status(), 200);
     };
     ask_ledger(elsewhere).await;
-    follow(&node, engines.len()).await;
+    start_polling(&node, engines.len()).await;
     let blocks = block_hashes(MODEL, &ledger.join(" "));
     eventually(
         "the engine's cache is known, and that it is idle again",
         || {
             let now = node.clock.now();
             let trackers = &node.dispatch.trackers;
-            let belief = trackers.estimate(&"engine-1".into(), now, None, &blocks);
-            let is_idle = belief.decoding + belief.waiting == 0.0;
-            async move { (belief.cached_tokens >= 160.0 && is_idle).then_some(()) }
+            let estimate = trackers.estimate(&"engine-1".into(), now, None, &blocks);
+            let is_idle = estimate.decoding + estimate.waiting == 0.0;
+            async move { (estimate.cached_tokens >= 160.0 && is_idle).then_some(()) }
         },
     )
     .await;
--- a/crates/node/tests/limits_canary.rs
+++ b/crates/node/tests/limits_canary.rs
@@ -1,5 +1,5 @@
-//! Versions and adapters fall to requests in the stated proportions, and always the same ones to
-//! the same caller.
+//! Versions and adapters are selected in the stated proportions, and always the same ones for the
+//! same caller.
 
 use actix_web::http::header::{HeaderMap, HeaderName, HeaderValue};
 use proptest::prelude::*;
@@ -8,9 +8,9 @@
 use tansyhall_node::limits::{Variant, AFFINITY_HEADER};
 use tansyhall_policy::{compile, Class};
 
-/// Requests drawn in one case.
+/// Number of requests drawn in one case.
 const REQUESTS: u32 = 4_000;
-/// Largest difference from the stated proportion, six standard deviations of an even split.
+/// Maximum difference from the stated proportion: six standard deviations of an even split.
 const TOLERANCE: u32 = 190;
 
 fn class(versions_percent: u8, adapters_percent: u8) -> Class {
--- a/crates/node/tests/limits_of_tenants.rs
+++ b/crates/node/tests/limits_of_tenants.rs
@@ -1,5 +1,5 @@
-//! Tenants' limits at one node: who the tenant is, what is refused and with which advice, and what
-//! is given back when a request ends.
+//! Limits of tenants at one node: which tenant a caller belongs to, what is refused with which
+//! advised wait, and what is released when a request ends.
 
 mod support;
 
@@ -21,17 +21,18 @@
 
 const COOPERATIVE: (&str, &str) = ("tansyhall-tenant", "cooperative");
 const REGISTRY: (&str, &str) = ("tansyhall-tenant", "registry");
-/// Tokens that take an engine far longer than a test needs.
-const LONG: u32 = 50_000;
-/// Tokens of streams that fit an engine's memory together.
-const SEVERAL: u32 = 3_000;
+/// Number of tokens that take an engine far longer than a test needs.
+const LONG_ANSWER_TOKENS: u32 = 50_000;
+/// Number of tokens of each of several streams that fit into an engine's memory together.
+const SHARED_MEMORY_TOKENS: u32 = 3_000;
 
-/// A node with one engine, whose service has this policy and belongs to the cooperative.
+/// Starts a node with one engine, whose service has this policy and belongs to the tenant
+/// `cooperative`.
 fn start(policy: &str, limits: &str) -> (Arc<Node>, SocketAddr) {
-    start_before(start_engine("engine-0"), policy, limits)
+    start_with_engine(start_engine("engine-0"), policy, limits)
 }
 
-fn start_before(engine: SocketAddr, policy: &str, limits: &str) -> (Arc<Node>, SocketAddr) {
+fn start_with_engine(engine: SocketAddr, policy: &str, limits: &str) -> (Arc<Node>, SocketAddr) {
     let (node, address) = start_node(&[], &[], limits);
     let text = format!(
         "[[tenant]]\nname = 'cooperative'\nowner = 'depot'\n\
@@ -63,8 +64,8 @@
     assert!(seconds >= 1);
 }
 
-/// Begins a long stream and reads its first text.
-async fn hold(address: SocketAddr, tenant: (&str, &str), tokens: u32) -> Reader {
+/// Starts a long stream and reads its first text.
+async fn start_stream(address: SocketAddr, tenant: (&str, &str), tokens: u32) -> Reader {
     let answer = ask(address, &[tenant], &body(tokens, true)).await;
     assert_eq!(answer.status(), 200);
     let mut reader = Reader::new(answer);
@@ -73,14 +74,14 @@
 }
 
 #[actix_rt::test]
-async fn requests_beyond_the_rate_are_refused_with_the_time_to_come_back() {
+async fn requests_beyond_the_rate_are_refused_with_an_advised_wait() {
     let policy = "tenant cooperative { limit 2 requests per s; }";
     let (node, address) = start(policy, "");
-    let began = Instant::now();
+    let started_at = Instant::now();
     let request = body(1, false);
     let asks = (0..40).map(|_| ask(address, &[], &request));
     let answers = join_all(asks).await;
-    let allowed = 2 + 2 * (began.elapsed().as_secs() + 1);
+    let allowed = 2 + 2 * (started_at.elapsed().as_secs() + 1);
     let admitted = answers.iter().filter(|answer| answer.status() == 200);
     let admitted = admitted.count() as u64;
     assert!((1..=allowed).contains(&admitted), "{admitted} of {allowed}");
@@ -114,20 +115,20 @@
     assert!(deadline_millis(address, &[REGISTRY]).await <= 7_000);
 }
 
-/// The deadline of a long request, as its status resource states it.
+/// Returns the deadline of a long request, as its status resource states it.
 async fn deadline_millis(address: SocketAddr, tenant: &[(&str, &str)]) -> u64 {
     let headers = [&[("prefer", "wait=0")], tenant].concat();
-    let mut answer = ask(address, &headers, &body(LONG, false)).await;
+    let mut answer = ask(address, &headers, &body(LONG_ANSWER_TOKENS, false)).await;
     assert_eq!(answer.status(), 202);
     let status = json_of(&mut answer).await;
     status["deadline_ms"].as_u64().expect("a deadline")
 }
 
 #[actix_rt::test]
-async fn a_place_within_the_concurrent_limit_is_given_back_when_a_caller_goes_away() {
+async fn a_slot_of_the_concurrency_limit_is_released_when_a_caller_disconnects() {
     let policy = "tenant cooperative { limit 1 concurrent; }";
     let (node, address) = start(policy, "");
-    let held = hold(address, COOPERATIVE, LONG).await;
+    let held = start_stream(address, COOPERATIVE, LONG_ANSWER_TOKENS).await;
     assert_over_limit(&ask(address, &[], &body(1, false)).await);
     let counted = node
         .metrics
@@ -135,7 +136,7 @@
         .with_label_values(&["concurrent-limit"]);
     assert_eq!(counted.get(), 1);
     drop(held);
-    eventually("the place is given back", || async {
+    eventually("the slot is released", || async {
         let answer = ask(address, &[], &body(1, false)).await;
         (answer.status() == 200).then_some(())
     })
@@ -146,14 +147,14 @@
 async fn tokens_are_taken_by_estimate_and_corrected_by_use() {
     let policy = "tenant cooperative { limit 100 tokens per s; }";
     let (_node, address) = start(policy, "");
-    let held = hold(address, COOPERATIVE, LONG).await;
+    let held = start_stream(address, COOPERATIVE, LONG_ANSWER_TOKENS).await;
     let mut refused = ask(address, &[], &body(1, false)).await;
     assert_over_limit(&refused);
     let advised = json_of(&mut refused).await["error"]["retry_after_ms"].clone();
-    let debt_millis = u64::from(LONG) * 1_000 / 100;
+    let debt_millis = u64::from(LONG_ANSWER_TOKENS) * 1_000 / 100;
     assert!(advised.as_u64() > Some(debt_millis / 2), "{advised}");
     drop(held);
-    eventually("what was not used is given back", || async {
+    eventually("unused tokens are refunded", || async {
         let answer = ask(address, &[], &body(1, false)).await;
         (answer.status() == 200).then_some(())
     })
@@ -161,12 +162,12 @@
 }
 
 #[actix_rt::test]
-async fn the_last_places_of_a_node_are_for_the_tenant_that_holds_fewer() {
+async fn the_last_slots_of_a_node_are_reserved_for_the_tenant_that_holds_fewer() {
     let (node, address) = start("", "max_requests = 8");
-    let _registry = hold(address, REGISTRY, SEVERAL).await;
+    let _registry = start_stream(address, REGISTRY, SHARED_MEMORY_TOKENS).await;
     let mut held = Vec::new();
     for _ in 0..6 {
-        held.push(hold(address, COOPERATIVE, SEVERAL).await);
+        held.push(start_stream(address, COOPERATIVE, SHARED_MEMORY_TOKENS).await);
     }
     let refused = ask(address, &[], &body(1, false)).await;
     assert_eq!(refused.status(), 503);
@@ -197,7 +198,7 @@
     let server = server.workers(1).disable_signals().listen(listener);
     actix_rt::spawn(server.expect("a server").run());
     let policy = "class counter { adapters tuned 100%; }";
-    let (_node, address) = start_before(engine, policy, "");
+    let (_node, address) = start_with_engine(engine, policy, "");
     ask(address, &[], &body(1, false)).await;
     let adapter = received.recv().await.expect("a request");
     assert_eq!(adapter.as_deref(), Some("tuned"));
--- a/crates/node/tests/limits_two_nodes.rs
+++ b/crates/node/tests/limits_two_nodes.rs
@@ -1,4 +1,4 @@
-//! Two nodes' keepers of limits, joined by a transport of the test's own, in virtual time.
+//! Limiters of two nodes, connected by a transport of this test, in virtual time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// Longer than a loan, a grant and a renewal together.
 const SETTLED_SECONDS: usize = 60;
 
-/// Keeps what is sent until the test delivers it.
+/// Holds sent messages until the test delivers them.
 #[derive(Default)]
 struct Outbox(Mutex<Vec<(NodeId, Message)>>);
 
@@ -30,34 +30,34 @@
     }
 }
 
-struct Pair {
+struct TwoNodes {
     names: [NodeId; 2],
-    keepers: [LimitKeeper; 2],
+    limiters: [LimitKeeper; 2],
     outboxes: [Outbox; 2],
     now: Timestamp,
 }
 
-impl Pair {
+impl TwoNodes {
     fn new(in_force: &Arc<InForce>) -> Self {
         let names = ["node-0", "node-1"].map(NodeId::from);
         let now = Timestamp::from_millis(1);
         let limits = Limits::default();
-        let keepers = names
+        let limiters = names
             .clone()
             .map(|name| LimitKeeper::new(name, 1, &limits, now));
-        for keeper in &keepers {
-            keeper.divide(now, in_force);
+        for limiter in &limiters {
+            limiter.apply_limits(now, in_force);
         }
         let outboxes = Default::default();
         Self {
             names,
-            keepers,
+            limiters,
             outboxes,
             now,
         }
     }
 
-    fn second(&mut self, alive: &[usize]) {
+    fn run_one_second(&mut self, alive: &[usize]) {
         self.now = self.now + Duration::from_secs(1);
         for index in alive.iter().copied() {
             let live = alive
@@ -65,13 +65,13 @@
                 .map(|index| self.names[*index].clone())
                 .collect();
             let fleet_size = alive.len() as u64;
-            self.keepers[index].set_view(self.now, FleetView { live, fleet_size });
-            self.keepers[index].tick(self.now, &self.outboxes[index]);
+            self.limiters[index].set_view(self.now, FleetView { live, fleet_size });
+            self.limiters[index].tick(self.now, &self.outboxes[index]);
         }
         while alive.iter().any(|index| self.deliver_from(*index)) {}
     }
 
-    /// Delivers what a node has sent; false if it has sent nothing.
+    /// Delivers the messages that a node has sent; returns false if there are none.
     fn deliver_from(&self, index: usize) -> bool {
         let sent = std::mem::take(&mut *self.outboxes[index].0.lock());
         let delivered = !sent.is_empty();
@@ -79,18 +79,18 @@
             let receiver = usize::from(to == self.names[1]);
             let from = self.names[index].clone();
             let outbox = &self.outboxes[receiver];
-            self.keepers[receiver].receive(self.now, from, message, outbox);
+            self.limiters[receiver].receive(self.now, from, message, outbox);
         }
         delivered
     }
 
     fn usable(&self, key: LimitKey) -> [Amount; 2] {
-        [0, 1].map(|index: usize| self.keepers[index].usable(self.now, key))
+        [0, 1].map(|index: usize| self.limiters[index].usable(self.now, key))
     }
 }
 
 #[test]
-fn two_nodes_divide_a_limit_and_the_one_that_is_left_has_all_of_it() {
+fn two_nodes_share_a_limit_and_the_remaining_one_gets_all_of_it() {
     let resources = ResourceFile::parse(RESOURCES).expect("resources");
     let mut configuration = Configuration::default();
     for resource in resources.into_resources() {
@@ -100,14 +100,18 @@
     let limits = limits_in_force(&in_force);
     let (key, limit) = limits.first_key_value().expect("a limit");
     assert_eq!(*limit, LIMIT);
-    let mut pair = Pair::new(&in_force);
-    assert_eq!(pair.usable(*key)[0], LIMIT, "alone, each has the whole");
+    let mut nodes = TwoNodes::new(&in_force);
+    assert_eq!(
+        nodes.usable(*key)[0],
+        LIMIT,
+        "a node that assumes to be alone has the whole limit"
+    );
     for _ in 0..SETTLED_SECONDS {
-        pair.second(&[0, 1]);
-        assert!(pair.usable(*key).iter().sum::<Amount>() <= LIMIT);
+        nodes.run_one_second(&[0, 1]);
+        assert!(nodes.usable(*key).iter().sum::<Amount>() <= LIMIT);
     }
     for _ in 0..SETTLED_SECONDS {
-        pair.second(&[1]);
+        nodes.run_one_second(&[1]);
     }
-    assert_eq!(pair.usable(*key)[1], LIMIT);
+    assert_eq!(nodes.usable(*key)[1], LIMIT);
 }
--- a/crates/node/tests/request_headers.rs
+++ b/crates/node/tests/request_headers.rs
@@ -1,4 +1,4 @@
-//! Policies ask for headers of HTTP requests without allocating.
+//! Policies read the headers of HTTP requests without allocating.
 
 use actix_web::http::header::{HeaderMap, HeaderName, HeaderValue};
 use assert_no_alloc::{assert_no_alloc, AllocDisabler};
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Deadlines, visible lateness, the status resource, retries and the callers that go away.
+//! Deadlines, late answers, the status resource, retries and callers that disconnect.
 
 mod support;
 
@@ -20,7 +20,7 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Orders an engine to drain or resume, and lets the node know its state.
+/// Orders an engine to drain or resume, and passes its state to the node.
 async fn order(node: &Node, engine: SocketAddr, action: OrderAction) {
     let orders = EngineClient::new(CONNECT_TIMEOUT);
     let state = orders.state(engine).await.expect("a state");
@@ -106,13 +106,13 @@
     let (node, address) = start_node(&[engine], &[], "");
     let request = client().post(format!("http://{address}/v1/completions"));
     let request = request.insert_header(("prefer", "wait=600"));
-    let mut whole = Box::pin(request.send_json(&body(50_000, false)));
+    let mut unanswered = Box::pin(request.send_json(&body(50_000, false)));
     eventually("the request is at the engine", || {
-        let _ = whole.as_mut().now_or_never();
+        let _ = unanswered.as_mut().now_or_never();
         async { (records(engine).await["requests"].as_array()?.len() == 1).then_some(()) }
     })
     .await;
-    drop(whole);
+    drop(unanswered);
     eventually("the request is cancelled", || async {
         let records = records(engine).await;
         (records["cancelled"] == 1 && node.metrics.in_progress.get() == 0).then_some(())
@@ -120,12 +120,12 @@
     .await;
 }
 
-/// Callers at once in the test below.
+/// Number of concurrent callers in the test below.
 const CALLERS: usize = 40;
-/// How long streams are begun anew until one is cut midway.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// How long the test starts new streams until one is interrupted and resumed.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Many callers ask at once, and an engine freezes while it answers some of them.
+/// Sends many requests at once, and freezes an engine while it answers some of them.
 async fn ask_while_an_engine_freezes(node: &Node, address: SocketAddr, engine: SocketAddr) {
     let callers: Vec<_> = (0..CALLERS)
         .map(|caller| {
@@ -167,16 +167,17 @@
     let engines = ["engine-0", "engine-1", "engine-2"].map(start_engine);
     let limits = "engine_stall = '200ms'\nmax_attempts = 20\nretry_reserve = 10000";
     let (node, address) = start_node(&engines, &[], limits);
-    // On a busy machine the engine may freeze before it has begun a stream, so that none is resumed.
+    // On a busy machine the engine may freeze before it has started a stream. No stream is resumed
+    // then, and the test tries again.
     let started = Instant::now();
     while node.metrics.resumed.get() == 0 {
-        assert!(started.elapsed() < LONGEST_WAIT, "no stream was resumed");
+        assert!(started.elapsed() < RESUME_TIMEOUT, "no stream was resumed");
         ask_while_an_engine_freezes(&node, address, engines[0]).await;
     }
 }
 
 #[actix_rt::test]
-async fn a_request_is_given_up_on_at_once_when_no_engine_will_accept_it() {
+async fn a_request_fails_immediately_when_no_engine_accepts_work() {
     let engine = start_engine("engine-0");
     let (_node, address) = start_node(&[engine], &[], "");
     set_faults(engine, json!({ "refuse_work": true })).await;
@@ -186,10 +187,11 @@
 }
 
 #[actix_rt::test]
-async fn a_late_answer_is_seen_to_be_late_and_still_comes_whole() {
+async fn a_late_answer_is_reported_as_late_and_still_delivered_completely() {
     let engine = start_engine("engine-0");
     let (node, address) = start_node(&[engine], &[], "engine_stall = '60s'");
-    // Short answers so far: the long one is expected to meet its deadline, and is not refused.
+    // The first answer is short, so that the node expects the long one to meet its deadline and
+    // does not refuse it.
     assert_eq!(ask(address, &[], &body(1, false)).await.status(), 200);
     let deadline = [("tansyhall-deadline-ms", "400")];
     let response = ask(address, &deadline, &body(100, true)).await;
@@ -234,14 +236,17 @@
         (status["state"] == "completed" && status["answer"].is_string()).then_some(())
     })
     .await;
-    let mut whole = client().get(&answer).send().await.expect("an answer");
-    assert_eq!(whole.status(), 200);
-    assert_eq!(header(&whole, "tansyhall-verdict"), "completed");
-    assert_eq!(json_of(&mut whole).await["choices"][0]["text"], expected(5));
+    let mut fetched = client().get(&answer).send().await.expect("an answer");
+    assert_eq!(fetched.status(), 200);
+    assert_eq!(header(&fetched, "tansyhall-verdict"), "completed");
+    assert_eq!(
+        json_of(&mut fetched).await["choices"][0]["text"],
+        expected(5)
+    );
 }
 
 #[actix_rt::test]
-async fn answers_are_kept_within_their_bound_and_for_their_time() {
+async fn kept_answers_are_limited_in_number_and_expire() {
     let engine = start_engine("engine-0");
     let limits = "max_kept_answers = 1\nrequest_retention = '1h'";
     let (node, address) = start_node(&[engine], &[], limits);
@@ -249,7 +254,7 @@
     let first = ask(address, &prefer, &body(5, false)).await;
     assert_eq!(first.status(), 202);
     let second = ask(address, &prefer, &body(5, false)).await;
-    assert_eq!(second.status(), 200, "there is no place to keep its answer");
+    assert_eq!(second.status(), 200, "no slot is free to keep its answer");
     eventually("the first request has its answer", || async {
         let status = get_json(address, header(&first, "location")).await?;
         status["answer"].is_string().then_some(())
@@ -260,7 +265,7 @@
     node.callers.requests.sweep(later);
     assert!(node.callers.requests.is_empty());
     let third = ask(address, &prefer, &body(5, false)).await;
-    assert_eq!(third.status(), 202, "the place is free again");
+    assert_eq!(third.status(), 202, "the slot is free again");
 }
 
 #[actix_rt::test]
@@ -281,14 +286,14 @@
     reader.read_text().await;
     drop(reader);
     let url = format!("http://{address}/v1/completions");
-    let whole = client().post(url).send_json(&body(50_000, false));
-    let mut whole = Box::pin(whole);
+    let unanswered = client().post(url).send_json(&body(50_000, false));
+    let mut unanswered = Box::pin(unanswered);
     eventually("the second request is at the engine", || {
-        let _ = whole.as_mut().now_or_never();
+        let _ = unanswered.as_mut().now_or_never();
         async { (records(engine).await["requests"].as_array()?.len() == 2).then_some(()) }
     })
     .await;
-    drop(whole);
+    drop(unanswered);
     eventually("both requests are cancelled", || async {
         let state = get_json(engine, "/control/state").await?;
         let records = records(engine).await;
@@ -300,13 +305,13 @@
 }
 
 #[actix_rt::test]
-async fn a_frozen_engine_is_found_and_the_stream_resumed_elsewhere() {
+async fn a_frozen_engine_is_detected_and_the_stream_resumed_elsewhere() {
     let engines = [start_engine("engine-0"), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "engine_stall = '200ms'");
-    let busy = node.track_in_flight(&"engine-1".into());
+    let counted_at_other = node.track_in_flight(&"engine-1".into());
     let mut reader = Reader::new(ask(address, &[], &body(200, true)).await);
     reader.read_text().await;
-    drop(busy);
+    drop(counted_at_other);
     set_faults(engines[0], json!({ "frozen": true })).await;
     let reader = reader.read_all().await;
     assert_eq!(reader.text, expected(200));
@@ -315,7 +320,7 @@
     let resumed = &records(engines[1]).await["requests"][0]["resume_after"];
     assert!(
         resumed.as_u64() > Some(0),
-        "only the rest is generated again"
+        "only the remaining tokens are generated"
     );
 }
 
@@ -323,14 +328,14 @@
 async fn an_unreachable_engine_is_avoided_after_a_few_failures() {
     let engines = [dead_address(), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
-    // Both engines look idle, and the first is preferred: its failures open its breaker.
+    // The first engine looks idle and is preferred: its failures open its circuit breaker.
     for _ in 0..8 {
-        let busy = node.track_in_flight(&"engine-1".into());
+        let counted_at_other = node.track_in_flight(&"engine-1".into());
         let mut response = ask(address, &[], &body(2, false)).await;
         assert_eq!(response.status(), 200);
         let text = &json_of(&mut response).await["choices"][0]["text"];
         assert_eq!(*text, expected(2));
-        drop(busy);
+        drop(counted_at_other);
     }
     assert_eq!(node.metrics.breakers_opened.get(), 1);
     let unreachable = node.metrics.attempts.with_label_values(&["unreachable"]);
@@ -338,7 +343,7 @@
 }
 
 #[actix_rt::test]
-async fn a_full_node_advises_the_wait_that_it_observed() {
+async fn a_full_node_advises_a_wait_from_its_observed_rate() {
     let engine = start_engine("engine-0");
     let (node, address) = start_node(&[engine], &[], "max_requests = 2");
     for _ in 0..5 {
@@ -391,7 +396,7 @@
     assert_eq!(
         first.status(),
         200,
-        "a try that did not run may be repeated"
+        "an attempt that did not run may be repeated"
     );
     let second = ask(address, &once, &body(3, false)).await;
     assert_eq!(second.status(), 409);
--- a/crates/node/tests/rogue_engine.rs
+++ b/crates/node/tests/rogue_engine.rs
@@ -1,5 +1,5 @@
-//! An engine that answers with foreign, duplicate, reordered, late, truncated and garbage chunks:
-//! the caller gets its own whole answer or an honest verdict, and never anything else.
+//! An engine that answers with mismatched, duplicate, reordered, late, truncated and garbage
+//! chunks. The caller gets its own complete answer or a correct verdict, and never anything else.
 
 mod support;
 
@@ -15,13 +15,13 @@
 use tokio::io::AsyncReadExt;
 
 const TOKENS: u32 = 6;
-/// A request that is not this one.
-const FOREIGN_ID: &str = "0123456789abcdef0123456789abcdef";
+/// Identifier of another request.
+const OTHER_REQUEST_ID: &str = "0123456789abcdef0123456789abcdef";
 
-/// How the rogue engine spoils its answer, after the chunks for which it is right.
+/// How the rogue engine corrupts its answer after a number of correct chunks.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    ForeignChunk,
+    MismatchedChunk,
     DuplicateChunk,
     ReorderedChunks,
     LateChunk,
@@ -34,7 +34,7 @@
 }
 
 const FAULTS: [Fault; 10] = [
-    Fault::ForeignChunk,
+    Fault::MismatchedChunk,
     Fault::DuplicateChunk,
     Fault::ReorderedChunks,
     Fault::LateChunk,
@@ -54,30 +54,39 @@
     format!("data: {chunk}\n\n")
 }
 
-/// The events of an answer whose first `right` chunks are as they should be.
-fn answer(fault: Fault, request: &EngineRequest, right: u32) -> Vec<u8> {
+/// Returns the events of an answer whose first `correct_chunks` chunks are correct.
+fn answer(fault: Fault, request: &EngineRequest, correct_chunks: u32) -> Vec<u8> {
     let id = &request.request_id;
     let token = |index: u32| {
         let before = answer_text(MODEL, PROMPT, index).len();
         answer_text(MODEL, PROMPT, index + 1)[before..].to_owned()
     };
     let own = |index: u32| event(id, index, &token(index), index + 1 == TOKENS);
-    let mut events: String = (0..right).map(own).collect();
-    let foreign = || event(FOREIGN_ID, right, "of another family ", false);
+    let mut events: String = (0..correct_chunks).map(own).collect();
+    let mismatched = || {
+        event(
+            OTHER_REQUEST_ID,
+            correct_chunks,
+            "of another family ",
+            false,
+        )
+    };
     match fault {
-        Fault::ForeignChunk => events.push_str(&(foreign() + &own(right))),
+        Fault::MismatchedChunk => events.push_str(&(mismatched() + &own(correct_chunks))),
         Fault::DuplicateChunk => {
-            let again = right.saturating_sub(1);
+            let again = correct_chunks.saturating_sub(1);
             events.push_str(&own(again));
             events.push_str(&own(again));
         }
-        Fault::ReorderedChunks => events.push_str(&(own(right + 1) + &own(right))),
+        Fault::ReorderedChunks => {
+            events.push_str(&(own(correct_chunks + 1) + &own(correct_chunks)))
+        }
         Fault::LateChunk => {
-            let rest: String = (right..TOKENS).map(own).collect();
-            events.push_str(&(rest + &own(right)));
+            let rest: String = (correct_chunks..TOKENS).map(own).collect();
+            events.push_str(&(rest + &own(correct_chunks)));
         }
         Fault::TruncatedStream => {}
-        Fault::TruncatedEvent => events.push_str(&own(right)[..20]),
+        Fault::TruncatedEvent => events.push_str(&own(correct_chunks)[..20]),
         Fault::Garbage => return [events.as_bytes(), b"data: \xff\xfe\x00\n\n"].concat(),
         Fault::GarbageJson => events.push_str("data: {\"id\":[]}\n\n"),
         Fault::TooLongEvent => events.push_str(&format!("data: {}", "x".repeat(2 << 20))),
@@ -90,20 +99,20 @@
     rogue: web::Data<(Fault, u32)>,
     request: web::Json<EngineRequest>,
 ) -> HttpResponse {
-    let (fault, right) = **rogue;
-    if let (Fault::ServerError, 0) = (fault, right) {
+    let (fault, correct_chunks) = **rogue;
+    if let (Fault::ServerError, 0) = (fault, correct_chunks) {
         return HttpResponse::InternalServerError().body("out of memory");
     }
     HttpResponse::Ok()
         .content_type("text/event-stream")
-        .body(answer(fault, &request, right))
+        .body(answer(fault, &request, correct_chunks))
 }
 
-fn start_rogue(fault: Fault, right: u32) -> SocketAddr {
+fn start_rogue(fault: Fault, correct_chunks: u32) -> SocketAddr {
     let (listener, address) = listener();
     let server = HttpServer::new(move || {
         App::new()
-            .app_data(web::Data::new((fault, right)))
+            .app_data(web::Data::new((fault, correct_chunks)))
             .route(COMPLETIONS_PATH, web::post().to(respond))
     });
     let server = server.workers(1).disable_signals().listen(listener);
@@ -111,14 +120,15 @@
     address
 }
 
-/// Makes the node prefer the rogue engine, by work that it believes is at the other one.
+/// Sends a request that the node routes to the rogue engine first, because it counts a request in
+/// flight at the other one.
 async fn ask_rogue_first(
     fault: Fault,
-    right: u32,
+    correct_chunks: u32,
     headers: &[(&str, &str)],
     request: &Value,
 ) -> (Reader, u64) {
-    let engines = [start_rogue(fault, right), start_engine("engine-1")];
+    let engines = [start_rogue(fault, correct_chunks), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
     let _busy = node.track_in_flight(&"engine-1".into());
     let reader = Reader::new(ask(address, headers, request).await)
@@ -130,7 +140,8 @@
     (reader, counted.iter().sum())
 }
 
-/// An engine that reads a request, which it may run, and closes the connection unanswered.
+/// Starts an engine that reads a request, which it may run, and closes the connection without an
+/// answer.
 fn start_closing_engine() -> SocketAddr {
     let (listener, address) = listener();
     listener.set_nonblocking(true).expect("a listener");
@@ -157,37 +168,50 @@
 }
 
 #[actix_rt::test]
-async fn a_repeatable_request_gets_its_own_whole_answer_from_another_engine() {
+async fn a_repeatable_request_gets_its_own_complete_answer_from_another_engine() {
     for fault in FAULTS {
-        for right in [0, 3] {
-            let (reader, errors) = ask_rogue_first(fault, right, &[], &body(TOKENS, true)).await;
-            assert_eq!(reader.text, expected(TOKENS), "{fault:?} after {right}");
+        for correct_chunks in [0, 3] {
+            let (reader, errors) =
+                ask_rogue_first(fault, correct_chunks, &[], &body(TOKENS, true)).await;
+            assert_eq!(
+                reader.text,
+                expected(TOKENS),
+                "{fault:?} after {correct_chunks}"
+            );
             assert_eq!(reader.verdict.as_deref(), Some("completed"), "{fault:?}");
-            // A chunk after the last one is never read: the answer was whole before it came.
+            // A chunk after the last one is never read: the answer was complete before it arrived.
             let unread = matches!(fault, Fault::LateChunk);
-            assert_eq!(errors, u64::from(!unread), "{fault:?} after {right}");
+            assert_eq!(
+                errors,
+                u64::from(!unread),
+                "{fault:?} after {correct_chunks}"
+            );
         }
     }
 }
 
 #[actix_rt::test]
-async fn a_request_that_is_not_repeatable_gets_an_honest_verdict_and_no_second_run() {
+async fn a_request_that_is_not_repeatable_gets_a_correct_verdict_and_no_second_run() {
     let once = [("tansyhall-not-repeatable", "true")];
     for fault in FAULTS {
-        for right in [0, 3] {
-            let (reader, errors) = ask_rogue_first(fault, right, &once, &body(TOKENS, true)).await;
+        for correct_chunks in [0, 3] {
+            let (reader, errors) =
+                ask_rogue_first(fault, correct_chunks, &once, &body(TOKENS, true)).await;
             let own = expected(TOKENS);
             assert!(own.starts_with(&reader.text), "{fault:?}: {}", reader.text);
             if matches!(fault, Fault::LateChunk) {
                 assert_eq!(reader.verdict.as_deref(), Some("completed"), "{fault:?}");
                 continue;
             }
-            assert!(reader.text.len() < own.len(), "{fault:?} after {right}");
+            assert!(
+                reader.text.len() < own.len(),
+                "{fault:?} after {correct_chunks}"
+            );
             assert_eq!(
                 reader.verdict.as_deref().unwrap_or("may-have-run"),
                 "may-have-run"
             );
-            assert_eq!(errors, 1, "{fault:?} after {right}");
+            assert_eq!(errors, 1, "{fault:?} after {correct_chunks}");
         }
     }
 }
