--- a/crates/cli/tests/gateway_platform/main.rs
+++ b/crates/cli/tests/gateway_platform/main.rs
@@ -3,9 +3,10 @@
 
 mod budget;
 mod caches;
-mod deadly_requests;
-mod leaving_and_resting;
+mod crashing_requests;
+mod leaving_and_backoff;
 mod logs;
+mod mismatched_answers;
 mod rate_limits;
 mod relays;
 mod requests;
@@ -13,9 +14,8 @@
 mod roles;
 mod schedulers;
 mod silent_connections;
-mod stuttering;
 mod support;
 mod tenants;
 mod usage;
-mod worker_lives;
+mod worker_incarnations;
 mod worker_orders;
--- a/crates/cli/tests/gateway_platform/rate_limits.rs
+++ b/crates/cli/tests/gateway_platform/rate_limits.rs
@@ -8,7 +8,7 @@
 use tansyhall_testing::eventually;
 use tokio::time::sleep;
 
-use crate::leaving_and_resting::{ask_app, preferred};
+use crate::leaving_and_backoff::{ask_app, preferred};
 use crate::schedulers::GATEWAYS as GATEWAYS_WITH_SCHEDULERS;
 use crate::support::{ask_own_prompt, CallerAnswer, Site, SiteGateway, SiteWorker, WorkerSpec};
 
--- a/crates/cli/tests/gateway_platform/support/mod.rs
+++ b/crates/cli/tests/gateway_platform/support/mod.rs
@@ -1,7 +1,7 @@
 //! A site of gateways, workers and a store.
 
-mod asking;
-mod observed;
+mod caller;
+mod observations;
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     eventually, free_peer_address, gateway, get_metric, GatewayAddresses, GatewayProcess, Link,
 };
 
-pub use asking::{ask, ask_model, ask_model_with_body, ask_own_prompt, ask_with_key, CallerAnswer};
+pub use caller::{ask, ask_model, ask_model_with_body, ask_own_prompt, ask_with_key, CallerAnswer};
 
 /// The template that is deployed.
 const TEMPLATE: &str = include_str!("../../../../../deploy/node.toml");
--- a/crates/cli/tests/gateway_platform/worker_lives.rs
+++ b/crates/cli/tests/gateway_platform/worker_incarnations.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-use crate::deadly_requests::{ask_deadly, ends, is_sent_no_more, CONTACT, ENOUGH_ENDS, SILENT};
+use crate::crashing_requests::{ask_deadly, ends, is_sent_no_more, CONTACT, ENOUGH_ENDS, SILENT};
 use crate::support::{ask, Site, AT_MOST_ONCE, REPEATABLE};
 
 const ECHO: Behaviour = Behaviour::Serve { events: 0 };
