--- a/crates/cli/src/bin/tansyhall-standin.rs
+++ b/crates/cli/src/bin/tansyhall-standin.rs
@@ -1,4 +1,4 @@
-//! `tansyhall-standin platform|engine|app`: the stand-ins as separate processes.
+//! `tansyhall-standin platform|engine|app`: runs one stand-in as a separate process.
 
 #![forbid(unsafe_code)]
 
@@ -14,7 +14,7 @@
 use tansyhall_standin::{app, engine, platform};
 
 const HELP: &str = "\
-Stand-ins for the systems around tansyhall, for tests and trials.
+Stand-ins for the systems around tansyhall, for tests and experiments.
 
 USAGE:
   tansyhall-standin platform --listen IP:PORT
@@ -24,15 +24,16 @@
   tansyhall-standin app      --listen IP:PORT --name NAME
 
 OPTIONS:
-  --listen IP:PORT     where to serve; port 0 takes a free one, printed as `listening IP:PORT`
+  --listen IP:PORT     address to listen on; with port 0 a free port is chosen and printed as
+                       `listening IP:PORT`
   --name NAME          the back end's name
   --model NAME         the engine's first model (default: base)
   --role ROLE          mixed, prefill or decode (default: mixed)
-  --role-change-ms N   how long a role change takes, in milliseconds (default: 3000)
+  --role-change-ms N   duration of a role change in milliseconds (default: 3000)
   --model-bytes N      size of a model in the store of weights (default: 2147483648)
   --weights-bytes-per-second N
                        rate at which weights are fetched (default: 1073741824)
-  --help               this text
+  --help               print this text
 ";
 
 fn main() -> ExitCode {
@@ -53,7 +54,7 @@
     }
     let kind = arguments
         .subcommand()?
-        .context("which stand-in? see --help")?;
+        .context("no stand-in given; see --help")?;
     let listen: SocketAddr = arguments.value_from_str("--listen")?;
     let listener =
         TcpListener::bind(listen).with_context(|| format!("cannot listen on {listen}"))?;
@@ -68,9 +69,9 @@
             }
             other => bail!("unknown stand-in {other}; see --help"),
         };
-        let rest = arguments.finish();
-        if !rest.is_empty() {
-            bail!("unknown arguments {rest:?}; see --help");
+        let unknown = arguments.finish();
+        if !unknown.is_empty() {
+            bail!("unknown arguments {unknown:?}; see --help");
         }
         server.await.context("the server failed")
     })
@@ -82,15 +83,15 @@
     let role: Option<String> = arguments.opt_value_from_str("--role")?;
     let role = match role {
         None => Role::Mixed,
-        Some(name) => Role::ALL
+        Some(role_name) => Role::ALL
             .into_iter()
-            .find(|role| role.name() == name)
-            .with_context(|| format!("unknown role {name}"))?,
+            .find(|role| role.name() == role_name)
+            .with_context(|| format!("unknown role {role_name}"))?,
     };
-    let role_change: Option<u64> = arguments.opt_value_from_str("--role-change-ms")?;
+    let role_change_ms: Option<u64> = arguments.opt_value_from_str("--role-change-ms")?;
     let mut weights = engine::Weights::default();
-    if let Some(rate) = arguments.opt_value_from_str("--weights-bytes-per-second")? {
-        weights.store = Arc::new(engine::WeightsStore::new(rate));
+    if let Some(bytes_per_second) = arguments.opt_value_from_str("--weights-bytes-per-second")? {
+        weights.store = Arc::new(engine::WeightsStore::new(bytes_per_second));
     }
     if let Some(bytes) = arguments.opt_value_from_str("--model-bytes")? {
         weights.model_bytes = bytes;
@@ -99,7 +100,7 @@
         name: name.as_str().into(),
         role,
         model: ModelName::new(model.unwrap_or_else(|| "base".into())),
-        role_change: Duration::from_millis(role_change.unwrap_or(3_000)),
+        role_change: Duration::from_millis(role_change_ms.unwrap_or(3_000)),
         costs: CostModel::default(),
         weights,
     })
--- a/crates/cli/src/commands/check/files.rs
+++ b/crates/cli/src/commands/check/files.rs
@@ -1,4 +1,4 @@
-//! Reads the files that operators write: settings, resources in TOML, and bare policies.
+//! Reads the files that operators write: settings, resources in TOML, and policies.
 
 use std::ffi::OsStr;
 use std::path::Path;
@@ -9,25 +9,24 @@
 
 use crate::exit::Usage;
 
-/// Extension of a file that holds one policy, named by the file.
+/// Extension of a file that contains one policy, whose name is the file's stem.
 const POLICY_EXTENSION: &str = "policy";
-/// A key that every settings file has and no resource file.
+/// A key that every settings file of a node has and no resource file has.
 const SETTINGS_KEY: &str = "callers";
 
-/// A table that every settings file of a gateway has and no other file.
+/// A table that every settings file of a gateway has and no other file has.
 const GATEWAY_TABLE: &str = "[retries]";
 
-/// A file with its content.
+/// A file of an operator with its content.
 pub struct OperatorFile {
-    /// The file's path, as given.
+    /// The file's path as given on the command line.
     pub name: String,
-    /// Its text.
     pub text: String,
-    /// What it holds.
+    /// What the file contains.
     pub kind: FileKind,
 }
 
-/// What a file holds.
+/// What a file contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FileKind {
     /// Settings of a node.
@@ -41,7 +40,7 @@
 }
 
 impl OperatorFile {
-    /// Reads a file.
+    /// Reads a file and determines what it contains.
     pub fn read(path: &OsStr) -> Result<Self> {
         let name = path.to_string_lossy().into_owned();
         let text = std::fs::read_to_string(path).map_err(|e| Usage(format!("{name}: {e}")))?;
@@ -49,7 +48,7 @@
         Ok(Self { name, text, kind })
     }
 
-    /// The resources of the file; none if it holds settings.
+    /// Parses the resources of the file. A settings file has none.
     pub fn resources(&self) -> Result<Vec<Resource>, Diagnostic> {
         match self.kind {
             FileKind::Settings | FileKind::GatewaySettings => Ok(Vec::new()),
@@ -60,7 +59,7 @@
         }
     }
 
-    /// The resource of a bare policy file.
+    /// Returns the resource of a policy file.
     fn policy(&self) -> Resource {
         let stem = Path::new(&self.name).file_stem();
         let name = stem.map_or_else(String::new, |stem| stem.to_string_lossy().into_owned());
@@ -71,7 +70,7 @@
         })
     }
 
-    /// Where a resource's field stands in this file, if it is in this file.
+    /// Returns the byte range of a resource's field in this file, or `None` if it is not in this file.
     pub fn locate(&self, key: &ResourceKey, field: &str) -> Option<std::ops::Range<usize>> {
         match self.kind {
             FileKind::Settings | FileKind::GatewaySettings => None,
--- a/crates/cli/src/commands/check/mod.rs
+++ b/crates/cli/src/commands/check/mod.rs
@@ -1,4 +1,4 @@
-//! `tansyhall check`: checks settings, resource files and policies before anything runs.
+//! `tansyhall check`: checks settings, resource files and policies without a running fleet.
 
 pub mod files;
 
@@ -14,18 +14,18 @@
 use files::{FileKind, OperatorFile};
 
 const HELP: &str = "\
-Check files before anything runs: settings of nodes and gateways (TOML), resources (TOML) and policies
-(*.policy, each named by its file). All resources together must form one valid configuration.
+Check files without a running fleet: settings of nodes and gateways (TOML), resources (TOML) and
+policies (*.policy, each named by its file). All resources together must form one valid configuration.
 
 USAGE:
   tansyhall check FILE...
 
-Each fault is shown with its file, line, column, what is allowed and, if there is a likely one, a
-correction. For each policy the most that one request can cost is printed.
+Each error is shown with its file, line, column, the allowed values and, if there is a likely one, a
+correction. For each policy the maximum cost of one request is printed.
 
 EXIT CODES:
-  0  no fault
-  2  a fault, or a file that cannot be read
+  0  no error
+  2  an error, or a file that cannot be read
 ";
 
 /// Runs the command.
@@ -36,79 +36,83 @@
     }
     let paths = arguments.finish();
     if paths.is_empty() {
-        anyhow::bail!(Usage("which files? see tansyhall check --help".into()));
+        anyhow::bail!(Usage("no files given; see tansyhall check --help".into()));
     }
     let files: Result<Vec<_>> = paths.iter().map(|path| OperatorFile::read(path)).collect();
     let files = files?;
-    let faults = check(&files);
-    for fault in &faults {
-        eprintln!("{fault}");
+    let errors = check(&files);
+    for error in &errors {
+        eprintln!("{error}");
     }
-    if faults.is_empty() {
-        println!("{} files checked, no fault", files.len());
+    if errors.is_empty() {
+        println!("{} files checked, no errors", files.len());
         return Ok(ExitCode::SUCCESS);
     }
-    eprintln!("{} faults in {} files", faults.len(), files.len());
+    eprintln!("{} errors in {} files", errors.len(), files.len());
     Ok(ExitCode::from(USAGE))
 }
 
-/// Checks every file by itself, and the resources of all together.
+/// Checks each file separately, and then the resources of all files together. Returns the errors found.
 fn check(files: &[OperatorFile]) -> Vec<String> {
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     let mut configuration = Configuration::default();
     for file in files {
         if file.kind == FileKind::Settings {
             let settings = NodeSettings::parse(&file.name, &file.text);
-            faults.extend(settings.err().map(|error| error.to_string()));
+            errors.extend(settings.err().map(|error| error.to_string()));
         }
         if file.kind == FileKind::GatewaySettings {
             let settings = GatewaySettings::parse(&file.name, &file.text);
-            faults.extend(settings.err().map(|error| error.to_string()));
+            errors.extend(settings.err().map(|error| error.to_string()));
         }
         match file.resources() {
             Ok(resources) => resources.into_iter().for_each(|resource| {
                 let key = resource.key();
                 if configuration.get(&key).is_some() {
-                    faults.push(format!("{}: {key} stands in the files twice", file.name));
+                    errors.push(format!("{}: {key} is defined more than once", file.name));
                 }
                 configuration.put(resource);
             }),
-            Err(fault) => faults.push(fault.render(&file.name, &file.text)),
+            Err(diagnostic) => errors.push(diagnostic.render(&file.name, &file.text)),
         }
     }
-    if !faults.is_empty() {
-        return faults;
+    if !errors.is_empty() {
+        return errors;
     }
     match configuration.compile() {
         Ok(programs) => print_costs(&programs),
         Err(ConfigurationError(problems)) => {
-            faults.extend(
+            errors.extend(
                 problems
                     .iter()
-                    .map(|problem| show(files, &configuration, problem)),
+                    .map(|problem| render_problem(files, &configuration, problem)),
             );
         }
     }
-    faults
+    errors
 }
 
 fn print_costs(programs: &Programs) {
     for (name, program) in programs {
         let cost = program.cost();
         println!(
-            "policy/{name}: {} classes, at most {} comparisons a request",
+            "policy/{name}: {} classes, at most {} comparisons per request",
             cost.classes, cost.comparisons
         );
     }
 }
 
-/// A problem with the lines of the file that it concerns.
-fn show(files: &[OperatorFile], configuration: &Configuration, problem: &Problem) -> String {
-    let place = files.iter().find_map(|file| {
+/// Renders a problem with the lines of the file that it concerns.
+fn render_problem(
+    files: &[OperatorFile],
+    configuration: &Configuration,
+    problem: &Problem,
+) -> String {
+    let location = files.iter().find_map(|file| {
         let span = file.locate(&problem.resource, problem.field)?;
         Some((file, span))
     });
-    let Some((file, field)) = place else {
+    let Some((file, field)) = location else {
         return problem.to_string();
     };
     let span = match &problem.span {
--- a/crates/cli/src/commands/ctl/api.rs
+++ b/crates/cli/src/commands/ctl/api.rs
@@ -6,18 +6,18 @@
 use awc::http::{header, Method, StatusCode};
 use serde_json::Value;
 
-/// Longest wait for an answer; longer than a node waits for the platform and reads back.
-const TIMEOUT: Duration = Duration::from_secs(30);
-/// Largest answer that is read.
+/// Timeout of a call. It is longer than the time for which a node waits for the platform and then reads the result back.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of an answer.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Exit code of a change that the node refuses as wrong.
-const REFUSED: u8 = 2;
-/// Exit code of a change that meets another operator's change, or a resource in use.
-const CONFLICT: u8 = 3;
-/// Exit code of a change that may have been made.
-const UNKNOWN: u8 = 4;
+/// Exit code of a change that the node refuses as invalid.
+const EXIT_REFUSED: u8 = 2;
+/// Exit code of a change that conflicts with another operator's change, or with a resource in use.
+const EXIT_CONFLICT: u8 = 3;
+/// Exit code of a change whose outcome is unknown: it may have been made.
+const EXIT_UNKNOWN: u8 = 4;
 
-/// A node's administration API.
+/// A client of one node's administration API.
 pub struct Api {
     /// The node's administration address.
     pub node: String,
@@ -25,25 +25,25 @@
     pub token: String,
 }
 
-/// One call.
+/// One call to the administration API.
 pub struct Call<'a> {
     /// The method.
     pub method: Method,
     /// The path with its query.
     pub path: &'a str,
-    /// The entity tag that must still hold.
+    /// The entity tag that the resource must still have.
     pub if_match: Option<String>,
     /// The body.
     pub body: String,
 }
 
 impl<'a> Call<'a> {
-    /// A read.
+    /// Creates a call that reads a path.
     pub fn get(path: &'a str) -> Self {
         Self::new(Method::GET, path)
     }
 
-    /// A call without a body.
+    /// Creates a call without a body.
     pub fn new(method: Method, path: &'a str) -> Self {
         Self {
             method,
@@ -66,17 +66,17 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The node did not answer.
-    #[error("no answer from {node}: {cause}{}", may_have_changed(.changes))]
+    #[error("no answer from {node}: {cause}{}", change_warning(.may_change))]
     NoAnswer {
         /// The node.
         node: String,
         /// What went wrong.
         cause: String,
-        /// Whether the call asked for a change.
-        changes: bool,
+        /// Whether the call requested a change.
+        may_change: bool,
     },
-    /// The node refused.
-    #[error("{status}: {}", shown(.body))]
+    /// The node refused the call.
+    #[error("{status}: {}", describe_refusal(.body))]
     Refused {
         /// The status.
         status: StatusCode,
@@ -85,16 +85,16 @@
     },
 }
 
-fn may_have_changed(changes: &bool) -> &'static str {
-    if *changes {
-        "; the change may have been made, see ctl diff"
+fn change_warning(may_change: &bool) -> &'static str {
+    if *may_change {
+        "; the change may have been made, check with ctl diff"
     } else {
         ""
     }
 }
 
-/// The message with everything that helps: problems, referrers, what is there now.
-fn shown(body: &Value) -> String {
+/// Returns the message of a refusal with its problems and the current state of the resource, if the node sent them.
+fn describe_refusal(body: &Value) -> String {
     let error = &body["error"];
     let mut text = match error["message"].as_str() {
         Some(message) => message.to_owned(),
@@ -117,7 +117,7 @@
     if !body["present"].is_null() {
         let revision = &body["present_revision"];
         text += &format!(
-            "\nthere now, at revision {revision}:\n{:#}",
+            "\ncurrent state, at revision {revision}:\n{:#}",
             body["present"]
         );
     }
@@ -125,19 +125,23 @@
 }
 
 impl CallError {
-    /// The exit code that tells programs what happened.
+    /// Returns the exit code for this error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
-            CallError::NoAnswer { changes: true, .. } => ExitCode::from(UNKNOWN),
-            CallError::NoAnswer { changes: false, .. } => ExitCode::FAILURE,
+            CallError::NoAnswer {
+                may_change: true, ..
+            } => ExitCode::from(EXIT_UNKNOWN),
+            CallError::NoAnswer {
+                may_change: false, ..
+            } => ExitCode::FAILURE,
             CallError::Refused { status, .. } => match *status {
                 StatusCode::PRECONDITION_FAILED
                 | StatusCode::PRECONDITION_REQUIRED
-                | StatusCode::CONFLICT => ExitCode::from(CONFLICT),
+                | StatusCode::CONFLICT => ExitCode::from(EXIT_CONFLICT),
                 StatusCode::BAD_REQUEST | StatusCode::UNPROCESSABLE_ENTITY => {
-                    ExitCode::from(REFUSED)
+                    ExitCode::from(EXIT_REFUSED)
                 }
-                StatusCode::GATEWAY_TIMEOUT => ExitCode::from(UNKNOWN),
+                StatusCode::GATEWAY_TIMEOUT => ExitCode::from(EXIT_UNKNOWN),
                 _ => ExitCode::FAILURE,
             },
         }
@@ -145,16 +149,16 @@
 }
 
 impl Api {
-    /// Makes a call.
+    /// Makes a call and returns its answer, or an error if there is none or its status is not a success.
     pub async fn call(&self, call: Call<'_>) -> Result<Answer, CallError> {
-        let changes = call.method != Method::GET;
+        let may_change = call.method != Method::GET;
         let no_answer = |cause: String| CallError::NoAnswer {
             node: self.node.clone(),
             cause,
-            changes,
+            may_change,
         };
         let url = format!("http://{}{}", self.node, call.path);
-        let client = awc::Client::builder().timeout(TIMEOUT).finish();
+        let client = awc::Client::builder().timeout(CALL_TIMEOUT).finish();
         let mut request = client.request(call.method, url).bearer_auth(&self.token);
         if let Some(tag) = call.if_match {
             request = request.insert_header((header::IF_MATCH, tag));
@@ -178,7 +182,7 @@
         })
     }
 
-    /// Reads a path.
+    /// Reads a path and returns the answer's body.
     pub async fn read(&self, path: &str) -> Result<Value, CallError> {
         self.call(Call::get(path)).await.map(|answer| answer.value)
     }
--- a/crates/cli/src/commands/ctl/apply.rs
+++ b/crates/cli/src/commands/ctl/apply.rs
@@ -1,4 +1,4 @@
-//! `apply` and `diff`: files against what is there.
+//! `apply` and `diff`: compare the resources of files with the fleet's configuration, and send them.
 
 use std::ffi::OsString;
 
@@ -13,7 +13,7 @@
 use crate::commands::check::files::{FileKind, OperatorFile};
 use crate::exit::Usage;
 
-/// What apply would change in one resource.
+/// The change that `apply` would make to one resource.
 #[derive(Debug, Serialize)]
 pub struct ResourceDiff {
     /// The resource, as `kind/name`.
@@ -27,53 +27,53 @@
 /// A field whose value would change.
 #[derive(Debug, Serialize)]
 pub struct FieldDiff {
-    /// The field.
+    /// The name of the field.
     pub field: String,
-    /// The value there now; null if there is none.
+    /// The current value; null if there is none.
     pub present: Value,
     /// The value in the file; null if there is none.
     pub wanted: Value,
 }
 
-/// What apply would change, seen at one revision.
+/// The changes that `apply` would make to one revision of the configuration.
 #[derive(Debug, Serialize)]
 pub struct Diff {
     /// The revision that the files were compared with.
     pub revision: u64,
-    /// Every resource of the files.
+    /// The changes to each resource of the files, including unchanged resources.
     pub resources: Vec<ResourceDiff>,
 }
 
-/// Reads the resources of files; settings are refused.
+/// Reads the resources of files. Settings of a node are refused.
 pub fn read_files(paths: &[OsString]) -> Result<Vec<Resource>> {
     let mut resources = Vec::new();
     for path in paths {
         let file = OperatorFile::read(path)?;
         if file.kind == FileKind::Settings {
-            let message = format!("{} holds settings of a node, no resources", file.name);
+            let message = format!("{} contains settings of a node, not resources", file.name);
             anyhow::bail!(Usage(message));
         }
-        let fault = |fault: tansyhall_policy::Diagnostic| {
-            Usage(format!("\n{}", fault.render(&file.name, &file.text)))
+        let to_usage = |diagnostic: tansyhall_policy::Diagnostic| {
+            Usage(format!("\n{}", diagnostic.render(&file.name, &file.text)))
         };
-        resources.extend(file.resources().map_err(fault)?);
+        resources.extend(file.resources().map_err(to_usage)?);
     }
     if resources.is_empty() {
-        anyhow::bail!(Usage("which files? see tansyhall ctl --help".into()));
+        anyhow::bail!(Usage("no resources given; see tansyhall ctl --help".into()));
     }
     Ok(resources)
 }
 
-/// Compares resources with what is there.
+/// Compares resources with the fleet's current configuration.
 pub async fn diff(api: &Api, wanted: &[Resource]) -> Result<Diff, CallError> {
     let present = api.read("/admin/v1/configuration").await?;
     let items = present["items"].as_array().map_or(&[][..], Vec::as_slice);
     let find = |key: &ResourceKey| {
-        let is_it = |item: &&Value| {
+        let matches_key = |item: &&Value| {
             let resource = &item["resource"];
             resource["name"] == key.name.as_str() && resource["type"] == key.kind.name()
         };
-        items.iter().find(is_it).map(|item| &item["resource"])
+        items.iter().find(matches_key).map(|item| &item["resource"])
     };
     let resources = wanted
         .iter()
@@ -88,8 +88,8 @@
     let name = wanted.key().to_string();
     let wanted = serde_json::to_value(wanted).unwrap_or_default();
     let empty = Value::Object(Default::default());
-    let before = present.unwrap_or(&empty);
-    let fields = changed_fields(before, &wanted);
+    let present_fields = present.unwrap_or(&empty);
+    let fields = changed_fields(present_fields, &wanted);
     let effect = match present {
         None => "create",
         Some(_) if fields.is_empty() => "unchanged",
@@ -103,12 +103,12 @@
 }
 
 fn changed_fields(present: &Value, wanted: &Value) -> Vec<FieldDiff> {
-    let names = |value: &Value| {
+    let field_names = |value: &Value| {
         let fields = value.as_object();
         fields.map_or_else(Vec::new, |fields| fields.keys().cloned().collect())
     };
-    let mut all: Vec<String> = names(present);
-    all.extend(names(wanted));
+    let mut all: Vec<String> = field_names(present);
+    all.extend(field_names(wanted));
     all.sort();
     all.dedup();
     let is_changed = |field: &String| present[field] != wanted[field] && field != "type";
@@ -123,24 +123,24 @@
 }
 
 impl Diff {
-    /// Prints the difference for people.
+    /// Prints the changes as a table.
     pub fn print(&self) {
         println!("compared with revision {}", self.revision);
         let rows = self.resources.iter().flat_map(|resource| {
-            let first = vec![resource.resource.clone(), resource.effect.to_owned()];
+            let heading = vec![resource.resource.clone(), resource.effect.to_owned()];
             let shows_fields = resource.effect == "replace";
             let fields = resource.fields.iter().filter(move |_| shows_fields);
             let fields = fields.map(|field| {
                 let change = format!("{} -> {}", cell(&field.present), cell(&field.wanted));
                 vec![format!("  {}", field.field), change]
             });
-            std::iter::once(first).chain(fields)
+            std::iter::once(heading).chain(fields)
         });
         print_rows(&["RESOURCE", "CHANGE"], rows);
     }
 }
 
-/// Sends resources, all or none, on condition that none of them changed after `revision`.
+/// Applies all resources or none, on condition that none of them was changed after `revision`.
 pub async fn apply(
     api: &Api,
     resources: Vec<Resource>,
--- a/crates/cli/src/commands/ctl/command.rs
+++ b/crates/cli/src/commands/ctl/command.rs
@@ -7,7 +7,7 @@
 
 use crate::exit::{self, Usage};
 
-/// The text of `--help`.
+/// The output of `--help`.
 pub const HELP: &str = "\
 Operate a fleet through any node's administration API.
 
@@ -16,52 +16,52 @@
         create or replace the files' resources, all or none. Refused if any of them was changed
         after revision N (default: the revision read when the command starts)
   tansyhall ctl [OPTIONS] diff FILE...
-        what apply would change; prints the revision to give to apply
+        show what apply would change, and the revision to pass to apply
   tansyhall ctl [OPTIONS] get KIND [NAME]
         list resources, or show one
   tansyhall ctl [OPTIONS] delete KIND NAME [--revision N]
-        delete a resource that nothing refers to
+        delete a resource that no other resource refers to
   tansyhall ctl [OPTIONS] status
-        what is in force at the node and at the others, and what the node observes
+        show the configuration in force at the node and at other nodes, and what the node observes
   tansyhall ctl [OPTIONS] plan
-        for each pool: what is desired, what is observed, and whether they meet
+        show the desired and observed state of each pool, and whether they agree
   tansyhall ctl [OPTIONS] policy explain --request FILE
-        which class a request falls into and why; FILE is TOML or JSON with the keys service, path,
+        show the class of a request and why it has this class; FILE is TOML or JSON with the keys service, path,
         prompt_tokens, output_tokens, body_bytes, tenant, model and headers
   tansyhall ctl policy format FILE
-        a policy in canonical form; needs no node
+        print a policy in canonical form; needs no node
   tansyhall ctl [OPTIONS] audit
-        recent changes: who, when, what
+        show recent changes: when, by whom, and which resources
 
-FILE holds resources in TOML, or one policy (*.policy, named by the file).
+FILE contains resources in TOML, or one policy (*.policy, named by the file).
 KIND is tenant, policy, site, service or pool.
 
 OPTIONS:
   --node IP:PORT   a node's administration address (or TANSYHALL_NODE)
   --token TOKEN    bearer token (or TANSYHALL_TOKEN, which does not show in the process list)
-  --json           JSON for programs instead of tables
+  --json           print JSON instead of tables
 
 EXIT CODES:
   0  done
-  1  failed: no answer to a read, no access, the store is away and nothing was changed
-  2  wrong usage, or refused because the files are wrong
-  3  conflict: changed by somebody else meanwhile, or still in use
-  4  unknown: the change may have been made; run diff
+  1  failed: no answer to a read, no access, or the store is unavailable and nothing was changed
+  2  wrong usage, or refused because the files are invalid
+  3  conflict: changed by another operator in the meantime, or still in use
+  4  unknown: the change may have been made; check with diff
 ";
 
-/// Options of every command.
+/// Options that every command has.
 pub struct Options {
     /// A node's administration address.
     pub node: Option<String>,
     /// The bearer token.
     pub token: Option<String>,
-    /// JSON instead of tables.
+    /// Whether to print JSON instead of tables.
     pub json: bool,
 }
 
 impl Options {
-    /// Reads the options.
-    pub fn take(arguments: &mut Arguments) -> Result<Self> {
+    /// Parses the options and removes them from `arguments`.
+    pub fn parse(arguments: &mut Arguments) -> Result<Self> {
         Ok(Self {
             node: arguments.opt_value_from_str("--node")?,
             token: arguments.opt_value_from_str("--token")?,
@@ -70,13 +70,13 @@
     }
 }
 
-/// What to do.
+/// A command of `tansyhall ctl`.
 pub enum Command {
     /// Creates or replaces the resources of files.
     Apply {
-        /// The files.
+        /// The paths of the files.
         files: Vec<OsString>,
-        /// Checks only.
+        /// Whether to check the resources without changing anything.
         dry_run: bool,
         /// The revision that the operator saw.
         revision: Option<u64>,
@@ -96,11 +96,11 @@
         /// The revision that the operator saw.
         revision: Option<u64>,
     },
-    /// Shows what is in force and observed.
+    /// Shows the configuration in force and the observed state.
     Status,
-    /// Shows each pool, desired and observed.
+    /// Shows the desired and observed state of each pool.
     Plan,
-    /// Explains the class of the request in a file.
+    /// Explains the class of the request that a file describes.
     Explain(OsString),
     /// Formats a policy file.
     Format(OsString),
@@ -109,8 +109,8 @@
 }
 
 impl Command {
-    /// Reads the command and its arguments; refuses any that are left over.
-    pub fn take(mut arguments: Arguments) -> Result<Self> {
+    /// Parses the command and its arguments, and refuses unknown arguments.
+    pub fn parse(mut arguments: Arguments) -> Result<Self> {
         let unknown = || Usage("unknown command; see tansyhall ctl --help".into());
         let command = arguments.subcommand()?.ok_or_else(unknown)?;
         let command = match command.as_str() {
@@ -142,14 +142,14 @@
             "status" => Command::Status,
             "plan" => Command::Plan,
             "audit" => Command::Audit,
-            "policy" => Self::take_policy(&mut arguments)?,
+            "policy" => Self::parse_policy(&mut arguments)?,
             _ => bail!(unknown()),
         };
         exit::finish(arguments)?;
         Ok(command)
     }
 
-    fn take_policy(arguments: &mut Arguments) -> Result<Self> {
+    fn parse_policy(arguments: &mut Arguments) -> Result<Self> {
         let command: String = arguments.free_from_str()?;
         match command.as_str() {
             "explain" => {
@@ -160,7 +160,9 @@
                 let file: String = arguments.free_from_str()?;
                 Ok(Command::Format(file.into()))
             }
-            _ => bail!(Usage("policy explain or policy format?".into())),
+            _ => bail!(Usage(
+                "unknown policy command, expected `policy explain` or `policy format`".into()
+            )),
         }
     }
 }
--- a/crates/cli/src/commands/ctl/mod.rs
+++ b/crates/cli/src/commands/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! `tansyhall ctl`: the operators' command line, a client of any node's administration API.
+//! `tansyhall ctl`: the command line for operators, a client of any node's administration API.
 
 mod api;
 mod apply;
@@ -24,8 +24,8 @@
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
     }
-    let options = Options::take(&mut arguments)?;
-    let command = Command::take(arguments)?;
+    let options = Options::parse(&mut arguments)?;
+    let command = Command::parse(arguments)?;
     if let Command::Format(path) = &command {
         return format(path);
     }
@@ -41,9 +41,9 @@
         return Ok(ExitCode::SUCCESS);
     };
     match error.downcast_ref::<CallError>() {
-        Some(refused) => {
-            eprintln!("tansyhall: {refused}");
-            Ok(refused.exit_code())
+        Some(call_error) => {
+            eprintln!("tansyhall: {call_error}");
+            Ok(call_error.exit_code())
         }
         None => Err(error),
     }
@@ -51,7 +51,11 @@
 
 fn required(value: Option<String>, variable: &str, name: &str) -> Result<String> {
     let value = value.or_else(|| std::env::var(variable).ok());
-    let missing = || Usage(format!("{name} or {variable} is needed"));
+    let missing = || {
+        Usage(format!(
+            "missing option {name}, or environment variable {variable}"
+        ))
+    };
     Ok(value.ok_or_else(missing)?)
 }
 
@@ -63,10 +67,11 @@
 fn format(path: &OsString) -> Result<ExitCode> {
     let text = read_text(path)?;
     let name = path.to_string_lossy();
-    let fault = |fault: tansyhall_policy::Diagnostic| Usage(fault.render(&name, &text));
+    let to_usage =
+        |diagnostic: tansyhall_policy::Diagnostic| Usage(diagnostic.render(&name, &text));
     print!(
         "{}",
-        tansyhall_policy::format::format(&text).map_err(fault)?
+        tansyhall_policy::format::format(&text).map_err(to_usage)?
     );
     Ok(ExitCode::SUCCESS)
 }
@@ -134,7 +139,7 @@
         match (dry_run, answer["revision"].as_u64()) {
             (true, _) => println!("would be accepted; nothing was changed"),
             (false, Some(revision)) => println!("accepted at revision {revision}"),
-            (false, None) => println!("accepted; another change came after it"),
+            (false, None) => println!("accepted; the configuration has since been changed again"),
         }
         Ok(())
     }
@@ -190,7 +195,7 @@
         if self.json {
             return print_json(&answer.value);
         }
-        println!("{kind}/{name} is deleted");
+        println!("{kind}/{name} deleted");
         Ok(())
     }
 
@@ -200,7 +205,7 @@
             return print_json(&status);
         }
         println!(
-            "node {} in zone {}: configuration revision {}, seen in the store {} ms ago",
+            "node {} in zone {}: configuration revision {}, last seen in the store {} ms ago",
             cell(&status["node"]),
             cell(&status["zone"]),
             status["configuration_revision"],
@@ -245,9 +250,9 @@
         let text = read_text(file)?;
         let request: Value = match serde_json::from_str(&text) {
             Ok(request) => request,
-            Err(_) => toml::from_str(&text).map_err(|fault| {
+            Err(_) => toml::from_str(&text).map_err(|error| {
                 Usage(format!(
-                    "{}: neither JSON nor TOML: {fault}",
+                    "{}: neither JSON nor TOML: {error}",
                     file.to_string_lossy()
                 ))
             })?,
@@ -276,7 +281,7 @@
         for setting in settings.into_iter().chain(["versions", "adapters"]) {
             println!("  {setting}: {}", cell(&answer[setting]));
         }
-        println!("because, in this order:");
+        println!("evaluated tests, in order:");
         print_items(&answer["tests"], &["class", "test", "held"]);
         Ok(())
     }
--- a/crates/cli/src/commands/dev.rs
+++ b/crates/cli/src/commands/dev.rs
@@ -1,4 +1,4 @@
-//! `tansyhall dev`: a whole small fleet in one process, over real loopback TCP.
+//! `tansyhall dev`: runs a small fleet in one process, which communicates over loopback TCP connections.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -34,9 +34,12 @@
     let load = match &options.load {
         None => None,
         Some(name) => {
-            let known = Workload::named(name, options.duration, options.seed);
+            let workload = Workload::named(name, options.duration, options.seed);
             let names = workload::NAMES.join(", ");
-            Some(known.ok_or_else(|| Usage(format!("unknown load {name}; there are: {names}")))?)
+            Some(
+                workload
+                    .ok_or_else(|| Usage(format!("unknown load {name}; known loads: {names}")))?,
+            )
         }
     };
     let _logger = flexi_logger::Logger::try_with_env_or_str("warn")?
@@ -46,7 +49,7 @@
         let fleet = Fleet::start().await?;
         match load {
             Some(load) => run_load(fleet, &load, options.json).await?,
-            None => stay_up(fleet).await?,
+            None => run_until_interrupted(fleet).await?,
         }
         Ok(ExitCode::SUCCESS)
     })
@@ -65,7 +68,7 @@
         } = summary;
         eprintln!(
             "{seconds:>3} s: {requests} requests, {completed} completed, \
-             {in_deadline} in deadline, {not_run} not run"
+             {in_deadline} within their deadline, {not_run} not run"
         );
     };
     let summary = fleet.run_load(load, progress).await?;
@@ -78,7 +81,7 @@
     Ok(())
 }
 
-async fn stay_up(fleet: Fleet) -> Result<()> {
+async fn run_until_interrupted(fleet: Fleet) -> Result<()> {
     let callers = fleet.callers()[0];
     println!(
         "callers: {callers}   admin: {} (token {TOKEN})",
--- a/crates/cli/src/commands/explain/request.rs
+++ b/crates/cli/src/commands/explain/request.rs
@@ -1,21 +1,21 @@
-//! The life of one request, from the logs of all gateways, and why it ended as it did.
+//! Explains one request: its log lines from all gateways in order of time, and why it ended as it did.
 
 use std::process::ExitCode;
 
 use serde_json::Value;
 
-/// Prints what the logs say of a request.
+/// Prints the log lines of a request and the cause of its end.
 pub(super) fn explain(logs: &[String], request: &str, as_json: bool) -> ExitCode {
     let mut lines: Vec<Value> = logs
         .iter()
-        .flat_map(|log| lines_about(log, request))
+        .flat_map(|log| lines_of_request(log, request))
         .collect();
     lines.sort_by_key(|line| line["at_ms"].as_u64().unwrap_or_default());
     if lines.is_empty() {
         eprintln!("no line names request {request}");
         return ExitCode::FAILURE;
     }
-    let cause = cause(&lines);
+    let cause = describe_cause(&lines);
     match as_json {
         true => println!("{}", serde_json::json!({ "lines": lines, "cause": cause })),
         false => print(&lines, &cause),
@@ -23,7 +23,7 @@
     ExitCode::SUCCESS
 }
 
-fn lines_about(text: &str, request: &str) -> Vec<Value> {
+fn lines_of_request(text: &str, request: &str) -> Vec<Value> {
     let parse = |line: &str| {
         let start = line.find('{')?;
         let value: Value = serde_json::from_str(&line[start..]).ok()?;
@@ -36,13 +36,13 @@
     line[field].as_str().unwrap_or_default()
 }
 
-/// One sentence on why the request ended as it did.
-fn cause(lines: &[Value]) -> String {
+/// Returns one sentence that says why the request ended as it did.
+fn describe_cause(lines: &[Value]) -> String {
     let last = |event: &str| lines.iter().rev().find(|line| text(line, "event") == event);
     if let Some(refused) = last("refused") {
         return format!(
-            "refused before anything was tried: {}, with configuration {} in force and the store \
-             heard {} ms before",
+            "refused before any send: {}, with configuration {} in force and the last answer of the \
+             store {} ms old",
             text(refused, "reason"),
             refused["configuration"],
             refused["store_age_ms"]
@@ -68,19 +68,21 @@
             "late: the answer began {} ms after the request, the objective is {} ms{}",
             end["begun_ms"],
             end["objective_ms"],
-            sends_of(lines)
+            describe_sends(lines)
         ),
         Some(end) => format!(
             "{}{} after {} ms and {} sends, {} ms and {} retries left{send}",
             text(end, "outcome"),
-            reason(end),
+            describe_reason(end),
             end["took_ms"],
             end["sends"],
             end["left_ms"],
             end["retries_left"]
         ),
         None => {
-            format!("no end is logged: the gateway ended first, or its lines were dropped{send}")
+            format!(
+                "no end is logged: the gateway stopped first, or its log lines were dropped{send}"
+            )
         }
     }
 }
@@ -90,8 +92,8 @@
     text(end, "outcome") == "delivered" && number("begun_ms") > number("objective_ms")
 }
 
-/// What each send took against what was expected.
-fn sends_of(lines: &[Value]) -> String {
+/// Returns a list of the sends with their observed and expected times.
+fn describe_sends(lines: &[Value]) -> String {
     let sends = lines.iter().filter(|line| text(line, "event") == "send");
     let describe = |send: &Value| {
         format!(
@@ -106,24 +108,24 @@
     sends.map(describe).collect()
 }
 
-/// Why a request was not sent, or not once more.
-fn reason(end: &Value) -> String {
+/// Returns why a request was not sent, or not retried, in words that follow the outcome.
+fn describe_reason(end: &Value) -> String {
     match text(end, "cause") {
         "" if text(end, "outcome") == "barred" => format!(
-            " as workers end under it (fingerprint {})",
+            " because workers crash while running it (fingerprint {})",
             text(end, "fingerprint")
         ),
         "" => String::new(),
         "overload" => format!(
-            " for overload (its prompt would have waited {} ms)",
+            " because of overload (its prompt would have waited {} ms)",
             end["waiting_ms"]
         ),
         "tenant_share" => format!(
-            " for its tenant's share (it would have waited {} ms, in time for a tenant below its share)",
+            " because of its tenant's share (it would have waited {} ms, in time for a tenant below its share)",
             end["waiting_ms"]
         ),
-        "workers_rest" => " as all workers that could take it had asked for rest".into(),
-        other => format!(" for {other}"),
+        "workers_rest" => " because all workers that could run it were backing off".into(),
+        other => format!(" because of {other}"),
     }
 }
 
--- a/crates/cli/src/commands/explain/summary.rs
+++ b/crates/cli/src/commands/explain/summary.rs
@@ -1,38 +1,38 @@
-//! A whole day: how requests ended and why, what each kind of work was expected to take against what
-//! it took, and the engines at work over time.
+//! Summary of whole logs: how requests ended and why, the expected and observed times of each kind of work,
+//! and the requests and engines in each interval of time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::process::ExitCode;
 
-use super::line::{lines_of, Line, LoggedEvent, LoggedRequest, LoggedSend};
+use super::line::{parse_lines, Line, LoggedEvent, LoggedRequest, LoggedSend};
 use super::table;
 
-const MILLIS_A_SECOND: u64 = 1_000;
+const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// Prints the summary of a day's logs in spans of so many seconds.
-pub(super) fn explain(logs: &[String], every: u64) -> ExitCode {
-    let lines: Vec<Line> = logs.iter().flat_map(|log| lines_of(log)).collect();
+/// Prints the summary of the logs, with one row for each interval of `interval_seconds`.
+pub(super) fn explain(logs: &[String], interval_seconds: u64) -> ExitCode {
+    let lines: Vec<Line> = logs.iter().flat_map(|log| parse_lines(log)).collect();
     let Some(first) = lines.iter().map(|line| line.at_ms).min() else {
-        eprintln!("no line of a gateway's log");
+        eprintln!("the files contain no line of a gateway's log");
         return ExitCode::FAILURE;
     };
-    let mut day = Day::default();
+    let mut summary = Summary::default();
     for line in &lines {
-        let second = (line.at_ms - first) / MILLIS_A_SECOND;
-        day.take(second / every * every, &line.event);
+        let second = (line.at_ms - first) / MILLIS_PER_SECOND;
+        summary.record(second / interval_seconds * interval_seconds, &line.event);
     }
-    day.print();
+    summary.print();
     ExitCode::SUCCESS
 }
 
 /// A kind of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Work {
-    /// An engine reads a prompt whose stream goes on elsewhere.
+    /// An engine reads a prompt, and another engine runs the request.
     ReadApart,
-    /// An engine reads a prompt and runs it.
+    /// An engine reads a prompt and runs the request.
     ReadAndRun,
-    /// An engine runs what needs no reading there.
+    /// An engine runs a request without reading prompt tokens.
     Run,
 }
 
@@ -54,29 +54,33 @@
     }
 }
 
-/// What was expected and observed of one kind of work.
+/// Expected and observed times of one kind of work.
 #[derive(Debug, Default)]
-struct Expectations {
+struct WorkTimes {
+    /// Expected time divided by observed time, for each send.
     ratios: Vec<f64>,
-    heads: Vec<u64>,
+    /// Observed times to the beginning of the answer, in milliseconds.
+    heads_ms: Vec<u64>,
 }
 
-impl Expectations {
-    fn take(&mut self, send: &LoggedSend) {
-        // Half a millisecond more on both sides: whole ones were logged.
+impl WorkTimes {
+    fn record(&mut self, send: &LoggedSend) {
+        // The log has whole milliseconds: half a millisecond is added to both times, which also avoids a division by 0.
         let ratio = (send.expected_ms as f64 + 0.5) / (send.head_ms as f64 + 0.5);
         self.ratios.push(ratio);
-        self.heads.push(send.head_ms);
+        self.heads_ms.push(send.head_ms);
     }
 
     fn row(mut self, work: Work) -> Vec<String> {
         self.ratios.sort_by(f64::total_cmp);
-        self.heads.sort_unstable();
-        let ratio = |part| quantile(&self.ratios, part).map_or("-".into(), |r| format!("{r:.2}"));
-        let head = |part| quantile(&self.heads, part).map_or("-".into(), |ms| ms.to_string());
+        self.heads_ms.sort_unstable();
+        let ratio =
+            |fraction| quantile(&self.ratios, fraction).map_or("-".into(), |r| format!("{r:.2}"));
+        let head =
+            |fraction| quantile(&self.heads_ms, fraction).map_or("-".into(), |ms| ms.to_string());
         vec![
             work.name().into(),
-            self.heads.len().to_string(),
+            self.heads_ms.len().to_string(),
             head(0.5),
             head(0.9),
             ratio(0.1),
@@ -86,10 +90,12 @@
     }
 }
 
-/// What happened in a span of time.
+/// Events in one interval of time.
 #[derive(Debug, Default)]
-struct Span {
+struct Interval {
+    /// Prompts that were read apart, by the engines in `readers`.
     readings: u64,
+    /// Tokens of these prompts.
     tokens: u64,
     readers: BTreeSet<String>,
     in_time: u64,
@@ -99,7 +105,7 @@
     orders: Vec<String>,
 }
 
-impl Span {
+impl Interval {
     fn count(&mut self, request: &LoggedRequest) {
         let counter = match (request.is_late(), request.outcome.as_str()) {
             (true, _) => &mut self.late,
@@ -125,33 +131,35 @@
     }
 }
 
-/// A whole day.
+/// A summary of all log lines.
 #[derive(Debug, Default)]
-struct Day {
+struct Summary {
+    /// Number of requests by route and end.
     ends: BTreeMap<(String, String), u64>,
-    expectations: BTreeMap<Work, Expectations>,
-    spans: BTreeMap<u64, Span>,
+    work_times: BTreeMap<Work, WorkTimes>,
+    /// Intervals by their first second, counted from the first line.
+    intervals: BTreeMap<u64, Interval>,
 }
 
-impl Day {
-    fn take(&mut self, second: u64, event: &LoggedEvent) {
-        let span = self.spans.entry(second).or_default();
+impl Summary {
+    fn record(&mut self, second: u64, event: &LoggedEvent) {
+        let interval = self.intervals.entry(second).or_default();
         match event {
             LoggedEvent::Send(send) if send.outcome == "answered" => {
                 let work = Work::of(send);
-                self.expectations.entry(work).or_default().take(send);
+                self.work_times.entry(work).or_default().record(send);
                 if work == Work::ReadApart {
-                    span.readings += 1;
-                    span.tokens += send.reading_tokens;
-                    span.readers.insert(send.worker.clone());
+                    interval.readings += 1;
+                    interval.tokens += send.reading_tokens;
+                    interval.readers.insert(send.worker.clone());
                 }
             }
             LoggedEvent::Request(request) => {
-                span.count(request);
-                let end = (request.route.clone(), request.end());
+                interval.count(request);
+                let end = (request.route.clone(), request.describe_end());
                 *self.ends.entry(end).or_default() += 1;
             }
-            LoggedEvent::Order { worker, role } => span.orders.push(format!("{worker}:{role}")),
+            LoggedEvent::Order { worker, role } => interval.orders.push(format!("{worker}:{role}")),
             LoggedEvent::Send(_) | LoggedEvent::Other => {}
         }
     }
@@ -162,8 +170,8 @@
             .map(|((route, end), count)| vec![route, end, count.to_string()])
             .collect();
         table::print(&["route", "end", "requests"], &rows);
-        let expectations = self.expectations.into_iter();
-        let rows: Vec<Vec<String>> = expectations.map(|(work, seen)| seen.row(work)).collect();
+        let work_times = self.work_times.into_iter();
+        let rows: Vec<Vec<String>> = work_times.map(|(work, times)| times.row(work)).collect();
         table::print(
             &[
                 "work",
@@ -176,8 +184,10 @@
             ],
             &rows,
         );
-        let spans = self.spans.iter();
-        let rows: Vec<Vec<String>> = spans.map(|(second, span)| span.row(*second)).collect();
+        let intervals = self.intervals.iter();
+        let rows: Vec<Vec<String>> = intervals
+            .map(|(second, interval)| interval.row(*second))
+            .collect();
         table::print(
             &[
                 "second", "in time", "late", "refused", "other", "readings", "tokens", "readers",
@@ -188,8 +198,10 @@
     }
 }
 
-/// The value below which a part of the sorted values lie.
-fn quantile<T: Copy>(sorted: &[T], part: f64) -> Option<T> {
+/// Returns the value below which this fraction of the sorted values lie.
+fn quantile<T: Copy>(sorted: &[T], fraction: f64) -> Option<T> {
     let last = sorted.len().checked_sub(1)?;
-    sorted.get((last as f64 * part).round() as usize).copied()
+    sorted
+        .get((last as f64 * fraction).round() as usize)
+        .copied()
 }
--- a/crates/cli/src/commands/explain/table.rs
+++ b/crates/cli/src/commands/explain/table.rs
@@ -1,13 +1,13 @@
-//! Rows of figures in columns.
+//! Prints tables with aligned columns.
 
-/// Prints a heading and rows, each column as wide as its widest entry.
+/// Prints a heading and rows. Each column is as wide as its widest entry.
 pub(super) fn print(heading: &[&str], rows: &[Vec<String>]) {
     let width = |column: usize| {
         let entries = rows.iter().filter_map(|row| row.get(column));
         let widest = entries.map(String::len).max().unwrap_or_default();
         widest.max(heading[column].len())
     };
-    let line = |entries: Vec<&str>| {
+    let print_line = |entries: Vec<&str>| {
         let padded = entries
             .iter()
             .enumerate()
@@ -15,9 +15,9 @@
         let padded: Vec<String> = padded.collect();
         println!("{}", padded.join("  ").trim_end());
     };
-    line(heading.to_vec());
+    print_line(heading.to_vec());
     for row in rows {
-        line(row.iter().map(String::as_str).collect());
+        print_line(row.iter().map(String::as_str).collect());
     }
     println!();
 }
--- a/crates/cli/src/commands/gateway.rs
+++ b/crates/cli/src/commands/gateway.rs
@@ -1,5 +1,5 @@
-//! `tansyhall gateway`: passes callers' requests to workers on the users' platform until SIGTERM
-//! or SIGINT, then stops without cutting a request.
+//! `tansyhall gateway`: forwards callers' requests to workers on the users' platform until SIGTERM
+//! or SIGINT, then finishes the requests in progress and stops.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -10,10 +10,10 @@
 
 use crate::exit::{self, Usage};
 
-/// Log specification of libraries when `RUST_LOG` is not set.
-const DEFAULT_LOG: &str = "warn, actix_server=error, actix_http=off";
+/// Log specification for libraries when `RUST_LOG` is not set.
+const DEFAULT_LOG_SPEC: &str = "warn, actix_server=error, actix_http=off";
 
-/// This program, as its log's first line tells it.
+/// Version and commit of this program, which the first line of its log reports.
 const BUILD: Build = Build {
     version: env!("CARGO_PKG_VERSION"),
     commit: env!("TANSYHALL_COMMIT"),
@@ -26,7 +26,7 @@
     let name = file.display().to_string();
     let text = std::fs::read_to_string(&file).map_err(|e| Usage(format!("{name}: {e}")))?;
     let settings = GatewaySettings::parse(&name, &text).map_err(|e| Usage(e.to_string()))?;
-    let _logger = flexi_logger::Logger::try_with_env_or_str(DEFAULT_LOG)?
+    let _logger = flexi_logger::Logger::try_with_env_or_str(DEFAULT_LOG_SPEC)?
         .format(flexi_logger::detailed_format)
         .log_to_stderr()
         .start()?;
--- a/crates/cli/src/commands/node.rs
+++ b/crates/cli/src/commands/node.rs
@@ -1,4 +1,4 @@
-//! `tansyhall node`: runs a node until SIGTERM or SIGINT, then stops without cutting a request.
+//! `tansyhall node`: runs a node until SIGTERM or SIGINT, then finishes the requests in progress and stops.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 use crate::exit::{self, Usage};
 
 /// Log specification when `RUST_LOG` is not set.
-const DEFAULT_LOG: &str = "info, actix_server=warn";
+const DEFAULT_LOG_SPEC: &str = "info, actix_server=warn";
 
 /// Runs the command.
 pub fn run(mut arguments: Arguments) -> Result<ExitCode> {
@@ -18,15 +18,17 @@
     exit::finish(arguments)?;
     let text = std::fs::read_to_string(&file).map_err(|e| Usage(format!("{file}: {e}")))?;
     let settings = NodeSettings::parse(&file, &text).map_err(|e| Usage(e.to_string()))?;
-    let _logger = flexi_logger::Logger::try_with_env_or_str(DEFAULT_LOG)?
+    let _logger = flexi_logger::Logger::try_with_env_or_str(DEFAULT_LOG_SPEC)?
         .format(flexi_logger::detailed_format)
         .log_to_stderr()
         .start()?;
     actix_rt::System::new().block_on(async move {
         let running = tansyhall_node::run(settings)?;
         println!("callers {} admin {}", running.callers, running.admin);
-        let mut terminate = signal(SignalKind::terminate()).context("no signal handler")?;
-        let mut interrupt = signal(SignalKind::interrupt()).context("no signal handler")?;
+        let mut terminate =
+            signal(SignalKind::terminate()).context("cannot install a signal handler")?;
+        let mut interrupt =
+            signal(SignalKind::interrupt()).context("cannot install a signal handler")?;
         tokio::select! {
             _ = terminate.recv() => {}
             _ = interrupt.recv() => {}
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -2,10 +2,10 @@
 
 use std::process::ExitCode;
 
-/// Exit code of wrong usage and of faults in files.
+/// Exit code of wrong usage and of errors in files.
 pub const USAGE: u8 = 2;
 
-/// Wrong usage, or a fault in a file.
+/// An error of wrong usage, or an error in a file.
 #[derive(Debug)]
 pub struct Usage(pub String);
 
@@ -17,23 +17,23 @@
 
 impl std::error::Error for Usage {}
 
-/// The exit code of an error.
-pub fn code_of(error: &anyhow::Error) -> ExitCode {
-    let usage = error.is::<Usage>() || error.is::<pico_args::Error>();
-    if usage {
+/// Returns the exit code for an error.
+pub fn exit_code(error: &anyhow::Error) -> ExitCode {
+    let is_usage = error.is::<Usage>() || error.is::<pico_args::Error>();
+    if is_usage {
         ExitCode::from(USAGE)
     } else {
         ExitCode::FAILURE
     }
 }
 
-/// Refuses arguments that no option took.
+/// Returns an error if arguments remain that no option or command has consumed.
 pub fn finish(arguments: pico_args::Arguments) -> anyhow::Result<()> {
-    let rest = arguments.finish();
-    if rest.is_empty() {
+    let unknown = arguments.finish();
+    if unknown.is_empty() {
         return Ok(());
     }
     anyhow::bail!(Usage(format!(
-        "unknown arguments {rest:?}; see tansyhall --help"
+        "unknown arguments {unknown:?}; see tansyhall --help"
     )))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `tansyhall` command: `node`, `ctl`, `check` and `dev`.
+//! The `tansyhall` command with its subcommands `node`, `gateway`, `ctl`, `check`, `explain` and `dev`.
 
 #![forbid(unsafe_code)]
 
@@ -11,22 +11,22 @@
 use pico_args::Arguments;
 
 const HELP: &str = "\
-tansyhall: serving for a fixed fleet of model engines under a shifting mix.
+tansyhall: serving for a fixed fleet of model engines under a changing mix of requests.
 
 USAGE:
   tansyhall node --settings FILE          run a node
   tansyhall gateway --settings FILE       run a gateway on the users' platform
   tansyhall ctl COMMAND ...               operate a fleet; see `tansyhall ctl --help`
   tansyhall check FILE...                 check settings, resource and policy files
-  tansyhall explain --request ID FILE...  why a request ended as it did, from gateways' logs
+  tansyhall explain --request ID FILE...  explain from gateways' logs why a request ended as it did
   tansyhall dev [--load NAME] [--duration TIME] [--seed N] [--json]
-                                          a whole small fleet in one process
+                                          run a small fleet in one process
   tansyhall --help | --version
 
 EXIT CODES:
   0  done
   1  failed while running
-  2  wrong usage, or a fault in a file
+  2  wrong usage, or an error in a file
 ";
 
 fn main() -> ExitCode {
@@ -34,7 +34,7 @@
         Ok(code) => code,
         Err(error) => {
             eprintln!("tansyhall: {error:#}");
-            exit::code_of(&error)
+            exit::exit_code(&error)
         }
     }
 }
