--- a/crates/cli/tests/gateway_platform/restored_store.rs
+++ b/crates/cli/tests/gateway_platform/restored_store.rs
@@ -179,7 +179,7 @@
     let body = answer.body().await.expect("a body");
     let message = UpdateMessage::decode(body).expect("a message");
     assert_eq!(message.question, 7);
-    let received = message.into_received(UpdateHead::default());
+    let received = message.into_update(UpdateHead::default());
     let Ok(Some(MirrorUpdate::Snapshot(snapshot))) = received.map(|one| one.update) else {
         panic!("no copy");
     };
--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -1,12 +1,12 @@
-//! The authority over the site: one gateway at a time holds it, orders engines into their roles, reports
-//! usage and orders workers.
+//! The authority over the site. One gateway at a time holds it; the holder orders engines to change
+//! their roles, reports usage and orders workers.
 //!
-//! One claim for all duties, not one for each: they need the same lease calls once instead of three
-//! times, and one gateway that knows the whole load decides roles and workers together. The claim is a
-//! key that is created under this gateway's lease; its fence grows with the revision of its creation and with
-//! the epoch of the store. A new holder waits until what the one before it may have under way is over (the first
-//! one of all has nobody to wait for), and the lease is
-//! asked before each call, so that two holders never act in turns.
+//! A single claim covers all three duties. Separate claims would need three times as many lease calls,
+//! and a single gateway that knows the whole load can plan roles and workers together. The claim is a
+//! key that is created under this gateway's lease; its fence increases with the key's creation revision
+//! and with the epoch of the store. A new holder waits until calls that its predecessor may still have
+//! in progress are over (the very first holder has no predecessor to wait for), and checks its lease
+//! before each call, so that the calls of two holders are never interleaved.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -26,33 +26,32 @@
 use crate::state::Shared;
 use crate::store_call::in_time;
 
-/// What is claimed, for the spreading of claims.
+/// Name of the claim, from which each gateway's claim delay is derived.
 const CLAIM_NAME: &str = "roles";
-/// Pause between two looks.
-const PACE: Duration = Duration::from_millis(300);
-/// Longest wait before a free claim is taken.
-const CLAIM_SPREAD: Duration = Duration::from_millis(1_500);
+const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Longest delay between finding the claim free and creating it.
+const MAX_CLAIM_DELAY: Duration = Duration::from_millis(1_500);
 
 /// The claim that this gateway holds.
 #[derive(Debug, Clone, Copy)]
-struct Held {
+struct HeldClaim {
     epoch: Epoch,
-    /// The lease that it hangs on; a later one does not count for it.
+    /// The lease that the claim is attached to. A lease granted later does not keep the claim valid.
     lease: Lease,
     since: Timestamp,
-    /// Whether nobody held the authority before, so that nothing can be under way.
+    /// Whether no gateway held the authority before, so that no earlier call can be in progress.
     is_first: bool,
 }
 
-/// Whether this gateway may act for the site; shared by the tasks that do.
+/// Decides whether this gateway may act for the site. Shared by the tasks that do so.
 #[derive(Debug, Clone)]
 pub struct Authority {
     lease: NodeLease,
-    held: Arc<Mutex<Option<Held>>>,
+    held: Arc<Mutex<Option<HeldClaim>>>,
 }
 
 impl Authority {
-    /// The authority that hangs on a lease; nobody holds it yet.
+    /// Creates the authority attached to a lease. This gateway does not hold it yet.
     pub fn new(lease: NodeLease) -> Self {
         Self {
             lease,
@@ -60,49 +59,50 @@
         }
     }
 
-    /// The fence of this gateway's claim if it may act now. To be asked right before each call.
+    /// Returns the fence of this gateway's claim if the gateway may act now. Must be checked immediately before each
+    /// call.
     pub fn fence(&self, shared: &Shared) -> Option<Epoch> {
         let now = shared.now();
         let held = (*self.held.lock())?;
         let pause = shared.settings.read().takeover_pause();
-        let settled = held.is_first || now.since(held.since) >= pause;
-        (settled && self.lease.is_valid(held.lease, now)).then_some(held.epoch)
+        let pause_is_over = held.is_first || now.since(held.since) >= pause;
+        (pause_is_over && self.lease.is_valid(held.lease, now)).then_some(held.epoch)
     }
 
-    /// Holds or seeks the authority until the gateway stops.
+    /// Claims the authority when it is free, and keeps it, until the gateway stops.
     pub async fn seek(self, shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
         let node = NodeId::new(shared.settings.read().node.name.clone());
-        let delay = claim_delay(&PoolName::new(CLAIM_NAME), &node, CLAIM_SPREAD);
-        let mut seeker = Seeker {
+        let delay = claim_delay(&PoolName::new(CLAIM_NAME), &node, MAX_CLAIM_DELAY);
+        let mut claimant = Claimant {
             shared,
             store,
             authority: self,
             claim: PoolClaim::new(delay),
         };
-        while !seeker.shared.is_stopping() {
-            sleep(PACE).await;
-            seeker.look().await;
+        while !claimant.shared.is_stopping() {
+            sleep(CLAIM_CHECK_INTERVAL).await;
+            claimant.check_claim().await;
         }
-        *seeker.authority.held.lock() = None;
+        *claimant.authority.held.lock() = None;
     }
 }
 
-struct Seeker {
+struct Claimant {
     shared: Arc<Shared>,
     store: Rc<dyn KeyValueStore>,
     authority: Authority,
     claim: PoolClaim,
 }
 
-impl Seeker {
-    async fn look(&mut self) {
+impl Claimant {
+    async fn check_claim(&mut self) {
         let now = self.shared.now();
         let lease = &self.authority.lease;
         if self.claim.held_epoch().is_none() && !self.shared.hears_reports() {
             lease.set_wanted(false);
             return;
         }
-        // What the copy says of an epoch that is over tells nothing of the claim as it stands.
+        // A mirror of an earlier epoch says nothing about the current state of the claim.
         if self.shared.mirror.lock().position().epoch != self.store.epoch().0 {
             return;
         }
@@ -112,7 +112,7 @@
         lease.set_wanted(self.claim.needs_lease(now));
         match action {
             ClaimAction::Create(lease) => self.create_claim(lease).await,
-            ClaimAction::Acquired(epoch) => self.set_held(own.map(|lease| Held {
+            ClaimAction::Acquired(epoch) => self.set_held(own.map(|lease| HeldClaim {
                 epoch,
                 lease,
                 since: now,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The claim as it stands, and the lease that this gateway holds.
+    /// Returns the current claim, if there is one, and the lease that this gateway holds.
     fn observe(&self) -> (Option<ClaimRecord>, Option<Lease>) {
         let lease = self.authority.lease.held();
         let mirror = self.shared.mirror.lock();
@@ -137,7 +137,8 @@
         (record, lease)
     }
 
-    /// Whether nobody held the authority before. A restored store may have lost that somebody did.
+    /// Returns whether no gateway held the authority before. After a restore this is never assumed, because the
+    /// restored store may have lost earlier claims.
     fn is_first(&self, epoch: Epoch) -> bool {
         let mirror = self.shared.mirror.lock();
         let first = mirror.get(authority_claim::FIRST_KEY);
@@ -172,20 +173,20 @@
             compare: vec![Compare::Absent(authority_claim::KEY.into())],
             operations,
         };
-        // Whatever the answer: the claim is read back from the copy of the store.
+        // The outcome is not evaluated here: the claim is read back from the mirror.
         if let Err(error) = in_time(self.store.transact(&transaction)).await {
-            log::debug!("the claim may not have been created: {error}");
+            log::debug!("authority claim may not have been created: {error}");
         }
     }
 
-    fn set_held(&self, held: Option<Held>) {
+    fn set_held(&self, held: Option<HeldClaim>) {
         *self.authority.held.lock() = held;
         self.shared
             .metrics
             .holds_authority
             .set(i64::from(held.is_some()));
         let (state, epoch) = match held {
-            Some(Held { epoch, .. }) => ("acquired", epoch.0),
+            Some(HeldClaim { epoch, .. }) => ("acquired", epoch.0),
             None => ("lost", 0),
         };
         let event = Event::Authority { state, epoch };
--- a/crates/gateway/src/authority_claim.rs
+++ b/crates/gateway/src/authority_claim.rs
@@ -1,48 +1,48 @@
-//! The claim on the authority over the site, as it stands in the store.
+//! The claim on the authority over the site, as stored in the store.
 
 use tansyhall_authority::{Epoch, Lease};
 use tansyhall_forwarding::{Item, Mirror};
 use tansyhall_store::{Compare, Revision};
 
-/// The key of the claim.
+/// Key of the claim.
 pub const KEY: &str = "tansyhall/authority/roles";
 
-/// A key that is written with the first claim and stays: a claim that is as old is the first one.
+/// Key that is written together with the first claim and never deleted. A claim with the same fence is the first one.
 pub const FIRST_KEY: &str = "tansyhall/authority/first";
 
-/// Bits of a fence that hold a revision; the epoch of the store stands above them.
+/// Number of low-order bits of a fence that hold a revision. The higher bits hold the epoch of the store.
 const REVISION_BITS: u32 = 40;
 
-/// The fence of a claim, which grows from claim to claim: by the revision at which the claim was created, and by the
-/// epoch of the store, as a restored store gives revisions out again.
+/// Returns the fence of a claim. It increases from claim to claim: with the revision at which the claim was created and
+/// with the epoch of the store, because a restored store reuses revisions.
 pub fn fence(claim: &Item) -> Epoch {
     Epoch((claim.written.epoch << REVISION_BITS) | claim.created)
 }
 
-/// The condition that the claim of this fence stands.
+/// Returns the condition that the claim with this fence is still in the store.
 pub fn stands(Epoch(fence): Epoch) -> Compare {
     let revision = fence & ((1 << REVISION_BITS) - 1);
     Compare::ModifiedAt(KEY.into(), Revision(revision))
 }
 
-/// The value of the claim's key.
+/// Value of the claim's key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AuthorityClaim {
     /// The holder's lease.
     pub lease: Lease,
-    /// The holder's name; an older version does not tell it.
+    /// The holder's name; `None` if an older version wrote the claim.
     pub holder: Option<String>,
 }
 
 impl AuthorityClaim {
-    /// The value as it is stored.
+    /// Encodes the value for the store.
     pub fn encode(&self) -> Vec<u8> {
         let Lease(lease) = self.lease;
         let holder = self.holder.as_deref().unwrap_or_default();
         format!("{lease} {holder}").into_bytes()
     }
 
-    /// A stored value, unless it is none of ours.
+    /// Decodes a stored value. Returns `None` if it is malformed.
     pub fn decode(value: &[u8]) -> Option<Self> {
         let mut words = std::str::from_utf8(value).ok()?.split(' ');
         let lease = words.next()?.parse().ok()?;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The name of the gateway that holds the authority, as the copy of the store says.
+/// Returns the name of the gateway that holds the authority according to the mirror.
 pub fn holder(mirror: &Mirror) -> Option<String> {
     AuthorityClaim::decode(&mirror.get(KEY)?.value)?.holder
 }
--- a/crates/gateway/src/cache_recovery.rs
+++ b/crates/gateway/src/cache_recovery.rs
@@ -1,11 +1,14 @@
-//! What engines' caches hold is known from what was sent there. A gateway that starts asks others for
-//! what they know. If none of them has recovered its knowledge, as after the loss of all gateways,
-//! engines are asked for lists: each by the scheduler that the hash of its identity ranks first, which
-//! tells the others.
+//! Recovery of the engines' cache contents after a gateway's start. A running gateway knows what the
+//! caches contain from the prompts that were sent to the engines; a gateway that starts queries other
+//! gateways. If none of them has recovered the cache contents, for example after the loss of all
+//! gateways, the engines are queried for lists of their contents. Each engine is queried by the scheduler
+//! that ranks first for the engine's id in rendezvous hashing, which reports the list to the others.
 //!
-//! Only gateways that place requests, or are the next to do so, need to know; the others ask them.
+//! Only gateways that place requests, or are next in line to do so, need the cache contents; the other
+//! gateways send placement requests to them.
 //!
-//! A gateway that has served for a moment knows a little; that is not taken for recovered knowledge.
+//! A gateway that has been serving for a moment knows a few cached prompts. This does not count as
+//! recovered.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -25,41 +28,40 @@
 use crate::state::Shared;
 use crate::worker_request::{Asked, WorkerRequest};
 
-/// Pause between two looks for workers and gateways.
-const PACE: Duration = Duration::from_millis(100);
-/// Looks before a gateway that sees no other goes on alone.
-const PATIENCE: u32 = 8;
-/// Gateways that are asked.
-const ASKED_GATEWAYS: usize = 5;
-/// Time for one question to a gateway.
-const QUESTION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time for the list of an engine.
-const LIST_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time in which the lists that other gateways ask for have arrived.
-const OTHERS_LISTS: Duration = Duration::from_secs(2);
-/// The longest answer.
+/// Pause between two checks for workers and gateways.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of checks after which a gateway that finds no other gateway proceeds alone.
+const MAX_DISCOVERY_CHECKS: u32 = 8;
+const MAX_QUERIED_GATEWAYS: usize = 5;
+/// Timeout of one query to a gateway.
+const GATEWAY_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
+/// Timeout of one query for the list of an engine.
+const ENGINE_LIST_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time in which the lists that other gateways have queried are reported to this one.
+const PEER_LISTS_WINDOW: Duration = Duration::from_secs(2);
+/// Longest answer that is accepted from a gateway or an engine.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// What a gateway knows of caches, on the wire.
+/// The cache contents known to a gateway, on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub struct CachesMessage {
-    /// Parts and where they lie.
+    /// Prompt parts and the workers whose caches hold them.
     #[prost(message, repeated, tag = "1")]
     pub parts: Vec<PartMessage>,
-    /// Whether the sender has recovered what caches held before its start.
+    /// Whether the sender has recovered the cache contents from before its start.
     #[prost(bool, tag = "2")]
     pub recovered: bool,
 }
 
 impl CachesMessage {
-    /// Whether a gateway that gets this need not ask engines. What the sender has learnt from its
-    /// own requests since its start does not suffice.
-    pub fn suffices(&self) -> bool {
+    /// Returns whether the receiver need not query engines. What the sender has learned only from its own requests
+    /// since its start is not sufficient.
+    pub fn is_sufficient(&self) -> bool {
         self.recovered
     }
 }
 
-/// Answers a gateway that asks what caches hold.
+/// Answers a gateway's query for the known cache contents.
 pub async fn hand_over(shared: web::Data<Arc<Shared>>) -> HttpResponse {
     let parts = shared.directory.lock().known_parts();
     let message = CachesMessage {
@@ -69,43 +71,43 @@
     HttpResponse::Ok().body(message.encode_to_vec())
 }
 
-/// Learns what caches hold, once.
+/// Recovers the cache contents once.
 pub async fn run(shared: Arc<Shared>) {
-    wait_for_the_fleet(&shared).await;
+    wait_for_fleet(&shared).await;
     while !shared.hears_reports() {
-        sleep(PACE).await;
+        sleep(CHECK_INTERVAL).await;
     }
-    if !learn_from_gateways(&shared).await {
-        list_own_engines(&shared).await;
-        sleep(OTHERS_LISTS).await;
+    if !query_gateways(&shared).await {
+        query_own_engines(&shared).await;
+        sleep(PEER_LISTS_WINDOW).await;
     }
     shared.caches_recovered.store(true, Ordering::Relaxed);
     shared.metrics.caches_recovered.set(1);
 }
 
-/// Asks some gateways; returns whether one that has recovered its knowledge has answered.
-async fn learn_from_gateways(shared: &Shared) -> bool {
-    let client = Client::builder().timeout(QUESTION_TIMEOUT).finish();
+/// Queries some gateways. Returns whether a gateway that has recovered the cache contents has answered.
+async fn query_gateways(shared: &Shared) -> bool {
+    let client = Client::builder().timeout(GATEWAY_QUERY_TIMEOUT).finish();
     let mut gateways = other_gateways(shared);
     gateways.shuffle(&mut rand::rng());
-    for gateway in gateways.into_iter().take(ASKED_GATEWAYS) {
-        let Some(caches) = ask_gateway(&client, gateway).await else {
+    for gateway in gateways.into_iter().take(MAX_QUERIED_GATEWAYS) {
+        let Some(caches) = query_gateway(&client, gateway).await else {
             continue;
         };
-        let suffices = caches.suffices();
+        let is_sufficient = caches.is_sufficient();
         let parts: Vec<PartRead> = caches.parts.into_iter().map(decode_part).collect();
         let now = shared.now();
         shared.directory.lock().learn_parts(now, &parts);
-        if suffices {
+        if is_sufficient {
             return true;
         }
     }
     false
 }
 
-async fn list_own_engines(shared: &Shared) {
+async fn query_own_engines(shared: &Shared) {
     for worker in own_engines(shared) {
-        let parts = list_engine(shared, &worker).await.unwrap_or_default();
+        let parts = query_engine(shared, &worker).await.unwrap_or_default();
         let now = shared.now();
         shared
             .directory
@@ -114,26 +116,32 @@
     }
 }
 
-async fn wait_for_the_fleet(shared: &Shared) {
-    let mut looks = 0;
-    while !shared.can_serve() || (looks < PATIENCE && other_gateways(shared).is_empty()) {
-        sleep(PACE).await;
-        looks += 1;
+async fn wait_for_fleet(shared: &Shared) {
+    let mut checks = 0;
+    while !shared.can_serve()
+        || (checks < MAX_DISCOVERY_CHECKS && other_gateways(shared).is_empty())
+    {
+        sleep(CHECK_INTERVAL).await;
+        checks += 1;
     }
 }
 
-/// The other gateways that need to know what caches hold.
+/// Returns the other gateways that need the cache contents.
 fn other_gateways(shared: &Shared) -> Vec<SocketAddr> {
     let settings = shared.settings.read().clone();
     let fleet = shared.fleet.read().clone();
-    let hears =
+    let receives_reports =
         |member: &&Member| !settings.decisions.schedulers || fleet.plan.is_listener(&member.name);
-    let others = fleet.members().filter(hears).map(|member| member.copy);
+    let others = fleet
+        .members()
+        .filter(receives_reports)
+        .map(|member| member.copy);
     others
         .filter(|address| *address != settings.listen.peers)
         .collect()
 }
 
+/// Returns the engines that this gateway has to query: those for which it ranks first among the schedulers.
 fn own_engines(shared: &Shared) -> Vec<Worker> {
     let own = shared.settings.read().node.name.clone();
     let fleet = shared.fleet.read().clone();
@@ -154,14 +162,14 @@
     engines.filter(is_own).collect()
 }
 
-async fn ask_gateway(client: &Client, gateway: SocketAddr) -> Option<CachesMessage> {
+async fn query_gateway(client: &Client, gateway: SocketAddr) -> Option<CachesMessage> {
     let call = client.get(format!("http://{gateway}/caches"));
     let mut response = call.send().await.ok()?;
     let body = response.body().limit(MAX_ANSWER_BYTES).await.ok()?;
     CachesMessage::decode(body).ok()
 }
 
-async fn list_engine(
+async fn query_engine(
     shared: &Shared,
     worker: &Worker,
 ) -> Option<Vec<tansyhall_forwarding::PromptPart>> {
@@ -173,6 +181,9 @@
         let mut answer = sent.ok().filter(|answer| answer.status == 200)?;
         answer.body.read_whole(MAX_ANSWER_BYTES).await
     };
-    let body = timeout(LIST_TIMEOUT, answered).await.ok().flatten()?;
+    let body = timeout(ENGINE_LIST_TIMEOUT, answered)
+        .await
+        .ok()
+        .flatten()?;
     shared.protocol.cache_list(&body).ok()
 }
--- a/crates/gateway/src/datagrams.rs
+++ b/crates/gateway/src/datagrams.rs
@@ -1,5 +1,5 @@
-//! The socket for datagrams between gateways: reports of load, and questions to schedulers with their
-//! answers, counts of usage. A lost datagram is made good by later ones.
+//! The socket for datagrams between gateways: load reports, placement messages to schedulers and their
+//! answers, counts of usage, and updates of the quarantine. A lost datagram is compensated by later ones.
 
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -13,34 +13,34 @@
 use crate::quarantine::NewsMessage;
 use crate::usage::{AcknowledgementMessage, UsageMessage};
 
-/// The longest datagram.
+/// Longest datagram that is received.
 pub const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
-/// What gateways send each other as datagrams: one of these.
+/// A datagram between gateways. Exactly one field is set.
 #[derive(Clone, PartialEq, Message)]
 pub struct Datagram {
-    /// Load of a gateway.
+    /// A load report.
     #[prost(message, optional, tag = "1")]
     pub report: Option<ReportMessage>,
-    /// A message to a scheduler.
+    /// A placement message to a scheduler.
     #[prost(message, optional, tag = "2")]
     pub question: Option<QuestionMessage>,
-    /// A scheduler's answer.
+    /// A scheduler's answer to a placement request.
     #[prost(message, optional, tag = "3")]
     pub answer: Option<AnswerMessage>,
-    /// What a gateway has counted.
+    /// Usage counts of a gateway.
     #[prost(message, optional, tag = "4")]
     pub usage: Option<UsageMessage>,
-    /// A collector's acknowledgement.
+    /// A collector's acknowledgement of usage counts.
     #[prost(message, optional, tag = "5")]
     pub usage_acknowledged: Option<AcknowledgementMessage>,
-    /// Requests under which workers end.
+    /// An update of the quarantine of requests that crash workers.
     #[prost(message, optional, tag = "6")]
     pub quarantine: Option<NewsMessage>,
 }
 
 impl Datagram {
-    /// A report of load.
+    /// Creates a datagram with a load report.
     pub fn report(report: ReportMessage) -> Self {
         Self {
             report: Some(report),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A message to a scheduler.
+    /// Creates a datagram with a placement message to a scheduler.
     pub fn question(question: QuestionMessage) -> Self {
         Self {
             question: Some(question),
@@ -56,15 +56,15 @@
         }
     }
 
-    /// Requests under which workers end.
-    pub fn quarantine(news: NewsMessage) -> Self {
+    /// Creates a datagram with an update of the quarantine.
+    pub fn quarantine(update: NewsMessage) -> Self {
         Self {
-            quarantine: Some(news),
+            quarantine: Some(update),
             ..Self::default()
         }
     }
 
-    /// What a gateway has counted.
+    /// Creates a datagram with usage counts.
     pub fn usage(usage: UsageMessage) -> Self {
         Self {
             usage: Some(usage),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A collector's acknowledgement.
+    /// Creates a datagram with an acknowledgement of usage counts.
     pub fn usage_acknowledged(message: AcknowledgementMessage) -> Self {
         Self {
             usage_acknowledged: Some(message),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// A scheduler's answer.
+    /// Creates a datagram with a scheduler's answer.
     pub fn answer(answer: AnswerMessage) -> Self {
         Self {
             answer: Some(answer),
@@ -89,7 +89,7 @@
     }
 }
 
-/// The socket, once it is bound.
+/// The datagram socket; empty until it is bound.
 #[derive(Debug, Default)]
 pub struct Datagrams {
     socket: OnceLock<UdpSocket>,
@@ -104,32 +104,33 @@
         self.socket
             .set(socket)
             .ok()
-            .context("the socket for datagrams is bound already")
+            .context("the datagram socket is already bound")
     }
 
-    /// Sends a datagram; one that can't be sent now is lost like one that is dropped on its way.
+    /// Sends a datagram. If the socket cannot send it immediately, the datagram is lost, as if the network had dropped
+    /// it.
     pub fn send(&self, address: SocketAddr, datagram: &Datagram) {
         self.send_encoded(address, &datagram.encode_to_vec());
     }
 
-    /// Sends a datagram that goes to many.
+    /// Sends an encoded datagram, so that a datagram for several receivers is encoded only once.
     pub fn send_encoded(&self, address: SocketAddr, bytes: &[u8]) {
         let Some(socket) = self.socket.get() else {
             return;
         };
         if let Err(error) = socket.try_send_to(bytes, address) {
-            log::debug!("a datagram to {address} is lost: {error}");
+            log::debug!("datagram to {address} was not sent: {error}");
         }
     }
 
-    /// The next datagram, and who has sent it; none if it can't be read.
+    /// Receives the next datagram and its sender's address. Returns `None` if it could not be received or decoded.
     pub async fn receive(&self, buffer: &mut [u8]) -> Option<(Datagram, SocketAddr)> {
         let socket = self.socket.get()?;
         let (length, sender) = socket.recv_from(buffer).await.ok()?;
         match Datagram::decode(&buffer[..length]) {
             Ok(datagram) => Some((datagram, sender)),
             Err(error) => {
-                log::debug!("a datagram of {sender} that is none of ours: {error}");
+                log::debug!("ignoring malformed datagram from {sender}: {error}");
                 None
             }
         }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -1,5 +1,5 @@
-//! The calls to the platform's operations that the holder of the authority makes for the whole site. An
-//! adapter implements them; it translates and decides nothing.
+//! The calls to the platform's operations API that the holder of the authority makes for the whole site. An
+//! adapter implements them; it only translates the calls and makes no decisions.
 
 use std::time::Duration;
 
@@ -8,55 +8,56 @@
 use tansyhall_forwarding::WorkerKind;
 use tansyhall_usage::{TenantCounts, WindowNumber};
 
-/// Time for one call; the lease that it is made under outlasts it.
+/// Timeout of one call. The lease under which the call is made outlives it.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Who calls.
+/// The gateway that makes a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DutyHolder {
     /// The gateway's name.
     pub name: String,
-    /// The fence of its claim; a call with a lower one than was seen is refused.
+    /// The fence of its claim; the platform refuses a call whose fence is lower than one it has already seen.
     pub fence: u64,
 }
 
-/// The usage of a window.
+/// The usage in one window.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsageReport {
     /// The window.
     pub window: WindowNumber,
-    /// Requests of each tenant that began to run in it.
+    /// Number of requests of each tenant that started to run in the window.
     pub counts: TenantCounts,
 }
 
-/// How many workers of one kind a service shall have in a zone.
+/// Desired number of workers of one kind for a service in a zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerOrder {
     /// The service.
     pub service: ServiceName,
     /// The zone.
     pub zone: ZoneName,
-    /// Their kind.
+    /// The kind of the workers.
     pub kind: WorkerKind,
-    /// How many.
+    /// The desired number.
     pub desired: u32,
 }
 
-/// What came of a call.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DutyOutcome {
-    /// It is done.
+    /// The call was carried out.
     Done,
-    /// It is refused, since a higher fence was seen or there is nothing to be had; the platform's words.
+    /// The platform refused the call, because it has seen a higher fence or has no workers available. Holds the
+    /// platform's message.
     Refused(String),
-    /// Nothing was done; it may be tried again.
+    /// The call was not carried out and may be retried.
     NotDone(String),
-    /// It may be done, also seconds later.
+    /// The call may have been carried out, or may still be carried out seconds later.
     Unknown(String),
 }
 
 impl DutyOutcome {
-    /// Its name in logs, and the platform's words.
+    /// Returns the name of the outcome in logs, and the platform's message.
     pub fn parts(&self) -> (&'static str, &str) {
         match self {
             DutyOutcome::Done => ("done", ""),
@@ -67,11 +68,11 @@
     }
 }
 
-/// The platform's operations.
+/// The platform's operations API.
 #[async_trait(?Send)]
 pub trait DutyService {
-    /// Reports the usage of a window. The same report may be repeated.
+    /// Reports the usage in a window. Sending the same report again is allowed.
     async fn report_usage(&self, holder: &DutyHolder, report: &UsageReport) -> DutyOutcome;
-    /// Orders workers.
+    /// Sets the desired number of workers of one kind for a service in a zone.
     async fn order_workers(&self, holder: &DutyHolder, order: &WorkerOrder) -> DutyOutcome;
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The gateways that are announced, and which of them are schedulers.
+//! The gateways that are announced in the store, and which of them are schedulers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,16 +7,16 @@
 
 use crate::presence::Member;
 
-/// The fleet as the store announces it.
+/// The fleet of announced gateways.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// Which gateways place requests.
+    /// Determines which gateways place requests.
     pub plan: SchedulerPlan,
     members: HashMap<String, Member>,
 }
 
 impl Fleet {
-    /// The fleet of these gateways. Those that do not tell their zone can't be schedulers.
+    /// Creates the fleet of these gateways. Gateways that do not announce their zone cannot be schedulers.
     pub fn new(members: Vec<Member>) -> Self {
         let candidates = members.iter().filter_map(|member| {
             Some(SchedulerCandidate {
@@ -29,37 +29,39 @@
         let members = members.into_iter();
         Self {
             plan,
-            members: members.map(|one| (one.name.clone(), one)).collect(),
+            members: members
+                .map(|member| (member.name.clone(), member))
+                .collect(),
         }
     }
 
-    /// How many gateways are announced.
+    /// Returns the number of announced gateways.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no gateway is announced.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Whether these are the same gateways, reached in the same way.
-    pub fn is_of(&self, members: &[Member]) -> bool {
+    /// Returns whether the fleet consists of exactly these gateways, with the same addresses, zones and capacities.
+    pub fn has_members(&self, members: &[Member]) -> bool {
         let is_known = |member: &Member| self.members.get(&member.name) == Some(member);
         members.len() == self.members.len() && members.iter().all(is_known)
     }
 
-    /// All gateways.
+    /// Iterates over all gateways.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// The names of all gateways.
+    /// Iterates over the names of all gateways.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.members.keys().map(String::as_str)
     }
 
-    /// Where a gateway takes datagrams.
+    /// Returns the address at which a gateway receives datagrams.
     pub fn load_address(&self, name: &str) -> Option<SocketAddr> {
         self.members.get(name).map(|member| member.load)
     }
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -1,9 +1,9 @@
-//! This gateway's leases in the store. Its presence hangs on one that it always keeps; its authority
-//! over roles on another, which lives shorter, so that a dead holder is soon replaced, and is kept
-//! only while the authority is held or sought.
+//! This gateway's leases in the store. Its announcement is attached to a lease that it always keeps.
+//! Its authority over the site is attached to another one, which has a shorter time to live, so that a
+//! crashed holder is replaced soon, and which is kept only while the authority is held or claimed.
 //!
-//! A restored store may have lost a lease, and given its identifier to another gateway. A lease outlives the epoch in
-//! which it was granted only if the key that hangs on it is still there as it was written.
+//! A restored store may have lost a lease and may have given its identifier to another gateway. A lease therefore
+//! remains valid in a later epoch only if the key attached to it is still in the store as it was written.
 
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,124 +19,125 @@
 use crate::state::Shared;
 use crate::store_call::in_time;
 
-/// Times of the lease that presence hangs on. Each gateway renews its own, which with hundreds of them is
-/// a large part of all calls to the store; that a gateway is gone is noticed sooner by whoever asks it.
+/// Timing of the lease for a gateway's announcement. Every gateway renews one, and with hundreds of gateways
+/// these renewals are a large part of all calls to the store. A longer time to live is acceptable, because
+/// gateways that send requests to a crashed gateway notice the crash sooner.
 pub const PRESENCE: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(12),
     renewal_interval: Duration::from_secs(4),
     clock_drift_margin: Duration::from_millis(500),
 };
-/// Times of the lease that the authority over roles hangs on.
+/// Timing of the lease for the authority over the site.
 pub const AUTHORITY: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(3),
     renewal_interval: Duration::from_secs(1),
     clock_drift_margin: Duration::from_millis(500),
 };
-/// Pause between two looks at the clock.
-const PACE: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A lease, shared by the tasks that hang on it.
+/// A lease, shared by the tasks that depend on it.
 #[derive(Debug, Clone)]
 pub struct NodeLease {
-    /// The key that hangs on the lease.
+    /// The key attached to the lease.
     key: Arc<str>,
-    keeper: Arc<Mutex<LeaseHolder>>,
-    /// The latest epoch of the store in which the lease is known to stand.
-    stands_in: Arc<Mutex<StoreEpoch>>,
+    holder: Arc<Mutex<LeaseHolder>>,
+    /// The latest epoch of the store in which the lease is known to exist.
+    confirmed_epoch: Arc<Mutex<StoreEpoch>>,
     wanted: Arc<AtomicBool>,
 }
 
 impl NodeLease {
-    /// A lease for that key, which is not held yet and, unless `wanted`, not asked for.
+    /// Creates a lease for a key. It is not held yet, and it is requested from the store only while it is wanted.
     pub fn new(key: &str, timing: LeaseTiming, wanted: bool) -> Self {
         Self {
             key: key.into(),
-            keeper: Arc::new(Mutex::new(LeaseHolder::new(timing))),
-            stands_in: Arc::default(),
+            holder: Arc::new(Mutex::new(LeaseHolder::new(timing))),
+            confirmed_epoch: Arc::default(),
             wanted: Arc::new(AtomicBool::new(wanted)),
         }
     }
 
-    /// Whether the lease is kept from now on; one that is not wanted any more runs out.
+    /// Sets whether the lease is requested and renewed from now on. A lease that is no longer wanted lapses.
     pub fn set_wanted(&self, wanted: bool) {
         self.wanted.store(wanted, Ordering::Relaxed);
     }
 
-    /// The lease, if one is held.
+    /// Returns the lease, if one is held.
     pub fn held(&self) -> Option<Lease> {
-        self.keeper.lock().lease()
+        self.holder.lock().lease()
     }
 
-    /// Whether what hangs on this lease may be acted on: it is still the one that is held, and valid.
+    /// Returns whether `lease` is the lease that is held and is valid at `now`, so that rights attached to it may be
+    /// used.
     pub fn is_valid(&self, lease: Lease, now: Timestamp) -> bool {
-        self.keeper.lock().is_valid(lease, now)
+        self.holder.lock().is_valid(lease, now)
     }
 
-    /// Keeps the lease until the gateway stops, then gives it up.
+    /// Obtains and renews the lease until the gateway stops, then revokes it.
     pub async fn keep(self, shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
         while !shared.is_stopping() {
             if self.wanted.load(Ordering::Relaxed) {
-                self.look(&shared, &*store).await;
+                self.step(&shared, &*store).await;
             }
-            sleep(PACE).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        if self.standing(&shared, store.epoch()) != Standing::Stands {
-            self.lapse(&shared);
+        if self.existence_in(&shared, store.epoch()) != Existence::Exists {
+            self.mark_lapsed(&shared);
         }
-        let action = self.keeper.lock().step(shared.now(), LeaseEvent::Stop);
+        let action = self.holder.lock().step(shared.now(), LeaseEvent::Stop);
         perform(&*store, action).await;
     }
 }
 
 impl NodeLease {
-    async fn look(&self, shared: &Shared, store: &dyn KeyValueStore) {
-        match self.standing(shared, store.epoch()) {
-            Standing::Stands => {}
-            Standing::Unknown => return,
-            Standing::Lost => self.lapse(shared),
+    async fn step(&self, shared: &Shared, store: &dyn KeyValueStore) {
+        match self.existence_in(shared, store.epoch()) {
+            Existence::Exists => {}
+            Existence::Unknown => return,
+            Existence::Lost => self.mark_lapsed(shared),
         }
-        let action = self.keeper.lock().step(shared.now(), LeaseEvent::Tick);
+        let action = self.holder.lock().step(shared.now(), LeaseEvent::Tick);
         if let Some(event) = perform(store, action).await {
             if matches!(event, LeaseEvent::Granted { .. }) {
-                *self.stands_in.lock() = store.epoch();
+                *self.confirmed_epoch.lock() = store.epoch();
             }
-            self.keeper.lock().step(shared.now(), event);
+            self.holder.lock().step(shared.now(), event);
         }
     }
 
-    /// Whether the lease that is held stands in this epoch of the store.
-    fn standing(&self, shared: &Shared, epoch: StoreEpoch) -> Standing {
-        let mut stands_in = self.stands_in.lock();
-        if *stands_in == epoch || self.held().is_none() {
-            return Standing::Stands;
+    /// Returns whether the lease that is held still exists in this epoch of the store.
+    fn existence_in(&self, shared: &Shared, epoch: StoreEpoch) -> Existence {
+        let mut confirmed_epoch = self.confirmed_epoch.lock();
+        if *confirmed_epoch == epoch || self.held().is_none() {
+            return Existence::Exists;
         }
         let mirror = shared.mirror.lock();
         if mirror.position().epoch != epoch.0 {
-            return Standing::Unknown;
+            return Existence::Unknown;
         }
         let key = mirror.get(&self.key);
-        let was_kept = key.is_some_and(|item| item.written.epoch <= stands_in.0);
-        if !was_kept {
-            return Standing::Lost;
+        let is_preserved = key.is_some_and(|item| item.written.epoch <= confirmed_epoch.0);
+        if !is_preserved {
+            return Existence::Lost;
         }
-        *stands_in = epoch;
-        Standing::Stands
+        *confirmed_epoch = epoch;
+        Existence::Exists
     }
 
-    fn lapse(&self, shared: &Shared) {
+    fn mark_lapsed(&self, shared: &Shared) {
         let now = shared.now();
-        self.keeper.lock().step(now, LeaseEvent::Lapsed);
+        self.holder.lock().step(now, LeaseEvent::Lapsed);
     }
 }
 
-/// What is known of a lease after the store was restored.
+/// What is known about a lease after the store was restored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    /// The store has it.
-    Stands,
-    /// The copy of the store does not tell yet.
+enum Existence {
+    /// The store has the lease.
+    Exists,
+    /// Not known yet, because the mirror is still of another epoch.
     Unknown,
-    /// The store has lost it, or what hung on it.
+    /// The store has lost the lease or the key attached to it.
     Lost,
 }
 
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -1,5 +1,5 @@
-//! Sends reports of the load that this gateway places to the others that place some, and takes
-//! datagrams in. A lost report is made good by the next.
+//! Sends reports of the load that this gateway places to the other gateways that place requests, and
+//! receives datagrams. A lost report is compensated by the next one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,48 +18,51 @@
 use crate::state::Shared;
 use crate::usage;
 
-/// Pause between reports.
-const PACE: Duration = Duration::from_millis(20);
-/// Pause between two looks for placements whose time is over.
-const EXPIRY_PACE: Duration = Duration::from_millis(200);
+/// Pause between two reports in a fleet whose number of schedulers does not require a longer one.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(20);
+/// Pause between two checks for expired placements.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Sends and receives for ever.
+/// Sends and receives datagrams until the task is dropped.
 pub async fn run(shared: Arc<Shared>) {
     tokio::join!(send(&shared), receive(&shared));
 }
 
 async fn send(shared: &Shared) {
-    let mut expired = shared.now();
-    let mut divided = None;
+    let mut last_expiry = shared.now();
+    let mut division = None;
     loop {
         let fleet = shared.fleet.read().clone();
-        sleep(pace(&fleet)).await;
-        divide_limits(shared, &fleet, &mut divided);
+        sleep(report_interval(&fleet)).await;
+        divide_limits(shared, &fleet, &mut division);
         let now = shared.now();
-        if now.since(expired) >= EXPIRY_PACE {
-            expired = now;
+        if now.since(last_expiry) >= EXPIRY_CHECK_INTERVAL {
+            last_expiry = now;
             placement::expire(shared);
         }
         quarantine::tell_due(shared);
         let due = {
             let mut directory = shared.directory.lock();
-            directory.set_other_gateways(other_schedulers(shared, &fleet), pace(&fleet));
+            directory.set_other_gateways(
+                other_scheduler_count(shared, &fleet),
+                report_interval(&fleet),
+            );
             directory.report_due(now)
         };
         if let Some(report) = due.filter(|_| places_requests(shared, &fleet)) {
-            tell(shared, &fleet, &report);
+            send_report(shared, &fleet, &report);
         }
     }
 }
 
-/// Divides the rate limits of workers anew if the gateways that place requests are not those of `divided` any more.
-fn divide_limits(shared: &Shared, fleet: &Arc<Fleet>, divided: &mut Option<Division>) {
+/// Divides the rate limits of workers again if the gateways that place requests have changed since `division`.
+fn divide_limits(shared: &Shared, fleet: &Arc<Fleet>, division: &mut Option<Division>) {
     let settings = shared.settings.read();
     let schedulers = settings.decisions.schedulers;
     let is_same = |division: &Division| {
         Arc::ptr_eq(&division.fleet, fleet) && division.schedulers == schedulers
     };
-    if divided.as_ref().is_some_and(is_same) {
+    if division.as_ref().is_some_and(is_same) {
         return;
     }
     let own = settings.node.name.as_str();
@@ -68,39 +71,42 @@
         false => LimitSharers::new(own, fleet.names()),
     };
     shared.directory.lock().set_limit_sharers(sharers);
-    *divided = Some(Division {
+    *division = Some(Division {
         fleet: Arc::clone(fleet),
         schedulers,
     });
 }
 
-/// Among whom rate limits are divided.
+/// The gateways among which rate limits are divided.
 struct Division {
     fleet: Arc<Fleet>,
-    /// Whether schedulers place the requests of all.
+    /// Whether the schedulers place the requests of all gateways.
     schedulers: bool,
 }
 
-/// Other schedulers. In a small fleet, where each gateway places its own requests, none counts: there are
-/// few engines, and to compare a part of them was worth 0.02 less on a fleet of eight gateways.
-fn other_schedulers(shared: &Shared, fleet: &Fleet) -> usize {
+/// Returns the number of other schedulers; 0 in a small fleet, where each gateway places its own requests. Such a fleet
+/// has few engines, and comparing only a part of them scored 0.02 lower on a fleet of eight gateways.
+fn other_scheduler_count(shared: &Shared, fleet: &Fleet) -> usize {
     let schedulers = fleet.plan.scheduler_count();
-    let some_ask = schedulers < fleet.len() && shared.settings.read().decisions.schedulers;
-    match some_ask {
+    let has_requesting_gateways =
+        schedulers < fleet.len() && shared.settings.read().decisions.schedulers;
+    match has_requesting_gateways {
         true => schedulers.saturating_sub(1),
         false => 0,
     }
 }
 
-/// Whether what this gateway has under way is known to no scheduler.
+/// Returns whether this gateway places requests, its own or those of other gateways. No scheduler knows of these
+/// requests unless this gateway reports them.
 fn places_requests(shared: &Shared, fleet: &Fleet) -> bool {
     let settings = shared.settings.read();
-    let for_itself = !settings.decisions.schedulers || fleet.plan.is_scheduler(&settings.node.name);
-    for_itself || shared.ledger.lock().has_requesting_gateways()
+    let places_own_requests =
+        !settings.decisions.schedulers || fleet.plan.is_scheduler(&settings.node.name);
+    places_own_requests || shared.ledger.lock().has_requesting_gateways()
 }
 
-/// Sends a report to those who place requests, and to the holder of the authority.
-fn tell(shared: &Shared, fleet: &Fleet, report: &LoadReport) {
+/// Sends a report to the gateways that place requests and to the holder of the authority.
+fn send_report(shared: &Shared, fleet: &Fleet, report: &LoadReport) {
     let settings = shared.settings.read().clone();
     let datagram = Datagram::report(encode(report)).encode_to_vec();
     let own = settings.node.name.as_str();
@@ -116,14 +122,15 @@
     }
 }
 
-/// The pause between reports: it grows with those that report, so that what each gets does not.
-fn pace(fleet: &Fleet) -> Duration {
-    let stretch = fleet
+/// Returns the pause between two reports. It grows with the number of reporting gateways, so that the number of reports
+/// that each gateway receives per second does not.
+fn report_interval(fleet: &Fleet) -> Duration {
+    let factor = fleet
         .plan
         .scheduler_count()
         .div_ceil(MAX_FULL_RATE_REPORTERS)
         .max(1);
-    PACE * u32::try_from(stretch).unwrap_or(u32::MAX)
+    MIN_REPORT_INTERVAL * u32::try_from(factor).unwrap_or(u32::MAX)
 }
 
 async fn receive(shared: &Shared) {
@@ -151,7 +158,9 @@
         if let Some(answer) = datagram.answer {
             match answer.decode_answer() {
                 Ok((id, answer)) => shared.placements.take_answer(id, answer),
-                Err(error) => log::warn!("an answer of {sender} is passed over: {error:#}"),
+                Err(error) => {
+                    log::warn!("ignoring malformed placement answer from {sender}: {error:#}")
+                }
             }
         }
     }
--- a/crates/gateway/src/load_messages.rs
+++ b/crates/gateway/src/load_messages.rs
@@ -1,4 +1,4 @@
-//! Reports of load as they are sent.
+//! Wire format of load reports.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
     PartRead, RateLimit, ServiceKey, StatedLimit, WorkerKey,
 };
 
-/// A report on the wire.
+/// A load report on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReportMessage {
     /// The sender's key.
     #[prost(fixed64, tag = "1")]
     pub sender: u64,
-    /// Grows with each report.
+    /// Sequence number; increases with each report.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// Loads.
+    /// Loads of workers.
     #[prost(message, repeated, tag = "3")]
     pub loads: Vec<LoadMessage>,
-    /// Parts read.
+    /// Prompt parts that workers have read or are reading.
     #[prost(message, repeated, tag = "4")]
     pub parts: Vec<PartMessage>,
-    /// Keys of workers that were found absent.
+    /// Keys of workers that were found to be absent.
     #[prost(fixed64, repeated, tag = "5")]
     pub absences: Vec<u64>,
-    /// What is asked of services.
+    /// Demand for the engines of services.
     #[prost(message, repeated, tag = "6")]
     pub demands: Vec<DemandMessage>,
-    /// What workers have stated of their rate limits; gateways of earlier versions don't tell it.
+    /// Rate limits that workers have stated. Gateways of earlier versions do not send them.
     #[prost(message, repeated, tag = "7")]
     pub rate_limits: Vec<LimitMessage>,
 }
@@ -40,18 +40,18 @@
     /// The worker's key.
     #[prost(fixed64, tag = "1")]
     pub worker: u64,
-    /// What it has stated; a message without it is passed over.
+    /// The statement. A message without it is ignored.
     #[prost(message, optional, tag = "2")]
     pub stated: Option<StatedLimitMessage>,
 }
 
-/// What a worker has stated of its rate limit, on the wire.
+/// A worker's statement about its rate limit, on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub struct StatedLimitMessage {
-    /// The limit in thousandths of a request a second; none if it has ended.
+    /// The limit in thousandths of a request per second; `None` if the worker has ended the limit.
     #[prost(uint64, optional, tag = "1")]
     pub limit_milli: Option<u64>,
-    /// How many milliseconds ago the worker stated it.
+    /// Milliseconds since the worker stated it.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
 }
@@ -75,38 +75,38 @@
     }
 }
 
-/// What is asked of a service, on the wire.
+/// Demand for the engines of a service, on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub struct DemandMessage {
     /// The service's key.
     #[prost(fixed64, tag = "1")]
     pub service: u64,
-    /// Engines that it would keep busy with reading.
+    /// Number of prefill-only engines that the service's long prompts would keep busy.
     #[prost(float, tag = "2")]
     pub readers: f32,
-    /// Places that its streams would hold.
+    /// Number of slots of decoding engines that its streams would occupy.
     #[prost(float, tag = "3")]
     pub places: f32,
-    /// Engines that decode which its short prompts would keep busy with reading.
+    /// Number of decoding engines that reading its short prompts would keep busy.
     #[prost(float, tag = "4")]
     pub decoders: f32,
 }
 
-/// A load on the wire.
+/// The load of one worker, on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub struct LoadMessage {
     /// The worker's key.
     #[prost(fixed64, tag = "1")]
     pub worker: u64,
-    /// Sends under way.
+    /// Number of sent requests in progress.
     #[prost(uint32, tag = "2")]
     pub sends: u32,
-    /// Prompt tokens still to be read.
+    /// Prompt tokens that the worker has yet to read.
     #[prost(uint64, tag = "3")]
     pub reading_tokens: u64,
 }
 
-/// A part read on the wire.
+/// A prompt part that a worker has read or is reading, on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub struct PartMessage {
     /// The worker's key.
@@ -115,15 +115,15 @@
     /// The part's key.
     #[prost(fixed64, tag = "2")]
     pub part: u64,
-    /// Its length.
+    /// The length of the part in tokens.
     #[prost(uint64, tag = "3")]
     pub tokens: u64,
-    /// Whether the reading has ended.
+    /// Whether the worker has finished reading it.
     #[prost(bool, tag = "4")]
     pub ready: bool,
 }
 
-/// A report for the wire.
+/// Encodes a report.
 pub fn encode(report: &LoadReport) -> ReportMessage {
     let loads = report.loads.iter().map(|entry| LoadMessage {
         worker: entry.worker.0,
@@ -135,7 +135,11 @@
         sequence: report.sequence,
         loads: loads.collect(),
         parts: report.parts.iter().map(encode_part).collect(),
-        absences: report.absences.iter().map(|one| one.worker.0).collect(),
+        absences: report
+            .absences
+            .iter()
+            .map(|absence| absence.worker.0)
+            .collect(),
         demands: report.demands.iter().map(encode_demand).collect(),
         rate_limits: report.rate_limits.iter().map(encode_limit).collect(),
     }
@@ -164,25 +168,25 @@
     })
 }
 
-/// What is no possible figure counts as nothing.
-fn possible(figure: f32) -> f64 {
-    match figure.is_finite() && figure >= 0.0 {
-        true => f64::from(figure),
+/// Returns the value as `f64`, or 0 if it is negative or not finite.
+fn non_negative_or_zero(value: f32) -> f64 {
+    match value.is_finite() && value >= 0.0 {
+        true => f64::from(value),
         false => 0.0,
     }
 }
 
-/// A demand from the wire.
+/// Decodes the demand of one service.
 fn decode_demand(message: &DemandMessage) -> EngineDemand {
     EngineDemand {
         service: ServiceKey(message.service),
-        prefill_engines: possible(message.readers),
-        decode_slots: possible(message.places),
-        decode_engines: possible(message.decoders),
+        prefill_engines: non_negative_or_zero(message.readers),
+        decode_slots: non_negative_or_zero(message.places),
+        decode_engines: non_negative_or_zero(message.decoders),
     }
 }
 
-/// A part for the wire.
+/// Encodes a prompt part.
 pub fn encode_part(read: &PartRead) -> PartMessage {
     PartMessage {
         worker: read.worker.0,
@@ -192,7 +196,7 @@
     }
 }
 
-/// A part from the wire.
+/// Decodes a prompt part.
 pub fn decode_part(message: PartMessage) -> PartRead {
     PartRead {
         worker: WorkerKey(message.worker),
@@ -202,7 +206,7 @@
     }
 }
 
-/// A report from the wire.
+/// Decodes a report.
 pub fn decode(message: ReportMessage) -> LoadReport {
     let loads = message.loads.into_iter().map(|entry| LoadEntry {
         worker: WorkerKey(entry.worker),
--- a/crates/gateway/src/mirror_refresh.rs
+++ b/crates/gateway/src/mirror_refresh.rs
@@ -1,5 +1,5 @@
-//! What the copy of the store holds becomes what this gateway decides by: the configuration in
-//! force, the workers, their desired roles, and the fleet's size.
+//! Updates the state that this gateway bases its decisions on from the mirror of the store: the
+//! configuration in force, the workers, their desired roles, and the size of the fleet.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -16,8 +16,8 @@
 use crate::state::{InForce, Shared};
 use crate::worker_entries;
 
-/// Takes in what the copy of the store holds now, as far as it was touched: with thousands of workers a batch of
-/// changes costs what it changes, not what the store holds.
+/// Updates the shared state from the items of the mirror that were touched. With thousands of workers, the cost of a
+/// batch of changes thus depends on the number of changes and not on the size of the store.
 pub fn refresh(shared: &Arc<Shared>, touched: &Touched) {
     let services_changed = refresh_configuration(shared, touched);
     refresh_fleet(shared, touched);
@@ -34,54 +34,54 @@
     }
     let position = shared.mirror.lock().position();
     shared.mirror_position.send_replace(position);
-    let gauge = i64::try_from(position.epoch).unwrap_or(i64::MAX);
-    shared.metrics.mirror_epoch.set(gauge);
-    let gauge = i64::try_from(position.revision).unwrap_or(i64::MAX);
-    shared.metrics.mirror_revision.set(gauge);
+    let epoch = i64::try_from(position.epoch).unwrap_or(i64::MAX);
+    shared.metrics.mirror_epoch.set(epoch);
+    let revision = i64::try_from(position.revision).unwrap_or(i64::MAX);
+    shared.metrics.mirror_revision.set(revision);
 }
 
-/// Takes in which gateways there are.
+/// Updates the list of gateways.
 fn refresh_fleet(shared: &Shared, touched: &Touched) {
     if !touched.covers_any_with_prefix(presence::PREFIX) {
         return;
     }
     let mut members = presence::members(&shared.mirror.lock());
     let announced = members.len() as u64;
-    // One that has just started places and reports requests before its announcement is in the store.
+    // A gateway that has just started places and reports requests before its announcement is in the store.
     let own = presence::own_member(&shared.settings.read());
     if members.iter().all(|member| member.name != own.name) {
         members.push(own);
     }
-    if !shared.fleet.read().is_of(&members) {
+    if !shared.fleet.read().has_members(&members) {
         *shared.fleet.write() = Arc::new(Fleet::new(members));
     }
     share_budgets(shared, announced);
 }
 
-/// Shares the fleet's budgets anew where more gateways are counted than are announced: those whose announcements a
-/// restored store has lost are back by now, or gone.
+/// Recomputes this gateway's share of the fleet's budgets if more gateways are counted than are announced. Gateways
+/// whose announcements were lost when the store was restored have announced themselves again by now, or are gone.
 pub fn share_budgets_anew(shared: &Shared) {
     let announced = shared.fleet.read().len() as u64;
-    let is_read = !shared.mirror.lock().position().is_start();
-    if is_read && shared.gateways.load(Ordering::Relaxed) > announced {
+    let has_snapshot = !shared.mirror.lock().position().is_start();
+    if has_snapshot && shared.gateways.load(Ordering::Relaxed) > announced {
         share_budgets(shared, announced);
     }
 }
 
 fn share_budgets(shared: &Shared, announced: u64) {
     let contact = &shared.store_contact;
-    let was_restored = contact.was_restored_within(shared.now(), presence::REANNOUNCED_WITHIN);
-    let known = shared.gateways.load(Ordering::Relaxed);
-    // Gateways that start together find none announced; each would take the whole budget.
+    let was_restored = contact.was_restored_within(shared.now(), presence::REANNOUNCEMENT_WINDOW);
+    let known_gateways = shared.gateways.load(Ordering::Relaxed);
+    // Gateways that start at the same time find no other gateway announced; each would use the whole budget.
     let is_unannounced = !presence::is_announced(shared);
     let may_be_missing = shared.is_stopping() || was_restored || is_unannounced;
-    let sharing = sharing_gateways(announced, known, may_be_missing);
-    shared.gateways.store(sharing, Ordering::Relaxed);
-    shared.retries.lock().set_gateways(sharing as u32);
+    let sharing_count = sharing_gateways(announced, known_gateways, may_be_missing);
+    shared.gateways.store(sharing_count, Ordering::Relaxed);
+    shared.retries.lock().set_gateways(sharing_count as u32);
     shared.metrics.gateways.set(announced as i64);
 }
 
-/// Takes in the configuration; returns whether it names other services than the one before.
+/// Applies the configuration. Returns whether it contains other services than the previous one.
 fn refresh_configuration(shared: &Arc<Shared>, touched: &Touched) -> bool {
     let key = shared.catalogue.configuration_key();
     if !touched.covers(key) {
@@ -90,8 +90,8 @@
     let Some(item) = shared.mirror.lock().get(key).cloned() else {
         return false;
     };
-    let before = shared.in_force();
-    if before.as_ref().map(|in_force| in_force.written) == Some(item.written) {
+    let previous = shared.in_force();
+    if previous.as_ref().map(|in_force| in_force.written) == Some(item.written) {
         return false;
     }
     let configuration = shared.catalogue.configuration(&item.value);
@@ -99,11 +99,11 @@
         configuration.validate()?;
         Ok(configuration)
     });
-    let known_version = before
+    let known_version = previous
         .as_ref()
         .map(|in_force| in_force.configuration.version);
     match checked {
-        // A store that was restored holds an older one until the operator has written the latest again.
+        // A restored store holds an older configuration until the operator writes the latest one again.
         Ok(older) if known_version.is_some_and(|known| older.version <= known) => {
             let event = Event::ConfigurationPassedOver {
                 version: older.version,
@@ -123,11 +123,11 @@
             shared.log.record(Weight::Important, &event);
             let version = i64::try_from(configuration.version).unwrap_or(i64::MAX);
             shared.metrics.configuration_version.set(version);
-            let engines = engines(&configuration);
+            let engines = engine_capacities(&configuration);
             shared.directory.lock().set_engines(engines);
             let in_force = InForce::new(configuration, item.written);
             let services_changed =
-                before.is_none_or(|before| !before.names_same_services(&in_force));
+                previous.is_none_or(|previous| !previous.names_same_services(&in_force));
             *shared.in_force.write() = Some(Arc::new(in_force));
             services_changed
         }
@@ -138,7 +138,7 @@
     }
 }
 
-fn engines(configuration: &Configuration) -> HashMap<ServiceName, EngineCapacity> {
+fn engine_capacities(configuration: &Configuration) -> HashMap<ServiceName, EngineCapacity> {
     let engines = configuration
         .services
         .iter()
@@ -146,7 +146,7 @@
     engines.collect()
 }
 
-/// Records an item that can't be used.
+/// Logs an item that cannot be used.
 pub fn record_refused(shared: &Shared, item: &Item, error: &anyhow::Error) {
     let event = Event::ItemRefused {
         key: &item.key,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,6 +1,6 @@
-//! Gateways tell each other what is new in the store. A relay's subscribers ask it again and again
-//! and are answered when something has changed; a gateway that hears nothing new from either the
-//! store or a relay asks any gateway it knows. Only newer knowledge is taken.
+//! Exchange of mirror updates between gateways. The subscribers of a relay poll it, and each request is
+//! answered as soon as something has changed (long polling). A gateway that receives no updates from
+//! the store or from a relay polls any gateway that it knows. An update is applied only if it is newer.
 
 use std::net::SocketAddr;
 use std::num::NonZeroU64;
@@ -26,111 +26,115 @@
 use crate::mirror_refresh::refresh;
 use crate::presence::Member;
 use crate::state::Shared;
-use crate::update_cache::CopyAnswer;
-use crate::update_message::{Received, UpdateHead, UpdateMessage};
+use crate::update_cache::UpdateAnswer;
+use crate::update_message::{ReceivedUpdate, UpdateHead, UpdateMessage};
 
-/// Age of this gateway's knowledge at which any gateway is asked.
+/// Age of the mirror's information from which any gateway is polled.
 const STALE_AFTER: Duration = Duration::from_millis(1_500);
-/// Time after the start in which the follower gets the first copy, so that nobody else is asked for one.
-const FIRST_COPY: Timestamp = Timestamp::from_millis(6_000);
-/// One of so many questions goes to any zone.
-const OTHER_ZONES_RATIO: u32 = 4;
-/// Pause between two questions.
-const PACE: Duration = Duration::from_millis(250);
-/// Time for one question beside its wait.
+/// Until this time after the start, the follower obtains the first snapshot, and no other gateway is asked for one.
+const FIRST_SNAPSHOT_DEADLINE: Timestamp = Timestamp::from_millis(6_000);
+/// One in this many requests goes to a gateway of any zone instead of the own zone.
+const ANY_ZONE_RATIO: u32 = 4;
+/// Pause between two requests to any gateway.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of one request, not counting the time that the answering gateway waits for changes.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time to deflate a whole copy, in the place of [`CALL_TIMEOUT`]: 20,000 entries take some 0.1 s of a whole core (worked out, not measured).
-const WHOLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest pause within an answer's body,
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// and the longest time for all of it.
+/// Replaces [`CALL_TIMEOUT`] for a snapshot, which the answering gateway may have to deflate first: an
+/// estimated 0.1 s of a whole core for 20,000 entries.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Longest pause between two chunks of an answer's body.
+const BODY_CHUNK_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Longest time for the whole body of an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a relay may hold a question while nothing changes.
+/// How long a relay may wait for changes before it answers a request.
 pub const RELAY_WAIT: Duration = Duration::from_millis(300);
-/// The longest wait that is granted.
-const MAX_WAIT: Duration = Duration::from_secs(2);
-/// The longest update that is taken.
+/// Longest wait for changes that a request may ask for.
+const MAX_CHANGES_WAIT: Duration = Duration::from_secs(2);
+/// Longest update that is accepted.
 const MAX_UPDATE_BYTES: usize = 16 << 20;
-/// Names the epoch of a copy in the answer that tells what is new in it; an older version does not tell it.
+/// Header of an answer with the epoch of the sender's mirror. Older versions do not send it.
 const EPOCH_HEADER: HeaderName = HeaderName::from_static("tansyhall-store-epoch");
-/// Says in the answer that its changes lead over a gap; an older version does not tell it.
-const SKIPS_HEADER: HeaderName = HeaderName::from_static("tansyhall-store-gap");
-/// The age of knowledge of an epoch that is over.
-const OBSOLETE: Duration = Duration::MAX;
+/// Header of an answer whose changes span a gap. Older versions do not send it.
+const GAP_HEADER: HeaderName = HeaderName::from_static("tansyhall-store-gap");
+/// Age that is reported for information from an earlier epoch.
+const OBSOLETE_AGE: Duration = Duration::MAX;
 
-/// What a gateway that asks has already, and how long it waits for something new.
+/// A request for changes: the position of the requesting gateway's mirror, and how long to wait for changes.
 #[derive(Debug, Deserialize)]
-pub struct Question {
+pub struct ChangesQuery {
+    /// The revision after which changes are requested.
     after: u64,
-    /// The epoch of that revision; an older version does not tell it, and is taken to be in the same epoch.
+    /// The epoch of that revision. Older versions do not send it; they are assumed to be in the epoch of this mirror.
     epoch: Option<u64>,
+    /// How long to wait for changes, in milliseconds.
     wait_ms: u64,
-    /// Names the question; its answer repeats it. An older version does not tell it.
+    /// Identifies the request and is repeated in the answer. Older versions do not send it.
     #[serde(default)]
     number: u64,
-    /// Whether items may be deflated together; an older version does not understand that.
+    /// Whether the items of the answer may be deflated together, which older versions cannot read.
     #[serde(default)]
     deflated: bool,
 }
 
-impl Question {
-    /// Up to where the asking gateway knows the store.
+impl ChangesQuery {
+    /// Returns the position of the requesting gateway's mirror.
     fn position(&self, assumed_epoch: u64) -> Position {
         Position::new(self.epoch.unwrap_or(assumed_epoch), self.after)
     }
 }
 
-/// Answers a gateway that asks what is new.
+/// Answers a gateway's request for changes.
 pub async fn hand_over(
-    question: web::Query<Question>,
+    query: web::Query<ChangesQuery>,
     shared: web::Data<Arc<Shared>>,
 ) -> HttpResponse {
-    let wait = Duration::from_millis(question.wait_ms).min(MAX_WAIT);
+    let wait = Duration::from_millis(query.wait_ms).min(MAX_CHANGES_WAIT);
     let mut position = shared.mirror_position.subscribe();
-    let newer = position.wait_for(|position| *position > question.position(position.epoch));
-    let _ = timeout(wait, newer).await;
-    let (head, mut message) = update_for(&shared, &question);
-    message.question = question.number;
+    let changed = position.wait_for(|position| *position > query.position(position.epoch));
+    let _ = timeout(wait, changed).await;
+    let (head, mut message) = update_for(&shared, &query);
+    message.question = query.number;
     let mut answer = HttpResponse::Ok();
     answer.insert_header((EPOCH_HEADER, head.epoch));
-    if head.skips {
-        answer.insert_header((SKIPS_HEADER, "true"));
+    if head.spans_gap {
+        answer.insert_header((GAP_HEADER, "true"));
     }
     answer.body(message.encode_to_vec())
 }
 
-fn update_for(shared: &Shared, question: &Question) -> (UpdateHead, UpdateMessage) {
+fn update_for(shared: &Shared, query: &ChangesQuery) -> (UpdateHead, UpdateMessage) {
     let age = shared.store_contact.age(shared.now());
-    let plain = |update| UpdateMessage::new(update, age, &mut shared.deflated_values.lock());
-    let mut answers = shared.copy_answers.lock();
+    let plain_message =
+        |update| UpdateMessage::new(update, age, &mut shared.deflated_values.lock());
+    let mut cache = shared.copy_answers.lock();
     let mirror = shared.mirror.lock();
     let epoch = mirror.position().epoch;
-    let after = question.position(epoch);
-    let answer = match question.deflated {
-        true => answers.after(&mirror, after),
+    let after = query.position(epoch);
+    let answer = match query.deflated {
+        true => cache.update_after(&mirror, after),
         false => mirror
             .update_after(after)
-            .map_or(CopyAnswer::Nothing, CopyAnswer::Plain),
+            .map_or(UpdateAnswer::UpToDate, UpdateAnswer::Plain),
     };
-    drop((answers, mirror));
-    let skips = answer.skips();
+    drop((cache, mirror));
+    let spans_gap = answer.spans_gap();
     let message = match answer {
-        CopyAnswer::Nothing => plain(None),
-        CopyAnswer::Plain(update) => plain(Some(update)),
-        CopyAnswer::Deflated(update) => UpdateMessage::deflated(update, age),
+        UpdateAnswer::UpToDate => plain_message(None),
+        UpdateAnswer::Plain(update) => plain_message(Some(update)),
+        UpdateAnswer::Deflated(update) => UpdateMessage::deflated(update, age),
     };
-    (UpdateHead { epoch, skips }, message)
+    (UpdateHead { epoch, spans_gap }, message)
 }
 
-/// A client for questions to gateways.
+/// Creates a client for requests to gateways.
 pub fn client() -> Client {
     Client::builder()
         .timeout(RELAY_WAIT + CALL_TIMEOUT)
         .finish()
 }
 
-/// Asks a gateway what is new, takes it in, and returns how old the gateway's knowledge is. What a gateway tells of an
-/// epoch that is over is obsolete.
+/// Requests an update from a gateway, applies it, and returns the age of the gateway's information. An update of an
+/// earlier epoch is obsolete and is not applied.
 pub async fn ask(
     client: &mut Client,
     peer: SocketAddr,
@@ -138,13 +142,13 @@
     shared: &Arc<Shared>,
 ) -> anyhow::Result<Duration> {
     let after = shared.mirror.lock().position();
-    let Received { update, epoch, age } = fetch(client, peer, after, wait).await?;
-    let is_present = shared.store_contact.mark(shared.now(), age, epoch);
-    if !is_present {
-        return Ok(OBSOLETE);
+    let ReceivedUpdate { update, epoch, age } = fetch(client, peer, after, wait).await?;
+    let is_current_epoch = shared.store_contact.mark(shared.now(), age, epoch);
+    if !is_current_epoch {
+        return Ok(OBSOLETE_AGE);
     }
     if let Some(update) = update {
-        let touched = take_in(shared, after, update);
+        let touched = apply_update(shared, after, update);
         if touched.has_changes() {
             refresh(shared, &touched);
         }
@@ -152,24 +156,25 @@
     Ok(age)
 }
 
-/// Takes an update in. What leads on from an earlier epoch leads nowhere if the copy has left that epoch meanwhile.
-fn take_in(shared: &Shared, asked_after: Position, update: MirrorUpdate) -> Touched {
+/// Applies an update to the mirror. An update that was requested for a position of an earlier epoch is dropped if the
+/// mirror has moved to another epoch in the meantime.
+fn apply_update(shared: &Shared, requested_after: Position, update: MirrorUpdate) -> Touched {
     let mut mirror = shared.mirror.lock();
-    if mirror.position().epoch != asked_after.epoch && !asked_after.is_start() {
+    if mirror.position().epoch != requested_after.epoch && !requested_after.is_start() {
         return Touched::Nothing;
     }
     mirror.apply_update(update)
 }
 
-/// Asks a gateway what is newer than a position. Its answer must name this very question: what comes
-/// first on a kept connection may be a late answer to an earlier one, whose age would be believed. The
-/// connections of a client that brought such an answer are not used again.
+/// Requests from a gateway the update after a position. The answer must carry the number of this request:
+/// the first answer on a reused connection may be a late answer to an earlier request, and its age would be
+/// mistaken for the current one. The connections of a client that received such an answer are not used again.
 pub async fn fetch(
     client: &mut Client,
     peer: SocketAddr,
     after: Position,
     wait: Duration,
-) -> anyhow::Result<Received> {
+) -> anyhow::Result<ReceivedUpdate> {
     let wait_ms = wait.as_millis();
     let number = rand::random::<NonZeroU64>().get();
     let Position { epoch, revision } = after;
@@ -179,80 +184,87 @@
     let call = client.get(url).timeout(head_timeout(after)).send().await;
     let response = call.map_err(|error| anyhow::anyhow!("{error}"))?;
     anyhow::ensure!(response.status() == 200, "status {}", response.status());
-    let head = head_of(response.headers(), after)?;
+    let head = parse_head(response.headers(), after)?;
     let body = read_body(response.timeout(BODY_TIMEOUT)).await?;
     let message = UpdateMessage::decode(body)?;
-    if !message.answers(number) {
+    if !message.may_answer(number) {
         *client = self::client();
-        anyhow::bail!("an answer to another question");
+        anyhow::bail!("mismatched answer: it belongs to another request");
     }
-    Ok(message.into_received(head)?)
+    Ok(message.into_update(head)?)
 }
 
-/// What the head of an answer tells. An older version tells no epoch: it counts as that of the asking gateway, which
-/// knows of none that is over.
-fn head_of(headers: &HeaderMap, asked_after: Position) -> anyhow::Result<UpdateHead> {
-    let epoch = headers.get(EPOCH_HEADER).map(epoch_of).transpose()?;
+/// Parses the headers of an answer. Older versions send no epoch. The epoch of the requesting gateway is assumed then,
+/// which has not ended as far as that gateway knows.
+fn parse_head(headers: &HeaderMap, requested_after: Position) -> anyhow::Result<UpdateHead> {
+    let epoch = headers.get(EPOCH_HEADER).map(parse_epoch).transpose()?;
     Ok(UpdateHead {
-        epoch: epoch.unwrap_or(asked_after.epoch),
-        skips: headers.contains_key(SKIPS_HEADER),
+        epoch: epoch.unwrap_or(requested_after.epoch),
+        spans_gap: headers.contains_key(GAP_HEADER),
     })
 }
 
-fn epoch_of(value: &HeaderValue) -> anyhow::Result<u64> {
+fn parse_epoch(value: &HeaderValue) -> anyhow::Result<u64> {
     Ok(value.to_str()?.parse()?)
 }
 
-/// Time for the head of an answer. Whoever has nothing yet asks for the whole copy, which the other may have to
-/// deflate first.
+/// Returns the timeout for the head of an answer. A gateway that has no items yet requests a snapshot, which the
+/// answering gateway may have to deflate first.
 fn head_timeout(after: Position) -> Duration {
     match after.is_start() {
-        true => RELAY_WAIT + WHOLE_TIMEOUT,
+        true => RELAY_WAIT + SNAPSHOT_TIMEOUT,
         false => RELAY_WAIT + CALL_TIMEOUT,
     }
 }
 
-/// Reads an update for as long as it keeps coming: how long a whole copy takes depends on a link that many
-/// share.
+/// Reads the body of an update as long as chunks keep arriving. The time that a snapshot takes depends on a link
+/// that many gateways share.
 async fn read_body<S>(mut response: ClientResponse<S>) -> anyhow::Result<Bytes>
 where
     S: Stream<Item = Result<Bytes, PayloadError>> + Unpin,
 {
     let mut body = BytesMut::new();
-    while let Some(chunk) = timeout(SILENCE_TIMEOUT, response.next()).await? {
+    while let Some(chunk) = timeout(BODY_CHUNK_TIMEOUT, response.next()).await? {
         body.extend_from_slice(&chunk?);
-        anyhow::ensure!(body.len() <= MAX_UPDATE_BYTES, "an update that is too long");
+        anyhow::ensure!(
+            body.len() <= MAX_UPDATE_BYTES,
+            "update exceeds the maximum length"
+        );
     }
     Ok(body.freeze())
 }
 
-/// Asks any gateway while neither the store nor a relay tells anything.
+/// Polls any gateway while neither the store nor a relay sends updates.
 pub async fn follow(shared: Arc<Shared>) {
     let mut client = client();
-    let mut relying = false;
+    let mut relies_on_peers = false;
     loop {
-        sleep(PACE).await;
-        let stale = shared.store_contact.age(shared.now()) > STALE_AFTER;
-        if stale != relying {
-            relying = stale;
-            record(&shared, relying);
+        sleep(POLL_INTERVAL).await;
+        let is_stale = shared.store_contact.age(shared.now()) > STALE_AFTER;
+        if is_stale != relies_on_peers {
+            relies_on_peers = is_stale;
+            record_reliance(&shared, relies_on_peers);
         }
-        let follower_starts =
-            shared.mirror.lock().position().is_start() && shared.now() < FIRST_COPY;
-        if !stale || follower_starts {
+        let is_awaiting_first_snapshot =
+            shared.mirror.lock().position().is_start() && shared.now() < FIRST_SNAPSHOT_DEADLINE;
+        if !is_stale || is_awaiting_first_snapshot {
             continue;
         }
         let Some(peer) = pick(&shared) else { continue };
         if let Err(error) = ask(&mut client, peer, Duration::ZERO, &shared).await {
-            log::debug!("peer {peer}: {error:#}");
+            log::debug!("no update from peer {peer}: {error:#}");
         }
     }
 }
 
-fn record(shared: &Shared, relying: bool) {
+fn record_reliance(shared: &Shared, relies_on_peers: bool) {
     let event = Event::Dependency {
         name: "peers",
-        state: if relying { "relied_on" } else { "not_needed" },
+        state: if relies_on_peers {
+            "relied_on"
+        } else {
+            "not_needed"
+        },
         reason: "",
     };
     shared.log.record(Weight::Important, &event);
@@ -262,12 +274,13 @@
     let settings = shared.settings.read().clone();
     let fleet = shared.fleet.read().clone();
     let is_other = |peer: &SocketAddr| *peer != settings.listen.peers;
-    let of_zone = |member: &&Member| member.zone.as_ref() == Some(&settings.node.zone);
-    let zone = fleet.members().filter(of_zone).map(|member| member.copy);
-    let zone: Vec<SocketAddr> = zone.filter(is_other).collect();
-    // Ways between zones are longer and dearer; one question in a few goes there, as the whole zone may be cut off.
-    if !zone.is_empty() && !rand::rng().random_ratio(1, OTHER_ZONES_RATIO) {
-        return zone.choose(&mut rand::rng()).copied();
+    let is_in_zone = |member: &&Member| member.zone.as_ref() == Some(&settings.node.zone);
+    let zone_peers = fleet.members().filter(is_in_zone).map(|member| member.copy);
+    let zone_peers: Vec<SocketAddr> = zone_peers.filter(is_other).collect();
+    // Links between zones are slower and cost more, but one in a few requests uses them, because the whole zone may be
+    // cut off.
+    if !zone_peers.is_empty() && !rand::rng().random_ratio(1, ANY_ZONE_RATIO) {
+        return zone_peers.choose(&mut rand::rng()).copied();
     }
     let mut peers: Vec<SocketAddr> = fleet.members().map(|member| member.copy).collect();
     peers.extend(&settings.store.seeds);
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -1,5 +1,5 @@
-//! Announces this gateway in the store under its lease, so that gateways know how many share the
-//! fleet's budgets and whom to ask while the store is out of reach.
+//! Announces this gateway in the store under its lease, so that the other gateways know how many gateways
+//! share the fleet's budgets and which gateways to ask for updates while the store is unreachable.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,45 +17,44 @@
 use crate::state::Shared;
 use crate::store_call::in_time;
 
-/// Where gateways announce themselves.
+/// Prefix of the keys under which gateways announce themselves.
 pub const PREFIX: &str = "tansyhall/gateways/";
-/// Time in which gateways whose announcements were lost have announced themselves again: each hears at its next
-/// renewal that the store was restored, and makes two calls, one of which may have to be repeated.
-pub const REANNOUNCED_WITHIN: Duration = Duration::from_secs(8);
-/// Pause between two looks at the lease.
-const PACE: Duration = Duration::from_millis(250);
-/// More processor time than any gateway has, in cores.
+/// Time in which gateways whose announcements were lost in a restore have announced themselves again. Each learns of
+/// the restore at the next renewal of its lease, and then makes two calls, one of which may have to be retried.
+pub const REANNOUNCEMENT_WINDOW: Duration = Duration::from_secs(8);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Largest plausible processor time of a gateway, in cores.
 const MAX_CORES: f64 = 1e6;
-/// Pause after a failed call.
-const FAILURE_PAUSE: Duration = Duration::from_millis(700);
+/// Pause before a failed call is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// A gateway that has announced itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
     /// Its name.
     pub name: String,
-    /// Where other gateways ask for its copy of the store.
+    /// The address at which other gateways request updates of its mirror.
     pub copy: SocketAddr,
-    /// Where it takes reports of load.
+    /// The address at which it receives datagrams.
     pub load: SocketAddr,
-    /// Its zone, unless an older version announced it.
+    /// Its zone; `None` if the announcement is from an older version.
     pub zone: Option<ZoneName>,
-    /// Its processor time in cores; an older version does not tell it.
+    /// Its processor time in cores; 0 if the announcement is from an older version.
     pub capacity: f64,
 }
 
-/// Where the gateway of that name announces itself.
+/// Returns the key under which the gateway with this name announces itself.
 pub fn key(name: &str) -> String {
     format!("{PREFIX}{name}")
 }
 
-/// Whether the copy of the store holds this gateway's announcement, and so all that were made before it.
+/// Returns whether the mirror contains this gateway's announcement, and therefore all earlier ones.
 pub fn is_announced(shared: &Shared) -> bool {
     let key = key(&shared.settings.read().node.name);
     shared.mirror.lock().get(&key).is_some()
 }
 
-/// The gateways in a copy of the store.
+/// Returns the gateways that are announced in the mirror.
 pub fn members(mirror: &Mirror) -> Vec<Member> {
     mirror
         .items_with_prefix(PREFIX)
@@ -63,7 +62,7 @@
         .collect()
 }
 
-/// The gateway that an item announces; none if it can't be read.
+/// Decodes a gateway's announcement. Returns `None` if it is malformed.
 pub fn member(key: &str, value: &[u8]) -> Option<Member> {
     let mut words = std::str::from_utf8(value).ok()?.split(' ');
     let copy = words.next()?;
@@ -73,11 +72,11 @@
         copy: copy.parse().ok()?,
         load: load.parse().ok()?,
         zone: words.next().map(ZoneName::new),
-        capacity: words.next().and_then(capacity).unwrap_or_default(),
+        capacity: words.next().and_then(parse_capacity).unwrap_or_default(),
     })
 }
 
-/// This gateway as it announces itself.
+/// Returns this gateway as it announces itself.
 pub fn own_member(settings: &GatewaySettings) -> Member {
     Member {
         name: settings.node.name.clone(),
@@ -88,12 +87,12 @@
     }
 }
 
-fn capacity(word: &str) -> Option<f64> {
+fn parse_capacity(word: &str) -> Option<f64> {
     let cores = word.parse().ok()?;
     (0.0..=MAX_CORES).contains(&cores).then_some(cores)
 }
 
-/// Announces this gateway under each lease that it comes to hold.
+/// Announces this gateway under each lease that it obtains, until it stops.
 pub async fn announce(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>, lease: NodeLease) {
     let mut announced: Option<Lease> = None;
     while !shared.is_stopping() {
@@ -101,9 +100,9 @@
         match held {
             Some(lease) if announced != held => match publish(&shared, &*store, lease).await {
                 Ok(()) => announced = held,
-                Err(_) => sleep(FAILURE_PAUSE).await,
+                Err(_) => sleep(RETRY_DELAY).await,
             },
-            _ => sleep(PACE).await,
+            _ => sleep(LEASE_CHECK_INTERVAL).await,
         }
     }
 }
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The seams between the gateway and the protocols around it. An adapter implements these traits;
-//! it translates and decides nothing.
+//! The interfaces between the gateway and the protocols of a platform. An adapter implements these
+//! traits; it only translates and makes no decisions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,84 +12,84 @@
 
 use crate::headers::HeaderList;
 
-/// What a caller says of its request.
+/// The parameters that a caller states for its request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct CallerTerms {
-    /// The caller's id of the request, echoed by the worker that runs it.
+    /// The caller's id for the request; the worker that runs it repeats it in its answer.
     pub request_id: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub patience: Option<Duration>,
-    /// The prompt, for requests to model engines.
+    /// The parts of the prompt, for requests to model engines.
     pub prompt: Vec<PromptPart>,
-    /// The key by which the caller is known; it goes no further than the gateway.
+    /// The API key that identifies the caller. It is not forwarded to workers.
     pub key: Option<ApiKey>,
 }
 
-/// Why a request cannot be understood.
+/// A header of a request is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("header {header}: {reason}")]
 pub struct BadRequest {
-    /// The header.
+    /// The name of the header.
     pub header: &'static str,
-    /// What is wrong with it, and what is allowed.
+    /// What is wrong with its value, and which values are allowed.
     pub reason: String,
 }
 
-/// What a worker is told beyond what the caller sent.
+/// The parameters that are sent to a worker in addition to the caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SendTerms {
-    /// The worker that the request is meant for.
+    /// The worker that the request is addressed to.
     pub worker: WorkerId,
-    /// The time left.
+    /// The time left until the request's deadline.
     pub time_left: Duration,
-    /// The rank of the request; 0 is the most urgent.
+    /// The priority rank of the request; 0 is the most urgent.
     pub rank: u8,
-    /// The tenant that the caller's key belongs to.
+    /// The tenant that the caller's API key belongs to.
     pub tenant: Option<TenantName>,
-    /// What is asked.
+    /// The work to do.
     pub work: Work,
-    /// A worker from which this one should fetch what it lacks of the prompt's KV cache.
+    /// The address of a worker from which this one should fetch the missing parts of the prompt's KV cache.
     pub fetch_from: Option<SocketAddr>,
 }
 
-/// What is asked of a worker.
+/// The work that a worker is requested to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Work {
     /// Run the request.
     Run {
-        /// The prompt's KV cache, if it was read apart.
+        /// The handle of the prompt's KV cache, if another worker has read the prompt.
         source: Option<PromptHandle>,
-        /// The last event that the caller has, if the stream goes on.
+        /// The id of the last event that the caller has received, if an interrupted stream is resumed.
         resume_after: Option<String>,
     },
     /// Read the prompt and keep its KV cache.
     ReadPrompt,
 }
 
-/// What an answer's head says.
+/// The kind of an answer, according to its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// A success that a worker signed.
+    /// A successful answer that is signed by a worker.
     Success,
-    /// A failure of the worker, which ran the request.
+    /// The worker ran the request, and it failed.
     Failure,
-    /// The worker did not run the request and never will.
+    /// The worker did not run the request and will not run it.
     NotRun,
-    /// The same, as the worker that answers is not the one that was meant, or not in the role that
-    /// was meant.
+    /// The worker did not run the request, because it is not the worker that the request was addressed to, or does not
+    /// have the required role.
     Misdirected,
-    /// None that can be passed on: nothing is known.
+    /// The answer cannot be forwarded and says nothing about the outcome of the request.
     Unusable,
 }
 
-/// A call to a worker beside requests.
+/// A call to a worker that is not a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WorkerCall {
-    /// The method.
+    /// The HTTP method.
     pub method: &'static str,
     /// The path.
     pub path: String,
-    /// Headers.
+    /// The headers.
     pub headers: HeaderList,
     /// The body.
     pub body: Bytes,
@@ -98,68 +98,69 @@
 /// An order to an engine to change its role.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RoleOrder {
-    /// The worker that is meant.
+    /// The engine that the order is addressed to.
     pub worker: WorkerId,
-    /// The role it shall have.
+    /// The role to change to.
     pub role: Role,
-    /// Who orders.
+    /// The name of the gateway that sends the order.
     pub holder: String,
     /// The fence of the holder's claim.
     pub fence: u64,
-    /// Orders that the engine has taken so far; it refuses the order if it has taken another.
+    /// Number of orders that the engine has accepted so far. It refuses this order if it has accepted another one
+    /// since.
     pub orders_taken: u64,
 }
 
-/// What an engine says of itself.
+/// An engine's report of its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Orders that it has taken.
+    /// Number of orders that it has accepted.
     pub orders_taken: u64,
     /// Its role.
     pub role: Option<Role>,
-    /// Whether an order is under way.
+    /// Whether it is currently carrying out an order.
     pub busy: bool,
-    /// Whether it leaves.
+    /// Whether it is leaving: it accepts no new requests.
     pub leaves: bool,
 }
 
-/// How callers and workers speak.
+/// The protocol between callers, the gateway and workers.
 pub trait Protocol: Send + Sync {
-    /// Reads what a caller says of its request.
+    /// Parses the parameters in the headers of a caller's request.
     fn caller_terms(&self, headers: &HeaderList) -> Result<CallerTerms, BadRequest>;
-    /// The headers for a worker, from the caller's.
+    /// Returns the headers of a request to a worker, based on those of the caller's request.
     fn worker_headers(&self, caller: &HeaderList, terms: &SendTerms) -> HeaderList;
-    /// The id that ties an answer to its request: both bear it. Requests of callers that gave none
-    /// and the gateway's own calls have none, and neither have the answers to them.
+    /// Returns the id that an answer has in common with its request. Requests whose caller has set no id and
+    /// the gateway's own calls have none, and their answers have none either.
     fn correlation_id<'a>(&self, headers: &'a HeaderList) -> Option<&'a str>;
-    /// What the head of a worker's answer to a request with the same id says.
+    /// Returns the kind of a worker's answer whose id matches that of the request.
     fn answer_kind(&self, status: u16, headers: &HeaderList) -> AnswerKind;
-    /// What the head of a worker's answer says of the worker itself.
+    /// Returns the notice about the worker itself in the head of its answer.
     fn worker_notice(&self, status: u16, headers: &HeaderList) -> WorkerNotice;
-    /// The handle in the answer to [`Work::ReadPrompt`].
+    /// Decodes the KV cache handle in the answer to [`Work::ReadPrompt`].
     fn prompt_handle(&self, body: &[u8]) -> anyhow::Result<String>;
-    /// The call that frees a handle which will not be used.
+    /// Returns the call that releases a KV cache handle which will not be used.
     fn release_handle(&self, handle: &str) -> WorkerCall;
-    /// The call for an engine's report.
+    /// Returns the call that requests an engine's report.
     fn report_call(&self) -> WorkerCall;
     /// Decodes an engine's report.
     fn engine_report(&self, body: &[u8]) -> anyhow::Result<EngineReport>;
-    /// The call for the list of what an engine's cache holds.
+    /// Returns the call that requests the list of an engine's cache contents.
     fn cache_list_call(&self) -> WorkerCall;
-    /// Decodes that list.
+    /// Decodes the list of an engine's cache contents.
     fn cache_list(&self, body: &[u8]) -> anyhow::Result<Vec<PromptPart>>;
-    /// The call that orders an engine to change its role.
+    /// Returns the call that orders an engine to change its role.
     fn role_order(&self, order: &RoleOrder) -> WorkerCall;
 }
 
-/// How the store's items read.
+/// The keys and formats of the platform's items in the store.
 pub trait Catalogue: Send + Sync {
-    /// The key of the configuration.
+    /// Returns the key of the configuration.
     fn configuration_key(&self) -> &str;
-    /// The prefix of workers' keys.
+    /// Returns the prefix of the keys of workers.
     fn worker_prefix(&self) -> &str;
     /// Decodes a configuration.
     fn configuration(&self, value: &[u8]) -> anyhow::Result<Configuration>;
-    /// Decodes a worker; `id` is its key without the prefix.
+    /// Decodes a worker's entry; `id` is its key without the prefix.
     fn worker(&self, id: &str, value: &[u8]) -> anyhow::Result<Worker>;
 }
--- a/crates/gateway/src/role_orders.rs
+++ b/crates/gateway/src/role_orders.rs
@@ -1,9 +1,9 @@
-//! Orders of the holder of the authority to engines, to change their roles.
+//! Orders from the holder of the authority to engines to change their roles.
 //!
-//! The holder writes the roles that engines should have (under the condition that its claim still
-//! stands), waits until every gateway has heard of it, and orders each engine with its fence and the
-//! number of orders that the engine has taken. An order that is carried out late finds another number and
-//! has no effect.
+//! The holder writes the desired roles to the store (on condition that its claim is still there), waits
+//! until every gateway has received them, and then sends each engine an order with the fence of the claim
+//! and the number of orders that the engine has accepted so far. An order that arrives late no longer
+//! matches this number and has no effect.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -29,38 +29,37 @@
 use crate::worker_notices::NoticeSource;
 use crate::worker_request::{Asked, WorkerRequest};
 
-/// Pause between two looks.
-const PACE: Duration = Duration::from_millis(300);
-/// Time in which every gateway hears of a desired role.
-const NOTICE: Duration = Duration::from_millis(600);
-/// Time between two changes of the desired roles.
-const SETTLING: Duration = Duration::from_millis(1_500);
-/// Time after which an order that changed nothing is sent again.
-const ORDER_PATIENCE: Duration = Duration::from_secs(4);
-/// Time for one call to an engine.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Time in which every gateway receives a change of the desired roles.
+const PROPAGATION_WINDOW: Duration = Duration::from_millis(600);
+/// Shortest time between two changes of the desired roles.
+const MIN_CHANGE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Time after which an order is repeated if the engine has not changed its role.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_secs(4);
+/// Timeout of one call to an engine, including the body of its answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Engines that are ordered at the same time, so that some that do not answer hold up few others, and thousands are
-/// not called in one burst.
-const ORDERS_AT_ONCE: usize = 16;
-/// Weight of the newest count in an engine's smoothed streams.
-const STREAMS_WEIGHT: f64 = 0.15;
-/// The longest answer of an engine.
+/// Concurrent orders. More than one, so that a few engines that do not answer delay only a few others; limited, so that
+/// thousands of engines are not called in one burst.
+const MAX_CONCURRENT_ORDERS: usize = 16;
+/// Weight of the newest sample in the exponential moving average of an engine's streams.
+const STREAMS_SAMPLE_WEIGHT: f64 = 0.15;
+/// Longest answer that is accepted from an engine.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Orders engines while this gateway holds the authority, until it stops.
+/// Sends role orders to engines while this gateway holds the authority, until it stops.
 pub async fn run(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>, authority: Authority) {
     let mut orders = RoleOrders {
         shared,
         store,
         authority,
-        changed: Timestamp::default(),
-        ordered: HashMap::new(),
-        streams: HashMap::new(),
-        short_reading: HashMap::new(),
+        last_change: Timestamp::default(),
+        last_orders: HashMap::new(),
+        average_streams: HashMap::new(),
+        short_prompt_peaks: HashMap::new(),
     };
     while !orders.shared.is_stopping() {
-        sleep(PACE).await;
-        orders.look().await;
+        sleep(CHECK_INTERVAL).await;
+        orders.update_roles().await;
     }
 }
 
@@ -68,15 +67,17 @@
     shared: Arc<Shared>,
     store: Rc<dyn KeyValueStore>,
     authority: Authority,
-    changed: Timestamp,
-    ordered: HashMap<WorkerId, Timestamp>,
-    streams: HashMap<WorkerId, f64>,
-    /// What reading short prompts asked of the decoders of each service lately.
-    short_reading: HashMap<ServiceName, RecentPeak>,
+    /// When the desired roles were last changed.
+    last_change: Timestamp,
+    /// When each engine was last sent an order.
+    last_orders: HashMap<WorkerId, Timestamp>,
+    average_streams: HashMap<WorkerId, f64>,
+    /// Recent peak of the number of decoding engines of each service that reading short prompts keeps busy.
+    short_prompt_peaks: HashMap<ServiceName, RecentPeak>,
 }
 
 impl RoleOrders {
-    async fn look(&mut self) {
+    async fn update_roles(&mut self) {
         if !self.shared.settings.read().decisions.role_orders {
             return;
         }
@@ -89,36 +90,36 @@
     async fn change_desired_roles(&mut self, epoch: Epoch) {
         let now = self.shared.now();
         let engines = self.engines();
-        if now.since(self.changed) < SETTLING {
+        if now.since(self.last_change) < MIN_CHANGE_INTERVAL {
             return;
         }
         let mut desired = DesiredRoles::read(&self.shared.mirror.lock());
         let mut changes = 0;
-        for service in services_of(&engines) {
+        for service in distinct_services(&engines) {
             let members: Vec<&EngineLoad> = engines
                 .iter()
                 .filter(|engine| engine.worker.service == service)
                 .collect();
-            let balanced: Vec<BalancedEngine> = members
+            let balanced_engines: Vec<BalancedEngine> = members
                 .iter()
-                .map(|engine| self.balanced(engine, &desired))
+                .map(|engine| self.balanced_engine(engine, &desired))
                 .collect();
             let demand = self.shared.directory.lock().engine_demand(now, &service);
-            let peak = self.short_reading.entry(service.clone()).or_default();
+            let peak = self.short_prompt_peaks.entry(service.clone()).or_default();
             let expected = ExpectedDemand {
                 prefill_engines: demand.prefill_engines,
                 decode_engines_for_short_prompts: peak.observe(now, demand.decode_engines),
                 decode_slots: demand.decode_slots,
             };
-            for change in balance_roles(&balanced, expected) {
+            for change in balance_roles(&balanced_engines, expected) {
                 desired.set(&members[change.engine].worker.id, change.role);
                 changes += 1;
             }
         }
         if changes > 0 {
-            let changing = changing_engines(&engines, &desired);
+            let changing = names_of_changing_engines(&engines, &desired);
             desired.retain(|name| changing.contains(name));
-            self.changed = now;
+            self.last_change = now;
             self.write_desired_roles(epoch, &desired).await;
         }
     }
@@ -126,37 +127,44 @@
     fn engines(&mut self) -> Vec<EngineLoad> {
         let engines = self.shared.directory.lock().engine_loads();
         for engine in &engines {
-            let streams = self.streams.entry(engine.worker.id.clone()).or_default();
-            *streams += (f64::from(engine.sends) - *streams) * STREAMS_WEIGHT;
+            let streams = self
+                .average_streams
+                .entry(engine.worker.id.clone())
+                .or_default();
+            *streams += (f64::from(engine.sends) - *streams) * STREAMS_SAMPLE_WEIGHT;
         }
         let present: HashSet<&WorkerId> = engines.iter().map(|engine| &engine.worker.id).collect();
-        self.streams.retain(|id, _| present.contains(id));
-        self.ordered.retain(|id, _| present.contains(id));
+        self.average_streams.retain(|id, _| present.contains(id));
+        self.last_orders.retain(|id, _| present.contains(id));
         engines
     }
 
-    fn balanced(&self, engine: &EngineLoad, desired: &DesiredRoles) -> BalancedEngine {
+    fn balanced_engine(&self, engine: &EngineLoad, desired: &DesiredRoles) -> BalancedEngine {
         let worker = &engine.worker;
         let role = worker.role.unwrap_or_default();
-        let wanted = desired.get(&worker.id).unwrap_or(role);
-        let streams = self.streams.get(&worker.id).copied().unwrap_or_default();
+        let desired_role = desired.get(&worker.id).unwrap_or(role);
+        let streams = self
+            .average_streams
+            .get(&worker.id)
+            .copied()
+            .unwrap_or_default();
         BalancedEngine {
             zone: worker.zone.clone(),
-            role: wanted,
-            changing: wanted != role,
+            role: desired_role,
+            changing: desired_role != role,
             streams: streams.round() as u32,
             slots: worker.slots,
         }
     }
 
     async fn write_desired_roles(&self, epoch: Epoch, desired: &DesiredRoles) {
-        let known = {
+        let known_revision = {
             let mirror = self.shared.mirror.lock();
             mirror
                 .get(desired_roles::KEY)
                 .map(|item| item.written.revision)
         };
-        let unchanged = match known {
+        let unchanged = match known_revision {
             Some(revision) => Compare::ModifiedAt(desired_roles::KEY.into(), Revision(revision)),
             None => Compare::Absent(desired_roles::KEY.into()),
         };
@@ -173,7 +181,7 @@
 
     async fn order_engines(&mut self, epoch: Epoch) {
         let now = self.shared.now();
-        if now.since(self.changed) < NOTICE {
+        if now.since(self.last_change) < PROPAGATION_WINDOW {
             return;
         }
         let desired = DesiredRoles::read(&self.shared.mirror.lock());
@@ -184,22 +192,22 @@
             (worker.role != Some(role)).then_some((worker, role))
         });
         let is_due = |worker: &Worker| {
-            let ordered = self.ordered.get(&worker.id);
-            ordered.is_none_or(|at| now.since(*at) >= ORDER_PATIENCE)
+            let last_order = self.last_orders.get(&worker.id);
+            last_order.is_none_or(|at| now.since(*at) >= ORDER_RETRY_INTERVAL)
         };
         let due: Vec<(Worker, Role)> = changing.filter(|(worker, _)| is_due(worker)).collect();
         let ordered = due.iter().map(|(worker, _)| (worker.id.clone(), now));
-        self.ordered.extend(ordered);
+        self.last_orders.extend(ordered);
         let orders = due
             .iter()
-            .map(|(worker, role)| self.order(epoch, worker, *role));
+            .map(|(worker, role)| self.order_role(epoch, worker, *role));
         futures_util::stream::iter(orders)
-            .buffer_unordered(ORDERS_AT_ONCE)
+            .buffer_unordered(MAX_CONCURRENT_ORDERS)
             .collect::<()>()
             .await;
     }
 
-    async fn order(&self, Epoch(fence): Epoch, worker: &Worker, role: Role) {
+    async fn order_role(&self, Epoch(fence): Epoch, worker: &Worker, role: Role) {
         let protocol = &self.shared.protocol;
         let report = self
             .call(worker, Asked::Report, protocol.report_call())
@@ -207,7 +215,7 @@
         let report = report.and_then(|body| protocol.engine_report(&body).ok());
         let Some(EngineReport {
             orders_taken,
-            role: present,
+            role: current_role,
             busy,
             leaves,
         }) = report
@@ -223,7 +231,9 @@
             notices.take(&worker.id, notice, NoticeSource::Answer(Asked::Report));
             return;
         }
-        if busy || present == Some(role) || self.authority.fence(&self.shared) != Some(Epoch(fence))
+        if busy
+            || current_role == Some(role)
+            || self.authority.fence(&self.shared) != Some(Epoch(fence))
         {
             return;
         }
@@ -251,7 +261,7 @@
         self.shared.log.record(Weight::Important, &event);
     }
 
-    /// The body of a successful answer.
+    /// Calls an engine. Returns the body of a successful answer, or `None` if the call failed.
     async fn call(&self, worker: &Worker, asked: Asked, call: WorkerCall) -> Option<Bytes> {
         let request = WorkerRequest::of_call(asked, call);
         let destination = self.shared.destination(worker);
@@ -265,9 +275,9 @@
     }
 }
 
-/// The names of engines that do not have the role yet that they should have. Entries of others are dropped from the
-/// document, so that it grows with the changes under way and not with the fleet.
-fn changing_engines(engines: &[EngineLoad], desired: &DesiredRoles) -> HashSet<String> {
+/// Returns the names of the engines that do not have their desired role yet. The entries of other engines are dropped
+/// from the document, so that its size depends on the number of pending changes and not on the size of the fleet.
+fn names_of_changing_engines(engines: &[EngineLoad], desired: &DesiredRoles) -> HashSet<String> {
     let changing = engines.iter().filter(|engine| {
         let role = desired.get(&engine.worker.id);
         role.is_some() && role != engine.worker.role
@@ -277,7 +287,7 @@
         .collect()
 }
 
-fn services_of(engines: &[EngineLoad]) -> Vec<ServiceName> {
+fn distinct_services(engines: &[EngineLoad]) -> Vec<ServiceName> {
     let mut services: Vec<_> = engines
         .iter()
         .map(|engine| engine.worker.service.clone())
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of a gateway, in TOML. Unknown keys are passed over, so that one file can serve two
-//! versions; a value outside its range is refused with its key and what is allowed.
+//! Settings of a gateway, in TOML. Unknown keys are ignored, so that two versions can share one file. A
+//! value out of range is rejected with an error that names the key and the allowed range.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,34 +9,34 @@
 use tansyhall_forwarding::{Decisions, RetryShareSettings};
 use tansyhall_usage::WindowTiming;
 
-/// The whole file.
+/// The settings file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct GatewaySettings {
-    /// Who this gateway is.
+    /// Identity and resources of this gateway.
     pub node: NodeSection,
-    /// Where it listens.
+    /// Listen addresses.
     pub listen: ListenSection,
-    /// The store that holds configuration and workers.
+    /// The store that holds the configuration and the workers' entries.
     pub store: StoreSection,
-    /// Retries of the whole fleet.
+    /// The retry budget of the whole fleet.
     pub retries: RetrySection,
-    /// Stops.
+    /// Shutdown.
     pub stop: StopSection,
-    /// Orders to engines.
+    /// Role orders to engines.
     pub orders: OrdersSection,
-    /// Usage by tenant; none if it is not reported.
+    /// Usage by tenant; `None` if it is not reported.
     pub usage: Option<UsageSection>,
-    /// The platform's operations; none if it has none.
+    /// The platform's operations API; `None` if the platform has none.
     pub duties: Option<DutiesSection>,
-    /// Lines about decisions.
+    /// The event log.
     #[serde(default)]
     pub log: LogSection,
-    /// Switches of single mechanisms that decide; all are on unless one is set to `false`.
+    /// Routing mechanisms that can be disabled one by one; each is enabled unless it is set to `false`.
     #[serde(default)]
     pub decisions: Decisions,
 }
 
-/// Who this gateway is.
+/// Identity and resources of a gateway.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct NodeSection {
     /// Its name, unique in the fleet.
@@ -45,7 +45,7 @@
     pub zone: ZoneName,
     /// Threads that serve callers, 1 to 64.
     pub threads: usize,
-    /// The part of each thread's core that the gateway may use, above 0 and at most 1.
+    /// The share of each thread's core that the gateway may use, above 0 and at most 1.
     #[serde(default = "whole_core")]
     pub core_share: f64,
 }
@@ -55,56 +55,56 @@
 }
 
 impl NodeSection {
-    /// Processor time in cores.
+    /// Returns the gateway's processor time in cores.
     pub fn capacity(&self) -> f64 {
         self.threads as f64 * self.core_share
     }
 }
 
-/// Where a gateway listens.
+/// Listen addresses of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ListenSection {
-    /// Callers.
+    /// For requests of callers.
     pub callers: SocketAddr,
-    /// Health checks of whoever distributes callers.
+    /// For health checks of the load balancer in front of the gateways.
     pub ready: SocketAddr,
-    /// Other gateways.
+    /// For HTTP requests of other gateways.
     pub peers: SocketAddr,
-    /// Reports of load from other gateways, datagrams.
+    /// For datagrams from other gateways (UDP).
     pub load: SocketAddr,
-    /// Metrics.
+    /// For metrics.
     pub metrics: SocketAddr,
 }
 
 /// The store.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct StoreSection {
-    /// Where it listens.
+    /// The address of the store.
     pub address: SocketAddr,
-    /// Gateways to ask while the store cannot be reached, besides those that the store names.
+    /// Gateways to ask for updates while the store is unreachable, in addition to those announced in the store.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
 }
 
-/// Retries of the whole fleet.
+/// The retry budget of the whole fleet.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct RetrySection {
-    /// Sends past the first for each request, 0 to 1.
+    /// Retries per request, 0 to 1.
     pub ratio: f64,
-    /// Sends past the first that the fleet may add in one window.
+    /// Additional retries for the whole fleet in each window, 0 to 1000000.
     pub extra: f64,
-    /// The window in seconds, above 0.
+    /// The length of the window in seconds, above 0 and at most 3600.
     pub window_seconds: f64,
 }
 
-/// Stops.
+/// Shutdown.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct StopSection {
     /// Seconds from SIGTERM to SIGKILL, 1 to 600.
     pub grace_seconds: f64,
 }
 
-/// Orders to engines.
+/// Role orders to engines.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct OrdersSection {
     /// Seconds that a new holder of the authority waits before its first order, 0 to 600.
@@ -116,24 +116,24 @@
 pub struct UsageSection {
     /// The length of a window in seconds, 0.1 to 86400.
     pub window_seconds: f64,
-    /// Seconds after a window's end at which its usage must have been reported, 0.1 to 86400.
+    /// Seconds after the end of a window by which its usage must be reported, 0.1 to 86400.
     pub due_after_seconds: f64,
 }
 
-/// The platform's operations.
+/// The platform's operations API.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct DutiesSection {
-    /// Where it takes the calls of the gateway that acts for the site.
+    /// The address for calls of the gateway that holds the authority.
     pub address: SocketAddr,
 }
 
-/// Lines about decisions.
+/// The event log.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct LogSection {
-    /// Lines a second about what went well, at the most; 0 for none.
+    /// Maximum number of lines per second about successful requests; 0 for none.
     pub routine_per_second: u32,
-    /// Lines that wait for a slow reader; more are dropped and counted.
+    /// Maximum number of lines that wait for a slow reader, 16 to 1000000; further lines are dropped and counted.
     pub queue_lines: usize,
 }
 
@@ -146,18 +146,18 @@
     }
 }
 
-/// Why settings are refused.
+/// Error of invalid settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// Not TOML, or a key is missing or of the wrong type.
+    /// The file is not valid TOML, or a key is missing or has the wrong type.
     #[error("{file}: {reason}")]
     Syntax {
         /// The file.
         file: String,
-        /// Where and what.
+        /// What is wrong, and at which line.
         reason: String,
     },
-    /// A value is out of its range.
+    /// A value is out of range.
     #[error("{file}: {key} = {value}: {allowed}")]
     Range {
         /// The file.
@@ -166,13 +166,13 @@
         key: &'static str,
         /// Its value.
         value: String,
-        /// What is allowed.
+        /// The allowed range.
         allowed: &'static str,
     },
 }
 
 impl GatewaySettings {
-    /// Reads and checks settings; `file` names them in errors.
+    /// Parses and validates settings; `file` is the file name for error messages.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| SettingsError::Syntax {
             file: file.to_owned(),
@@ -183,17 +183,18 @@
     }
 
     fn validate(&self, file: &str) -> Result<(), SettingsError> {
-        let range = |key: &'static str, value: String, allowed: &'static str, ok: bool| match ok {
-            true => Ok(()),
-            false => Err(SettingsError::Range {
-                file: file.to_owned(),
-                key,
-                value,
-                allowed,
-            }),
-        };
+        let check_range =
+            |key: &'static str, value: String, allowed: &'static str, ok: bool| match ok {
+                true => Ok(()),
+                false => Err(SettingsError::Range {
+                    file: file.to_owned(),
+                    key,
+                    value,
+                    allowed,
+                }),
+            };
         let name = &self.node.name;
-        range(
+        check_range(
             "node.name",
             format!("{name:?}"),
             "must not be empty",
@@ -201,7 +202,7 @@
         )?;
         let threads = self.node.threads;
         let threads_fit = (1..=64).contains(&threads);
-        range(
+        check_range(
             "node.threads",
             threads.to_string(),
             "must be 1 to 64",
@@ -209,7 +210,7 @@
         )?;
         let share = self.node.core_share;
         let share_fits = share > 0.0 && share <= 1.0;
-        range(
+        check_range(
             "node.core_share",
             share.to_string(),
             "must be above 0, at most 1",
@@ -217,7 +218,7 @@
         )?;
         let ratio = self.retries.ratio;
         let ratio_fits = (0.0..=1.0).contains(&ratio);
-        range(
+        check_range(
             "retries.ratio",
             ratio.to_string(),
             "must be 0 to 1",
@@ -225,7 +226,7 @@
         )?;
         let extra = self.retries.extra;
         let extra_fits = (0.0..=1e6).contains(&extra);
-        range(
+        check_range(
             "retries.extra",
             extra.to_string(),
             "must be 0 to 1000000",
@@ -233,7 +234,7 @@
         )?;
         let window = self.retries.window_seconds;
         let window_fits = window > 0.0 && window <= 3600.0;
-        range(
+        check_range(
             "retries.window_seconds",
             window.to_string(),
             "must be above 0, at most 3600",
@@ -241,7 +242,7 @@
         )?;
         let grace = self.stop.grace_seconds;
         let grace_fits = (1.0..=600.0).contains(&grace);
-        range(
+        check_range(
             "stop.grace_seconds",
             grace.to_string(),
             "must be 1 to 600",
@@ -249,7 +250,7 @@
         )?;
         let pause = self.orders.takeover_pause_seconds;
         let pause_fits = (0.0..=600.0).contains(&pause);
-        range(
+        check_range(
             "orders.takeover_pause_seconds",
             pause.to_string(),
             "must be 0 to 600",
@@ -262,12 +263,12 @@
             ];
             for (key, seconds) in bounds {
                 let fits = (0.1..=86_400.0).contains(&seconds);
-                range(key, seconds.to_string(), "must be 0.1 to 86400", fits)?;
+                check_range(key, seconds.to_string(), "must be 0.1 to 86400", fits)?;
             }
         }
         let lines = self.log.queue_lines;
         let lines_fit = (16..=1_000_000).contains(&lines);
-        range(
+        check_range(
             "log.queue_lines",
             lines.to_string(),
             "must be 16 to 1000000",
@@ -275,7 +276,7 @@
         )
     }
 
-    /// The fleet's retry budget.
+    /// Returns the retry budget of the fleet.
     pub fn retry_share(&self) -> RetryShareSettings {
         RetryShareSettings {
             ratio: self.retries.ratio,
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Windows of usage, if it is reported.
+    /// Returns the windows of usage reports, or `None` if usage is not reported.
     pub fn usage_timing(&self) -> Option<WindowTiming> {
         self.usage.as_ref().map(|usage| WindowTiming {
             length: Duration::from_secs_f64(usage.window_seconds),
@@ -292,12 +293,12 @@
         })
     }
 
-    /// Time that a new holder of the authority waits before its first order.
+    /// Returns the time that a new holder of the authority waits before its first order.
     pub fn takeover_pause(&self) -> Duration {
         Duration::from_secs_f64(self.orders.takeover_pause_seconds)
     }
 
-    /// Time from SIGTERM to SIGKILL.
+    /// Returns the time from SIGTERM to SIGKILL.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.stop.grace_seconds)
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,5 +1,5 @@
-//! What the tasks of a gateway share. Each part stands under its own lock, held for a few
-//! microseconds and never across a wait.
+//! The state that the tasks of a gateway share. Each part has its own lock, which is held for a few
+//! microseconds and never across an await point.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -26,117 +26,118 @@
 use crate::protocol::{Catalogue, Protocol};
 use crate::settings::GatewaySettings;
 use crate::store_contact::StoreContact;
-use crate::update_cache::CopyAnswers;
+use crate::update_cache::UpdateCache;
 use crate::usage::Usage;
 use crate::worker_entries::{LoggedWorkers, WorkerEntries};
 
-/// The part of a worker's connections that gateways use together; the rest is for health checks
-/// and gateways that are not known yet.
-const CONNECTION_PART: f64 = 0.8;
-/// The least connections to one worker that a gateway may have.
-const MIN_CONNECTIONS: u32 = 4;
+/// The share of a worker's connections that all gateways together may use. The rest is left for health checks
+/// and for gateways that are not known yet.
+const GATEWAY_CONNECTION_SHARE: f64 = 0.8;
+/// Lower bound of a gateway's connection limit for one worker.
+const MIN_WORKER_CONNECTIONS: u32 = 4;
 
-/// Shared state.
+/// The shared state of a gateway.
 pub struct Shared {
-    /// Settings, replaced at a reload.
+    /// Settings, replaced on reload.
     pub settings: RwLock<Arc<GatewaySettings>>,
-    /// Time.
+    /// Clock for all timestamps of this process.
     pub clock: MonotonicClock,
-    /// How callers and workers speak.
+    /// The protocol of callers and workers.
     pub protocol: Arc<dyn Protocol>,
-    /// How the store's items read.
+    /// The keys and formats of the store's items.
     pub catalogue: Arc<dyn Catalogue>,
-    /// The copy of the store.
+    /// The mirror of the store.
     pub mirror: Mutex<Mirror>,
-    /// The position of the copy, for those who wait for a newer one.
+    /// The position of the mirror, for tasks that wait for a newer one.
     pub mirror_position: watch::Sender<Position>,
-    /// Long values of the copy, deflated for other gateways.
+    /// Long values of the mirror, deflated for other gateways.
     pub deflated_values: Mutex<DeflatedValues>,
-    /// Answers to gateways that ask for what is new; locked before the copy.
-    pub copy_answers: Mutex<CopyAnswers>,
-    /// Workers' entries as they were decoded last; locked before the directory where both are.
+    /// Deflated updates for gateways that follow this mirror. Locked before `mirror`.
+    pub copy_answers: Mutex<UpdateCache>,
+    /// Workers' entries as last decoded. Locked before `directory` where both are locked.
     pub worker_entries: Mutex<WorkerEntries>,
-    /// Workers that take requests, as logged last.
+    /// Workers that accept requests, as last logged.
     pub logged_workers: Mutex<LoggedWorkers>,
-    /// Workers that count though their entries ran out while the store was away.
+    /// Workers that are still used although their entries lapsed while the store was unavailable.
     pub lapsed_workers: Mutex<LapsedWorkers>,
     /// The configuration in force and its routes.
     pub in_force: RwLock<Option<Arc<InForce>>>,
-    /// Workers.
+    /// Workers and their estimated load.
     pub directory: Arc<Mutex<Directory>>,
-    /// Placements for other gateways; locked before the directory where both are.
+    /// Placements granted to other gateways. Locked before `directory` where both are locked.
     pub ledger: Mutex<GrantedPlacements>,
-    /// Placements that other gateways make for this one.
+    /// Client for placements that schedulers make for this gateway.
     pub placements: PlacementClient,
-    /// The gateways that are announced.
+    /// The gateways that are announced in the store.
     pub fleet: RwLock<Arc<Fleet>>,
     /// The socket for datagrams between gateways.
     pub datagrams: Datagrams,
-    /// Whether what caches held before this gateway's start has been recovered.
+    /// Whether the engines' cache contents from before this gateway's start have been recovered.
     pub caches_recovered: AtomicBool,
-    /// Retries.
+    /// The retry budget of each service.
     pub retries: Mutex<RetryShares>,
-    /// When the store last answered, itself or through a relay.
+    /// When the store last answered, directly or through a relay.
     pub store_contact: StoreContact,
-    /// Sends whose requests workers may be running.
+    /// Sent requests that workers may be running.
     pub sends: Mutex<SendTracker>,
-    /// Requests under which workers end.
+    /// Requests that crash workers.
     pub quarantine: Mutex<Quarantine>,
     /// Connections to workers.
     pub connections: Arc<Connections>,
-    /// Usage by tenant, if it is reported.
+    /// Usage by tenant; `None` if it is not reported.
     pub usage: Option<Usage>,
-    /// Log.
+    /// The event log.
     pub log: Arc<EventLog>,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Gateways that share the fleet's budgets, this one included.
+    /// Number of gateways that share the fleet's budgets, including this one.
     pub gateways: AtomicU64,
-    /// When SIGTERM came.
+    /// When SIGTERM was received.
     pub stopping_since: OnceLock<Timestamp>,
-    /// Requests under way.
+    /// Number of requests in progress.
     pub in_flight: AtomicU64,
 }
 
-/// A configuration in force.
+/// A configuration in force, with its routes and tenants indexed.
 pub struct InForce {
     /// The configuration.
     pub configuration: Configuration,
-    /// Where it was written in the store.
+    /// The store position at which it was written.
     pub written: Position,
     routes: Mutex<RouteTable>,
-    /// None if every caller may call every route.
+    /// `None` if every caller may use every route.
     tenants: Option<TenantTable>,
+    /// The rank of the most urgent requests for each service.
     most_urgent_ranks: HashMap<ServiceName, u8>,
 }
 
-/// Why a request goes nowhere.
+/// Why a request is not routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NotRouted {
-    /// No route has its host and path.
+    /// No route matches its host and path.
     NoRoute,
-    /// Its route is not public, and no tenant has its key.
+    /// Its route is not public, and no tenant has its API key.
     UnknownKey,
 }
 
-/// Where a request goes.
+/// The result of routing a request.
 pub struct Routed {
-    /// Its route.
+    /// The route that matches the request.
     pub route: Arc<Route>,
-    /// The service whose turn it is.
+    /// The service that the route selected for this request.
     pub service: ServiceName,
-    /// The tenant that the caller's key belongs to, if it has one.
+    /// The tenant that the caller's API key belongs to, if any.
     pub tenant: Option<TenantName>,
-    /// Its rank; 0 is the most urgent.
+    /// The priority rank of the request; 0 is the most urgent.
     pub rank: u8,
-    /// Whether the service has more urgent requests.
+    /// Whether the service may have more urgent requests, for which this one leaves slots free.
     pub yields: bool,
-    /// The version of the configuration.
+    /// The version of the configuration that was used.
     pub version: u64,
 }
 
 impl InForce {
-    /// Indexes a configuration.
+    /// Indexes a configuration that was written to the store at `written`.
     pub fn new(configuration: Configuration, written: Position) -> Self {
         let routes = Mutex::new(RouteTable::new(&configuration));
         let tenants = configuration.tenants.as_deref().map(TenantTable::new);
@@ -150,19 +151,19 @@
         }
     }
 
-    /// Where a request of the caller with this key goes.
+    /// Routes a request from the caller with this API key.
     pub fn route(&self, host: &str, path: &str, key: Option<&ApiKey>) -> Result<Routed, NotRouted> {
         let mut routes = self.routes.lock();
-        let found = routes.find(host, path).ok_or(NotRouted::NoRoute)?;
+        let matched = routes.find(host, path).ok_or(NotRouted::NoRoute)?;
         let tenant = self.tenant_of(key);
-        if self.tenants.is_some() && tenant.is_none() && !found.public {
+        if self.tenants.is_some() && tenant.is_none() && !matched.public {
             return Err(NotRouted::UnknownKey);
         }
-        let taken = routes.route_request(host, path);
+        let routed = routes.route_request(host, path);
         drop(routes);
-        let (route, service) = taken.ok_or(NotRouted::NoRoute)?;
-        let own_rank = tenant.as_ref().and_then(|tenant| tenant.rank);
-        let rank = own_rank.filter(|_| !route.public).unwrap_or(route.rank);
+        let (route, service) = routed.ok_or(NotRouted::NoRoute)?;
+        let tenant_rank = tenant.as_ref().and_then(|tenant| tenant.rank);
+        let rank = tenant_rank.filter(|_| !route.public).unwrap_or(route.rank);
         let most_urgent = self.most_urgent_ranks.get(&service);
         Ok(Routed {
             yields: most_urgent.is_some_and(|most_urgent| *most_urgent < rank),
@@ -174,7 +175,7 @@
         })
     }
 
-    /// Whether another configuration names the same services.
+    /// Returns whether another configuration contains the same services.
     pub fn names_same_services(&self, other: &Self) -> bool {
         let names = |in_force: &Self| -> BTreeSet<ServiceName> {
             let services = in_force.configuration.services.iter();
@@ -187,71 +188,71 @@
         self.tenants.as_ref()?.tenant_of(key?)
     }
 
-    /// Bounds on what callers may send.
+    /// Returns the limits on the requests of callers.
     pub fn limits(&self) -> Limits {
         self.configuration.limits
     }
 }
 
 impl Shared {
-    /// Now.
+    /// Returns the current time.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The zone of this gateway.
+    /// Returns the zone of this gateway.
     pub fn zone(&self) -> ZoneName {
         self.settings.read().node.zone.clone()
     }
 
-    /// The configuration in force, if any has been seen.
+    /// Returns the configuration in force, if one has been received.
     pub fn in_force(&self) -> Option<Arc<InForce>> {
         self.in_force.read().clone()
     }
 
-    /// Whether this gateway can serve.
+    /// Returns whether this gateway has a configuration and at least one ready worker.
     pub fn can_serve(&self) -> bool {
         self.in_force.read().is_some() && self.directory.lock().ready_workers() > 0
     }
 
-    /// Whether this gateway hears of the load that all others place, and of what caches hold: it places
-    /// requests, or is the next to do so.
+    /// Returns whether this gateway receives the other gateways' reports of load and of cache contents. It does if it
+    /// places requests, or is next in line to do so.
     pub fn hears_reports(&self) -> bool {
         let settings = self.settings.read();
         let fleet = self.fleet.read();
         !settings.decisions.schedulers || fleet.plan.is_listener(&settings.node.name)
     }
 
-    /// Milliseconds since the store last answered.
+    /// Returns the milliseconds since the store last answered.
     pub fn store_age_ms(&self) -> u64 {
         whole_millis(self.store_contact.age(self.now()))
     }
 
-    /// Whether SIGTERM has come.
+    /// Returns whether SIGTERM was received.
     pub fn is_stopping(&self) -> bool {
         self.stopping_since.get().is_some()
     }
 
-    /// Time since SIGTERM came, if it has.
+    /// Returns the time since SIGTERM was received, or `None` if it was not.
     pub fn stopping_for(&self) -> Option<Duration> {
         let since = self.stopping_since.get()?;
         Some(self.now().since(*since))
     }
 
-    /// The plan of a stop.
+    /// Returns the schedule of a shutdown.
     pub fn stop_plan(&self) -> StopPlan {
         StopPlan::new(self.settings.read().grace())
     }
 
-    /// Whether a request that arrives now is served.
+    /// Returns whether a request that arrives now is accepted.
     pub fn accepts(&self) -> bool {
         self.stopping_for()
             .is_none_or(|elapsed| self.stop_plan().accepts(elapsed))
     }
 
-    /// How a worker is reached, within this gateway's part of its connections.
+    /// Returns the address of a worker and this gateway's share of its connections.
     pub fn destination(&self, worker: &Worker) -> Destination {
-        let announced = self
+        let worker_connections = self
             .in_force()
             .and_then(|in_force| {
                 let service = in_force.configuration.service(&worker.service)?;
@@ -259,20 +260,20 @@
             })
             .unwrap_or(worker.slots);
         let gateways = self.gateways.load(Ordering::Relaxed).max(1) as f64;
-        let part = (f64::from(announced) * CONNECTION_PART / gateways) as u32;
+        let share = (f64::from(worker_connections) * GATEWAY_CONNECTION_SHARE / gateways) as u32;
         Destination {
             worker: worker.id.clone(),
             address: worker.address,
-            max_connections: part.max(MIN_CONNECTIONS),
+            max_connections: share.max(MIN_WORKER_CONNECTIONS),
         }
     }
 }
 
-/// Counts a request as under way for as long as it lives.
+/// Counts a request as in progress until it is dropped.
 pub struct InFlight(Arc<Shared>);
 
 impl InFlight {
-    /// Begins to count.
+    /// Starts to count a request.
     pub fn begin(shared: &Arc<Shared>) -> Self {
         shared.in_flight.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(shared))
@@ -285,7 +286,7 @@
     }
 }
 
-/// Milliseconds of a duration, as logs show them.
+/// Returns a duration in whole milliseconds, as it is written to logs.
 pub fn whole_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/store_call.rs
+++ b/crates/gateway/src/store_call.rs
@@ -1,4 +1,4 @@
-//! Bounds a call to the store: what has not been answered in time may still be done.
+//! Timeout for calls to the store. A call that was not answered in time may still be carried out.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,14 +6,16 @@
 use tansyhall_store::StoreError;
 use tokio::time::timeout;
 
-/// Time for one call, the wait of a watch included.
+/// Timeout of one call, including the wait of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The call's answer, or that it is unknown.
+/// Returns the result of the call, or [`StoreError::Unknown`] if there was no answer in time.
 pub async fn in_time<T>(
     call: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    timeout(CALL_TIMEOUT, call)
-        .await
-        .unwrap_or_else(|_| Err(StoreError::Unknown("no answer in time".into())))
+    timeout(CALL_TIMEOUT, call).await.unwrap_or_else(|_| {
+        Err(StoreError::Unknown(
+            "no answer within the call timeout".into(),
+        ))
+    })
 }
--- a/crates/gateway/src/store_contact.rs
+++ b/crates/gateway/src/store_contact.rs
@@ -1,64 +1,64 @@
-//! When the store was last heard of, and in which epoch.
+//! Records when the store last answered, and in which epoch.
 
 use std::time::Duration;
 
 use parking_lot::Mutex;
 use tansyhall_core::Timestamp;
 
-/// Age of knowledge from which the store counts as having been away: a little more than a relay that follows
-/// it lets pass between two of its answers.
-const AWAY: Duration = Duration::from_millis(1_500);
+/// Time without an answer after which the store counts as having been unavailable. Slightly longer than the time
+/// between two answers of the store to a relay that follows it.
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(1_500);
 
-/// When the store gave the answer that this gateway's knowledge rests on.
+/// When the store gave the answer that this gateway's information is based on.
 #[derive(Debug, Default)]
 pub struct StoreContact(Mutex<Contact>);
 
 #[derive(Debug, Default)]
 struct Contact {
-    answered: Timestamp,
-    /// When it answered again after it had been away or was restored.
-    returned: Option<Timestamp>,
-    /// When it was first heard of in a later epoch than before.
-    restored: Option<Timestamp>,
+    last_answer: Timestamp,
+    /// When the store answered again after it was unavailable or restored.
+    last_return: Option<Timestamp>,
+    /// When a later epoch than before was first seen.
+    last_restore: Option<Timestamp>,
     epoch: Option<u64>,
 }
 
 impl StoreContact {
-    /// The store gave an answer of this epoch `age` ago, to this gateway or to one that told it. Returns whether the
-    /// epoch is the present one, as far as is known: what is told of an earlier one is no contact.
+    /// Records that the store gave an answer in this epoch `age` ago, to this gateway or to one that passed it on.
+    /// Returns whether the epoch is the latest one known. An answer of an earlier epoch is not recorded.
     pub fn mark(&self, now: Timestamp, age: Duration, epoch: u64) -> bool {
         let mut contact = self.0.lock();
-        let before = contact.epoch.unwrap_or(epoch);
-        if epoch < before {
+        let known_epoch = contact.epoch.unwrap_or(epoch);
+        if epoch < known_epoch {
             return false;
         }
         contact.epoch = Some(epoch);
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         let answered = Timestamp(now.0.saturating_sub(age));
-        let is_restored = epoch > before;
-        if is_restored || answered.since(contact.answered) > AWAY {
-            contact.returned = Some(answered);
+        let is_restored = epoch > known_epoch;
+        if is_restored || answered.since(contact.last_answer) > OUTAGE_THRESHOLD {
+            contact.last_return = Some(answered);
         }
         if is_restored {
-            contact.restored = Some(now);
+            contact.last_restore = Some(now);
         }
-        contact.answered = contact.answered.max(answered);
+        contact.last_answer = contact.last_answer.max(answered);
         true
     }
 
-    /// When the store last answered again after it had been away, if it ever was.
+    /// Returns when the store last answered again after it was unavailable or restored, or `None` if it never was.
     pub fn returned(&self) -> Option<Timestamp> {
-        self.0.lock().returned
+        self.0.lock().last_return
     }
 
-    /// Whether the store was restored no longer than `time` ago, as far as is known.
+    /// Returns whether the store is known to have been restored less than `time` ago.
     pub fn was_restored_within(&self, now: Timestamp, time: Duration) -> bool {
-        let restored = self.0.lock().restored;
+        let restored = self.0.lock().last_restore;
         restored.is_some_and(|restored| now.since(restored) < time)
     }
 
-    /// Time since that answer, or since the clock's start.
+    /// Returns the time since the store's last answer, or since the start of the clock if there was none.
     pub fn age(&self, now: Timestamp) -> Duration {
-        now.since(self.0.lock().answered)
+        now.since(self.0.lock().last_answer)
     }
 }
--- a/crates/gateway/src/update_cache.rs
+++ b/crates/gateway/src/update_cache.rs
@@ -1,8 +1,9 @@
-//! Answers to gateways that ask for what is new in the store, deflated once for all that lack the same.
+//! Mirror updates for other gateways, deflated once for all gateways that lack the same changes.
 //!
-//! A relay tells dozens of subscribers the same over one link. Entries of workers are alike: 10,000 of them are some
-//! 3 MB as they lie in the store and a tenth of that deflated. The whole copy is deflated anew only when the changes
-//! since are not remembered any more: whoever gets an older one asks for those next.
+//! A relay sends the same updates to dozens of subscribers over one link. Workers' entries resemble each other: 10,000
+//! of them take about 3 MB in the store and a tenth of that when deflated. A snapshot is deflated again only when the
+//! mirror's history no longer contains the changes since; a gateway that receives an older snapshot requests these
+//! changes next.
 
 use std::collections::VecDeque;
 
@@ -11,115 +12,116 @@
 
 use crate::update_message::deflate_items;
 
-/// Shorter updates are sent as they are, in bytes.
+/// Updates with fewer bytes are sent without compression.
 const MIN_DEFLATED_BYTES: usize = 1 << 10;
-/// Deflated changes that are kept: subscribers that ask at the same pace lack one of few ranges.
-const KEPT_CHANGES: usize = 8;
+/// Number of deflated sets of changes that are kept. A few suffice, because subscribers that poll at the same rate lack
+/// one of a few ranges.
+const MAX_CACHED_CHANGES: usize = 8;
 
-/// Items that were deflated, and what they lead to.
+/// A deflated update.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeflatedUpdate {
-    /// The position that its receiver then has.
+    /// The position of the receiver's mirror after the update.
     pub position: Position,
-    /// Whether it is the whole copy, and not changes of it.
-    pub whole: bool,
-    /// Whether its changes lead over a gap.
-    pub skips: bool,
+    /// Whether the items are a snapshot; otherwise they are changes.
+    pub is_snapshot: bool,
+    /// Whether the changes span a gap, see [`MirrorUpdate::Changes`].
+    pub spans_gap: bool,
     /// The deflated items.
     pub items: Bytes,
 }
 
-/// What is to be told.
+/// The answer to a gateway that requests changes.
 #[derive(Debug)]
-pub enum CopyAnswer {
-    /// Nothing is new.
-    Nothing,
-    /// Little is.
+pub enum UpdateAnswer {
+    /// The gateway's mirror lacks no changes.
+    UpToDate,
+    /// An update that is too short to be deflated, or could not be.
     Plain(MirrorUpdate),
-    /// This, deflated.
+    /// A deflated update.
     Deflated(DeflatedUpdate),
 }
 
-impl CopyAnswer {
-    /// Whether it tells changes that lead over a gap.
-    pub fn skips(&self) -> bool {
+impl UpdateAnswer {
+    /// Returns whether it consists of changes that span a gap.
+    pub fn spans_gap(&self) -> bool {
         match self {
-            CopyAnswer::Nothing => false,
-            CopyAnswer::Plain(update) => matches!(
+            UpdateAnswer::UpToDate => false,
+            UpdateAnswer::Plain(update) => matches!(
                 update,
                 MirrorUpdate::Changes {
                     spans_gap: true,
                     ..
                 }
             ),
-            CopyAnswer::Deflated(update) => update.skips,
+            UpdateAnswer::Deflated(update) => update.spans_gap,
         }
     }
 }
 
-/// Updates that were deflated lately.
+/// The latest deflated updates.
 #[derive(Debug, Default)]
-pub struct CopyAnswers {
-    whole: Option<DeflatedUpdate>,
-    /// With the positions after which they are changes.
+pub struct UpdateCache {
+    snapshot: Option<DeflatedUpdate>,
+    /// Each with the position after which its changes begin.
     changes: VecDeque<(Position, DeflatedUpdate)>,
 }
 
-impl CopyAnswers {
-    /// What a gateway whose copy has this position is to be told.
-    pub fn after(&mut self, mirror: &Mirror, position: Position) -> CopyAnswer {
+impl UpdateCache {
+    /// Returns the update for a gateway whose mirror has this position.
+    pub fn update_after(&mut self, mirror: &Mirror, position: Position) -> UpdateAnswer {
         if position >= mirror.position() {
-            return CopyAnswer::Nothing;
+            return UpdateAnswer::UpToDate;
         }
-        if let Some(known) = self.known(mirror, position) {
-            return CopyAnswer::Deflated(known);
+        if let Some(cached) = self.cached(mirror, position) {
+            return UpdateAnswer::Deflated(cached);
         }
         let Some(update) = mirror.update_after(position) else {
-            return CopyAnswer::Nothing;
+            return UpdateAnswer::UpToDate;
         };
-        if size(&update) < MIN_DEFLATED_BYTES {
-            return CopyAnswer::Plain(update);
+        if size_in_bytes(&update) < MIN_DEFLATED_BYTES {
+            return UpdateAnswer::Plain(update);
         }
         let Some(deflated) = deflate(update.clone()) else {
-            return CopyAnswer::Plain(update);
+            return UpdateAnswer::Plain(update);
         };
-        self.keep(position, deflated.clone());
-        CopyAnswer::Deflated(deflated)
+        self.store(position, deflated.clone());
+        UpdateAnswer::Deflated(deflated)
     }
 
-    fn known(&self, mirror: &Mirror, position: Position) -> Option<DeflatedUpdate> {
+    fn cached(&self, mirror: &Mirror, position: Position) -> Option<DeflatedUpdate> {
         if !mirror.has_history_since(position) {
-            let whole = self.whole.as_ref()?;
-            return leads_on(whole, mirror, position).then(|| whole.clone());
+            let snapshot = self.snapshot.as_ref()?;
+            return is_usable_after(snapshot, mirror, position).then(|| snapshot.clone());
         }
-        let leads_to_now = |(after, update): &&(Position, DeflatedUpdate)| {
+        let leads_to_mirror = |(after, update): &&(Position, DeflatedUpdate)| {
             *after == position && update.position == mirror.position()
         };
-        let known = self.changes.iter().find(leads_to_now);
-        known.map(|(_, update)| update.clone())
+        let cached = self.changes.iter().find(leads_to_mirror);
+        cached.map(|(_, update)| update.clone())
     }
 
-    fn keep(&mut self, after: Position, update: DeflatedUpdate) {
-        if update.whole {
-            self.whole = Some(update);
+    fn store(&mut self, after: Position, update: DeflatedUpdate) {
+        if update.is_snapshot {
+            self.snapshot = Some(update);
             return;
         }
         self.changes.push_back((after, update));
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > MAX_CACHED_CHANGES {
             self.changes.pop_front();
         }
     }
 }
 
-/// Whether a whole copy that was deflated earlier helps whoever has this position: it is newer, of the present epoch, and
-/// the changes since are remembered.
-fn leads_on(whole: &DeflatedUpdate, mirror: &Mirror, position: Position) -> bool {
-    let is_newer = whole.position > position;
-    let is_present = whole.position.epoch == mirror.position().epoch;
-    is_newer && is_present && mirror.has_history_since(whole.position)
+/// Returns whether a snapshot that was deflated earlier can be sent to a gateway at this position: it is newer, belongs
+/// to the current epoch, and the mirror's history contains the changes since.
+fn is_usable_after(snapshot: &DeflatedUpdate, mirror: &Mirror, position: Position) -> bool {
+    let is_newer = snapshot.position > position;
+    let is_current_epoch = snapshot.position.epoch == mirror.position().epoch;
+    is_newer && is_current_epoch && mirror.has_history_since(snapshot.position)
 }
 
-fn size(update: &MirrorUpdate) -> usize {
+fn size_in_bytes(update: &MirrorUpdate) -> usize {
     match update {
         MirrorUpdate::Changes { changes, .. } => changes.iter().map(|change| change.bytes()).sum(),
         MirrorUpdate::Snapshot(snapshot) => snapshot.items.iter().map(|item| item.bytes()).sum(),
@@ -127,19 +129,19 @@
 }
 
 fn deflate(update: MirrorUpdate) -> Option<DeflatedUpdate> {
-    let (position, whole, skips) = match &update {
+    let (position, is_snapshot, spans_gap) = match &update {
         MirrorUpdate::Changes {
             position,
-            spans_gap: skips,
+            spans_gap,
             ..
-        } => (*position, false, *skips),
+        } => (*position, false, *spans_gap),
         MirrorUpdate::Snapshot(snapshot) => (snapshot.position, true, false),
     };
     let items = deflate_items(update)?;
     Some(DeflatedUpdate {
         position,
-        whole,
-        skips,
+        is_snapshot,
+        spans_gap,
         items: Bytes::from(items),
     })
 }
--- a/crates/gateway/src/update_message.rs
+++ b/crates/gateway/src/update_message.rs
@@ -1,4 +1,4 @@
-//! Copies of the store, and changes of them, on the wire between gateways.
+//! Wire format of mirror updates between gateways.
 
 use std::time::Duration;
 
@@ -9,31 +9,31 @@
 use crate::deflated_values::{deflate, inflate, DeflatedValues};
 use crate::update_cache::DeflatedUpdate;
 
-/// What a gateway tells another of the store.
+/// A mirror update on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub struct UpdateMessage {
-    /// The revision that the receiver then has.
+    /// The revision of the receiver's mirror after the update; 0 if there is no update.
     #[prost(uint64, tag = "1")]
     pub revision: u64,
-    /// Items that were written, or all items.
+    /// The items that were changed, or all items of a snapshot.
     #[prost(message, repeated, tag = "2")]
     pub items: Vec<ItemMessage>,
-    /// The number of the question that this answers; an older version does not tell it.
+    /// The number of the request that this answers. Older versions do not send it.
     #[prost(fixed64, tag = "3")]
     pub question: u64,
-    /// Whether the items are the whole copy, and not changes of it.
+    /// Whether the items are a snapshot; otherwise they are changes.
     #[prost(bool, tag = "4")]
     pub whole: bool,
-    /// Milliseconds since the store last answered the sender, or whom it asks.
+    /// Milliseconds since the store last answered the sender or the gateway that the sender follows.
     #[prost(uint64, tag = "5")]
     pub age_ms: u64,
-    /// True in every whole message. It stands last, as a message that was cut short still decodes.
+    /// True in every complete message. It is encoded last, because a truncated message still decodes.
     #[prost(bool, tag = "6")]
     pub complete: bool,
-    /// The items, deflated, in place of `items`: for gateways that asked for that.
+    /// The items in deflated form, instead of `items`, for gateways that requested it.
     #[prost(bytes = "bytes", tag = "7")]
     pub deflated_items: Bytes,
-    /// The same as `complete`, behind deflated items.
+    /// Replaces `complete` in messages with `deflated_items`, so that it is again encoded last.
     #[prost(bool, tag = "8")]
     pub deflated_complete: bool,
 }
@@ -45,18 +45,18 @@
     items: Vec<ItemMessage>,
 }
 
-/// The items of an update, deflated together.
+/// Deflates the items of an update together.
 pub fn deflate_items(update: MirrorUpdate) -> Option<Vec<u8>> {
     let items: Vec<ItemMessage> = match update {
         MirrorUpdate::Changes {
             changes, position, ..
         } => changes
             .into_iter()
-            .map(|change| ItemMessage::plain_change(change, position.epoch))
+            .map(|change| ItemMessage::from_plain_change(change, position.epoch))
             .collect(),
         MirrorUpdate::Snapshot(Snapshot { items, position }) => items
             .into_iter()
-            .map(|item| ItemMessage::plain(item, position.epoch))
+            .map(|item| ItemMessage::from_plain_item(item, position.epoch))
             .collect(),
     };
     deflate(&ItemsMessage { items }.encode_to_vec())
@@ -68,54 +68,54 @@
     /// Its key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Its value, or what it is deflated to.
+    /// Its value, deflated if `deflated` is set.
     #[prost(bytes = "vec", tag = "2")]
     pub value: Vec<u8>,
     /// The revision of its last change.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// The revision of its creation; 0 if the item is gone.
+    /// The revision of its creation; 0 if the item was removed.
     #[prost(uint64, tag = "4")]
     pub created: u64,
-    /// Whether the item is gone.
+    /// Whether the item was removed.
     #[prost(bool, tag = "5")]
     pub gone: bool,
     /// Whether the value is deflated.
     #[prost(bool, tag = "6")]
     pub deflated: bool,
-    /// The epoch of the last change, if it is not that of the update.
+    /// The epoch of the last change, if it differs from that of the update.
     #[prost(uint64, optional, tag = "7")]
     pub epoch: Option<u64>,
 }
 
-/// An update that was cut short or damaged.
+/// An update message was truncated or corrupted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("an update was cut short or damaged")]
+#[error("mirror update is truncated or corrupted")]
 pub struct Incomplete;
 
-/// What is told of an update in the head of its answer. An update that was cut before such a field would pass for one
-/// of an older version, which does not tell it.
+/// The part of an update that is sent in the headers of its answer. As fields of the message, these values could be
+/// truncated, and the message would then be mistaken for one of an older version, which does not send them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct UpdateHead {
-    /// The epoch of the sender's copy.
+    /// The epoch of the sender's mirror.
     pub epoch: u64,
-    /// Whether the changes lead over a gap, see [`MirrorUpdate::Changes`].
-    pub skips: bool,
+    /// Whether the changes span a gap, see [`MirrorUpdate::Changes`].
+    pub spans_gap: bool,
 }
 
-/// An update as it arrived.
+/// A received update.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Received {
-    /// What is new, if anything.
+pub struct ReceivedUpdate {
+    /// The update, or `None` if the receiver's mirror lacks no changes.
     pub update: Option<MirrorUpdate>,
-    /// The epoch of the sender's copy.
+    /// The epoch of the sender's mirror.
     pub epoch: u64,
-    /// Time since the store last answered the sender.
+    /// Time since the store last answered the sender or the gateway that the sender follows.
     pub age: Duration,
 }
 
 impl UpdateMessage {
-    /// The message for a receiver that lacks `update`, from a sender whose knowledge is this old.
+    /// Creates the message with an update. `age` is the age of the sender's information.
     pub fn new(update: Option<MirrorUpdate>, age: Duration, deflated: &mut DeflatedValues) -> Self {
         let (items, revision, whole) = match update {
             None => (Vec::new(), 0, false),
@@ -124,13 +124,13 @@
             }) => {
                 let items = changes
                     .into_iter()
-                    .map(|change| ItemMessage::of_change(change, position.epoch, deflated));
+                    .map(|change| ItemMessage::from_change(change, position.epoch, deflated));
                 (items.collect(), position.revision, false)
             }
             Some(MirrorUpdate::Snapshot(Snapshot { items, position })) => {
                 let items = items
                     .into_iter()
-                    .map(|item| ItemMessage::of_item(item, position.epoch, deflated));
+                    .map(|item| ItemMessage::from_item(item, position.epoch, deflated));
                 (items.collect(), position.revision, true)
             }
         };
@@ -146,11 +146,11 @@
         }
     }
 
-    /// The message of an update that was deflated, from a sender whose knowledge is this old.
+    /// Creates the message with a deflated update. `age` is the age of the sender's information.
     pub fn deflated(update: DeflatedUpdate, age: Duration) -> Self {
         Self {
             revision: update.position.revision,
-            whole: update.whole,
+            whole: update.is_snapshot,
             deflated_items: update.items,
             complete: false,
             deflated_complete: true,
@@ -158,14 +158,15 @@
         }
     }
 
-    /// Whether this may be the answer to a question: one that bears another's number is not.
-    pub fn answers(&self, question: u64) -> bool {
-        self.question == question || self.question == 0
+    /// Returns whether this may be the answer to the request with this number. A message without a number is from an
+    /// older version and may answer any request.
+    pub fn may_answer(&self, request_number: u64) -> bool {
+        self.question == request_number || self.question == 0
     }
 
-    /// What the message says, if it is complete.
-    pub fn into_received(self, head: UpdateHead) -> Result<Received, Incomplete> {
-        let UpdateHead { epoch, skips } = head;
+    /// Decodes the message. Returns [`Incomplete`] if it is truncated or corrupted.
+    pub fn into_update(self, head: UpdateHead) -> Result<ReceivedUpdate, Incomplete> {
+        let UpdateHead { epoch, spans_gap } = head;
         if !self.complete && !self.deflated_complete {
             return Err(Incomplete);
         }
@@ -177,16 +178,16 @@
         let update = match (self.revision, self.whole) {
             (0, _) => None,
             (_, true) => Some(MirrorUpdate::Snapshot(Snapshot {
-                items: items_of(items, epoch)?,
+                items: decode_items(items, epoch)?,
                 position,
             })),
             (_, false) => Some(MirrorUpdate::Changes {
-                changes: changes_of(items, epoch)?,
+                changes: decode_changes(items, epoch)?,
                 position,
-                spans_gap: skips,
+                spans_gap,
             }),
         };
-        Ok(Received {
+        Ok(ReceivedUpdate {
             update,
             epoch,
             age: Duration::from_millis(self.age_ms),
@@ -201,9 +202,9 @@
 }
 
 impl ItemMessage {
-    fn plain(item: Item, update_epoch: u64) -> Self {
+    fn from_plain_item(item: Item, update_epoch: u64) -> Self {
         Self {
-            epoch: other_epoch(item.written, update_epoch),
+            epoch: epoch_if_different(item.written, update_epoch),
             revision: item.written.revision,
             key: item.key,
             value: item.value,
@@ -213,17 +214,17 @@
         }
     }
 
-    fn of_item(item: Item, update_epoch: u64, deflated: &mut DeflatedValues) -> Self {
+    fn from_item(item: Item, update_epoch: u64, deflated: &mut DeflatedValues) -> Self {
         match deflated.deflate(&item.key, item.written, &item.value) {
-            None => Self::plain(item, update_epoch),
+            None => Self::from_plain_item(item, update_epoch),
             Some(value) => Self {
                 deflated: true,
-                ..Self::plain(Item { value, ..item }, update_epoch)
+                ..Self::from_plain_item(Item { value, ..item }, update_epoch)
             },
         }
     }
 
-    fn gone(key: String, at: Position, update_epoch: u64) -> Self {
+    fn from_removal(key: String, at: Position, update_epoch: u64) -> Self {
         Self {
             key,
             value: Vec::new(),
@@ -231,21 +232,21 @@
             created: 0,
             gone: true,
             deflated: false,
-            epoch: other_epoch(at, update_epoch),
+            epoch: epoch_if_different(at, update_epoch),
         }
     }
 
-    fn plain_change(change: MirrorChange, update_epoch: u64) -> Self {
+    fn from_plain_change(change: MirrorChange, update_epoch: u64) -> Self {
         match change {
-            MirrorChange::Written(item) => Self::plain(item, update_epoch),
-            MirrorChange::Removed { key, at } => Self::gone(key, at, update_epoch),
+            MirrorChange::Written(item) => Self::from_plain_item(item, update_epoch),
+            MirrorChange::Removed { key, at } => Self::from_removal(key, at, update_epoch),
         }
     }
 
-    fn of_change(change: MirrorChange, update_epoch: u64, deflated: &mut DeflatedValues) -> Self {
+    fn from_change(change: MirrorChange, update_epoch: u64, deflated: &mut DeflatedValues) -> Self {
         match change {
-            MirrorChange::Written(item) => Self::of_item(item, update_epoch, deflated),
-            MirrorChange::Removed { key, at } => Self::gone(key, at, update_epoch),
+            MirrorChange::Written(item) => Self::from_item(item, update_epoch, deflated),
+            MirrorChange::Removed { key, at } => Self::from_removal(key, at, update_epoch),
         }
     }
 
@@ -278,17 +279,17 @@
     }
 }
 
-/// The epoch of a position, unless it is that of the update around it.
-fn other_epoch(position: Position, update_epoch: u64) -> Option<u64> {
+/// Returns the epoch of a position if it differs from that of the update.
+fn epoch_if_different(position: Position, update_epoch: u64) -> Option<u64> {
     (position.epoch != update_epoch).then_some(position.epoch)
 }
 
-fn items_of(messages: Vec<ItemMessage>, epoch: u64) -> Result<Vec<Item>, Incomplete> {
+fn decode_items(messages: Vec<ItemMessage>, epoch: u64) -> Result<Vec<Item>, Incomplete> {
     let items = messages.into_iter().map(|item| item.into_item(epoch));
     items.collect()
 }
 
-fn changes_of(messages: Vec<ItemMessage>, epoch: u64) -> Result<Vec<MirrorChange>, Incomplete> {
+fn decode_changes(messages: Vec<ItemMessage>, epoch: u64) -> Result<Vec<MirrorChange>, Incomplete> {
     let changes = messages.into_iter().map(|item| item.into_change(epoch));
     changes.collect()
 }
--- a/crates/gateway/tests/copies.rs
+++ b/crates/gateway/tests/copies.rs
@@ -1,18 +1,18 @@
-//! Updates of copies of the store on their way between gateways.
+//! Encoding and decoding of mirror updates between gateways.
 
 use std::time::Duration;
 
 use prost::Message;
 use tansyhall_forwarding::{Item, MirrorChange, MirrorUpdate, Position, Snapshot};
 use tansyhall_gateway::deflated_values::DeflatedValues;
-use tansyhall_gateway::update_message::{Incomplete, Received, UpdateHead, UpdateMessage};
+use tansyhall_gateway::update_message::{Incomplete, ReceivedUpdate, UpdateHead, UpdateMessage};
 
 const AGE: Duration = Duration::from_millis(420);
 /// The epoch of the updates.
 const EPOCH: u64 = 3;
 const HEAD: UpdateHead = UpdateHead {
     epoch: EPOCH,
-    skips: true,
+    spans_gap: true,
 };
 
 fn at(revision: u64) -> Position {
@@ -23,13 +23,13 @@
     Item {
         key: format!("key-{number}"),
         value: vec![7; number],
-        // Some were seen so before the store was restored.
+        // Some items were first seen in this state before the store was restored, in the previous epoch.
         written: Position::new(EPOCH - number as u64 % 2, number as u64 + 1),
         created: 1,
     }
 }
 
-fn whole(items: usize) -> MirrorUpdate {
+fn snapshot(items: usize) -> MirrorUpdate {
     MirrorUpdate::Snapshot(Snapshot {
         items: (0..items).map(item).collect(),
         position: at(99),
@@ -50,16 +50,16 @@
     }
 }
 
-fn transported(update: Option<MirrorUpdate>) -> Result<Received, Incomplete> {
+fn transported(update: Option<MirrorUpdate>) -> Result<ReceivedUpdate, Incomplete> {
     let bytes = UpdateMessage::new(update, AGE, &mut DeflatedValues::default()).encode_to_vec();
-    let message = UpdateMessage::decode(bytes.as_slice()).expect("a message");
-    message.into_received(HEAD)
+    let message = UpdateMessage::decode(bytes.as_slice()).expect("valid message");
+    message.into_update(HEAD)
 }
 
 #[test]
-fn an_update_survives_its_way() {
-    for update in [None, Some(whole(12)), Some(whole(0)), Some(changes())] {
-        let received = Received {
+fn an_update_is_unchanged_after_encoding_and_decoding() {
+    for update in [None, Some(snapshot(12)), Some(snapshot(0)), Some(changes())] {
+        let received = ReceivedUpdate {
             update: update.clone(),
             epoch: EPOCH,
             age: AGE,
@@ -68,10 +68,10 @@
     }
 }
 
-/// Found on the grown airport: a configuration of 1,965 routes filled the 10 Mbit/s of a relay for
-/// seconds, and its subscribers heard three seconds late which workers leave.
+/// Guards against late updates behind a long configuration: one of 1,965 routes occupied the 10 Mbit/s link of a relay
+/// for seconds, and its subscribers learned three seconds late which workers were leaving.
 #[test]
-fn a_long_configuration_is_short_on_its_way_and_whole_after_it() {
+fn a_long_configuration_is_compressed_and_unchanged_after_decoding() {
     let route = |number: usize| {
         format!(
             "{{\"name\":\"route-{}\",\"host\":\"host-{}.example\",\"kind\":\"streaming\"}}",
@@ -95,14 +95,14 @@
     for _ in 0..2 {
         let bytes = UpdateMessage::new(Some(update.clone()), AGE, &mut deflated).encode_to_vec();
         assert!(bytes.len() * 4 < long.value.len(), "{}", bytes.len());
-        let message = UpdateMessage::decode(bytes.as_slice()).expect("a message");
-        let received = message.into_received(HEAD).expect("complete");
+        let message = UpdateMessage::decode(bytes.as_slice()).expect("valid message");
+        let received = message.into_update(HEAD).expect("complete message");
         assert_eq!(received.update, Some(update.clone()));
     }
 }
 
 #[test]
-fn a_damaged_value_is_refused() {
+fn a_corrupted_value_is_rejected() {
     let mut long = item(1);
     long.value = (0..9_000).map(|byte| (byte % 13) as u8).collect();
     let update = MirrorUpdate::Snapshot(Snapshot {
@@ -112,18 +112,19 @@
     let mut message = UpdateMessage::new(Some(update), AGE, &mut DeflatedValues::default());
     assert!(message.items[0].deflated);
     message.items[0].value.truncate(20);
-    assert_eq!(message.into_received(HEAD), Err(Incomplete));
+    assert_eq!(message.into_update(HEAD), Err(Incomplete));
 }
 
-/// A client may take a body that was cut short for a whole one, and a message that is cut between
-/// two of its fields decodes: also an empty one, which would say that its sender is up to date.
+/// Guards against truncated updates that pass for complete ones. An HTTP client may treat a truncated body as complete,
+/// and a message that is truncated between two fields still decodes. Even an empty message does, and would mean that
+/// there are no changes and that its sender is up to date.
 #[test]
-fn an_update_that_was_cut_short_is_refused() {
-    for update in [None, Some(whole(12)), Some(changes())] {
+fn a_truncated_update_is_rejected() {
+    for update in [None, Some(snapshot(12)), Some(changes())] {
         let bytes = UpdateMessage::new(update, AGE, &mut DeflatedValues::default()).encode_to_vec();
         for length in 0..bytes.len() {
             if let Ok(message) = UpdateMessage::decode(&bytes[..length]) {
-                assert_eq!(message.into_received(HEAD), Err(Incomplete), "{length}");
+                assert_eq!(message.into_update(HEAD), Err(Incomplete), "{length}");
             }
         }
     }
--- a/crates/gateway/tests/copy_growth.rs
+++ b/crates/gateway/tests/copy_growth.rs
@@ -1,4 +1,4 @@
-//! What a relay sends to its subscribers, and how often it works for it, as the store grows.
+//! Sizes of the updates that a relay sends to its subscribers, and reuse of its compression work, as the store grows.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,21 +6,21 @@
 use prost::Message;
 use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
 use tansyhall_gateway::deflated_values::DeflatedValues;
-use tansyhall_gateway::update_cache::{CopyAnswer, CopyAnswers, DeflatedUpdate};
+use tansyhall_gateway::update_cache::{DeflatedUpdate, UpdateAnswer, UpdateCache};
 use tansyhall_gateway::update_message::{Incomplete, UpdateHead, UpdateMessage};
 
 const AGE: Duration = Duration::from_millis(420);
-/// Subscribers of a relay.
+/// Number of subscribers of the relay.
 const SUBSCRIBERS: usize = 64;
-/// The most that an entry may take on its way, in bytes: a fifth of what it takes in the store.
-const MOST_ENTRY_BYTES: usize = 50;
+/// Maximum size of an entry in a deflated update, in bytes: a fifth of its size in the store.
+const MAX_DEFLATED_ENTRY_BYTES: usize = 50;
 
-/// A position in the first epoch.
+/// Returns a position in the first epoch.
 fn at(revision: u64) -> Position {
     Position::new(0, revision)
 }
 
-/// An entry as workers write it; addresses, zones and names are all that differ.
+/// Returns an entry as workers write it. Entries differ only in addresses, zones, names and start times.
 fn entry(number: usize, revision: u64) -> Item {
     let (high, low) = (number >> 8, number & 0xff);
     let name = format!(
@@ -40,7 +40,7 @@
     }
 }
 
-fn copy(entries: usize) -> Mirror {
+fn mirror_with(entries: usize) -> Mirror {
     let mut mirror = Mirror::default();
     mirror.replace(Snapshot {
         items: (0..entries).map(|number| entry(number, 1)).collect(),
@@ -49,100 +49,104 @@
     mirror
 }
 
-fn change(mirror: &mut Mirror, number: usize) {
+fn change_entry(mirror: &mut Mirror, number: usize) {
     let revision = mirror.position().revision + 1;
     let changed = MirrorChange::Written(entry(number, revision));
     mirror.apply(vec![changed], at(revision));
 }
 
-fn deflated(answer: CopyAnswer) -> DeflatedUpdate {
+fn expect_deflated(answer: UpdateAnswer) -> DeflatedUpdate {
     match answer {
-        CopyAnswer::Deflated(update) => update,
+        UpdateAnswer::Deflated(update) => update,
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_whole_copy_takes_a_fifth_of_what_the_store_holds_at_any_size() {
+fn a_deflated_snapshot_takes_at_most_a_fifth_of_its_size_in_the_store() {
     for entries in [300, 3_000] {
-        let mirror = copy(entries);
-        let answer = deflated(CopyAnswers::default().after(&mirror, at(0)));
+        let mirror = mirror_with(entries);
+        let answer = expect_deflated(UpdateCache::default().update_after(&mirror, at(0)));
         let bytes = UpdateMessage::deflated(answer, AGE).encode_to_vec();
         assert!(
-            bytes.len() <= entries * MOST_ENTRY_BYTES,
+            bytes.len() <= entries * MAX_DEFLATED_ENTRY_BYTES,
             "{} bytes for {entries} entries",
             bytes.len()
         );
-        let message = UpdateMessage::decode(bytes.as_slice()).expect("a message");
+        let message = UpdateMessage::decode(bytes.as_slice()).expect("valid message");
         let received = message
-            .into_received(UpdateHead::default())
-            .expect("complete");
-        let whole = MirrorUpdate::Snapshot(mirror.snapshot());
-        assert_eq!((received.update, received.age), (Some(whole), AGE));
+            .into_update(UpdateHead::default())
+            .expect("complete message");
+        let snapshot = MirrorUpdate::Snapshot(mirror.snapshot());
+        assert_eq!((received.update, received.age), (Some(snapshot), AGE));
     }
 }
 
 #[test]
-fn a_copy_that_changes_is_deflated_whole_once_for_all_who_start() {
-    let mut mirror = copy(1_000);
-    let mut answers = CopyAnswers::default();
-    let mut handed_over = BTreeSet::new();
+fn one_deflated_snapshot_serves_all_new_subscribers_of_a_changing_mirror() {
+    let mut mirror = mirror_with(1_000);
+    let mut cache = UpdateCache::default();
+    let mut snapshot_positions = BTreeSet::new();
     for subscriber in 0..SUBSCRIBERS {
-        change(&mut mirror, subscriber);
-        let whole = deflated(answers.after(&mirror, at(0)));
-        handed_over.insert(whole.position);
-        let mut own = Mirror::default();
-        let message = UpdateMessage::deflated(whole, AGE);
-        own.apply_update(
+        change_entry(&mut mirror, subscriber);
+        let snapshot = expect_deflated(cache.update_after(&mirror, at(0)));
+        snapshot_positions.insert(snapshot.position);
+        let mut subscriber_mirror = Mirror::default();
+        let message = UpdateMessage::deflated(snapshot, AGE);
+        subscriber_mirror.apply_update(
             message
-                .into_received(UpdateHead::default())
-                .expect("complete")
+                .into_update(UpdateHead::default())
+                .expect("complete message")
                 .update
-                .expect("one"),
+                .expect("update"),
         );
-        let rest = mirror.update_after(own.position());
+        let remaining = mirror.update_after(subscriber_mirror.position());
         assert!(
-            !matches!(rest, Some(MirrorUpdate::Snapshot(_))),
-            "the rest is handed over whole"
+            !matches!(remaining, Some(MirrorUpdate::Snapshot(_))),
+            "remaining changes are sent as another snapshot"
         );
-        if let Some(rest) = rest {
-            own.apply_update(rest);
+        if let Some(remaining) = remaining {
+            subscriber_mirror.apply_update(remaining);
         }
-        assert_eq!(own.snapshot(), mirror.snapshot());
+        assert_eq!(subscriber_mirror.snapshot(), mirror.snapshot());
     }
-    assert_eq!(handed_over.len(), 1, "deflated anew for some");
+    assert_eq!(
+        snapshot_positions.len(),
+        1,
+        "snapshot was deflated more than once"
+    );
 }
 
 #[test]
-fn a_gateway_that_lacks_fewer_changes_than_there_are_items_gets_just_those() {
-    let mut mirror = copy(2_000);
-    (0..1_900).for_each(|number| change(&mut mirror, number));
-    let update = deflated(CopyAnswers::default().after(&mirror, at(1)));
-    assert!(!update.whole);
-    assert!(update.items.len() <= 1_900 * MOST_ENTRY_BYTES);
+fn a_subscriber_that_lacks_fewer_changes_than_there_are_items_receives_only_the_changes() {
+    let mut mirror = mirror_with(2_000);
+    (0..1_900).for_each(|number| change_entry(&mut mirror, number));
+    let update = expect_deflated(UpdateCache::default().update_after(&mirror, at(1)));
+    assert!(!update.is_snapshot);
+    assert!(update.items.len() <= 1_900 * MAX_DEFLATED_ENTRY_BYTES);
 }
 
 #[test]
-fn subscribers_that_lack_the_same_get_the_same_bytes() {
-    let mut mirror = copy(100);
-    (0..20).for_each(|number| change(&mut mirror, number));
-    let mut answers = CopyAnswers::default();
-    let first = deflated(answers.after(&mirror, at(1)));
-    let second = deflated(answers.after(&mirror, at(1)));
+fn subscribers_that_lack_the_same_changes_share_one_buffer() {
+    let mut mirror = mirror_with(100);
+    (0..20).for_each(|number| change_entry(&mut mirror, number));
+    let mut cache = UpdateCache::default();
+    let first = expect_deflated(cache.update_after(&mirror, at(1)));
+    let second = expect_deflated(cache.update_after(&mirror, at(1)));
     assert_eq!(first.items.as_ptr(), second.items.as_ptr());
-    change(&mut mirror, 50);
-    let third = deflated(answers.after(&mirror, at(1)));
+    change_entry(&mut mirror, 50);
+    let third = expect_deflated(cache.update_after(&mirror, at(1)));
     assert_eq!(third.position, mirror.position());
 }
 
 #[test]
-fn deflated_items_that_were_cut_short_are_refused() {
-    let answer = deflated(CopyAnswers::default().after(&copy(20), at(0)));
+fn truncated_deflated_items_are_rejected() {
+    let answer = expect_deflated(UpdateCache::default().update_after(&mirror_with(20), at(0)));
     let bytes = UpdateMessage::deflated(answer, AGE).encode_to_vec();
     for length in 0..bytes.len() {
         if let Ok(message) = UpdateMessage::decode(&bytes[..length]) {
             assert_eq!(
-                message.into_received(UpdateHead::default()),
+                message.into_update(UpdateHead::default()),
                 Err(Incomplete),
                 "{length}"
             );
@@ -151,29 +155,30 @@
     let nothing = UpdateMessage::new(None, AGE, &mut DeflatedValues::default());
     assert_eq!(
         nothing
-            .into_received(UpdateHead::default())
-            .expect("complete")
+            .into_update(UpdateHead::default())
+            .expect("complete message")
             .update,
         None
     );
 }
 
-/// Guards against a follower that is handed the same older copy again and again, as it stands where its relay never was.
+/// Guards against a subscriber that receives the same outdated snapshot again and again, because its mirror is at a
+/// position that the relay's mirror never had.
 #[test]
-fn a_whole_copy_that_does_not_lead_on_is_not_handed_out_again() {
-    for (restored, stands) in [(at(5), at(3)), (Position::new(1, 1), at(3))] {
-        let mut mirror = copy(1_000);
-        let mut answers = CopyAnswers::default();
-        let first = deflated(answers.after(&mirror, at(0)));
+fn a_snapshot_that_does_not_help_the_subscriber_is_not_sent_again() {
+    for (new_position, subscriber_position) in [(at(5), at(3)), (Position::new(1, 1), at(3))] {
+        let mut mirror = mirror_with(1_000);
+        let mut cache = UpdateCache::default();
+        let first = expect_deflated(cache.update_after(&mirror, at(0)));
         assert_eq!(first.position, at(1));
         mirror.replace(Snapshot {
             items: (1..1_000).map(|number| entry(number, 1)).collect(),
-            position: restored,
+            position: new_position,
         });
-        let second = deflated(answers.after(&mirror, stands));
-        assert!(second.whole);
-        assert_eq!(second.position, restored);
-        let fresh = deflated(answers.after(&mirror, at(0)));
-        assert_eq!(fresh.position, restored);
+        let second = expect_deflated(cache.update_after(&mirror, subscriber_position));
+        assert!(second.is_snapshot);
+        assert_eq!(second.position, new_position);
+        let fresh = expect_deflated(cache.update_after(&mirror, at(0)));
+        assert_eq!(fresh.position, new_position);
     }
 }
--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -1,5 +1,6 @@
-//! Messages between gateways as the build in production writes them: this build reads them and, where it has nothing
-//! more to say, writes the same bytes, so that the other reads these. `production/` holds one file for each message.
+//! Compatibility with messages between gateways as written by the build in production. This build reads them and,
+//! unless it has additional fields to send, writes the same bytes, so that the production build can read its messages.
+//! `production/` holds one file for each message.
 
 use std::time::Duration;
 
@@ -24,7 +25,7 @@
 
 /// Seed of the property tests.
 const SEED: u64 = 20_261_203;
-/// A field that no build has, with the number 500 and a text.
+/// An encoded field that no build knows: number 500, with a string value.
 const UNKNOWN_FIELD: &[u8] = &[0xa2, 0x1f, 0x03, b'n', b'e', b'w'];
 
 macro_rules! production {
@@ -57,34 +58,35 @@
     let (_, bytes) = DATAGRAMS
         .iter()
         .find(|(known, _)| *known == name)
-        .expect("a file");
-    Datagram::decode(*bytes).expect("a datagram")
+        .expect("known file name");
+    Datagram::decode(*bytes).expect("valid datagram")
 }
 
-/// Reads bytes as this message, with an unknown field behind them, and writes the same bytes again.
-fn is_read_and_written<M: Message + Default + PartialEq>(bytes: &[u8]) {
+/// Checks that a message is encoded to the same bytes again, and that an unknown field after it is ignored.
+fn check_round_trip<M: Message + Default + PartialEq>(bytes: &[u8]) {
     assert!(!bytes.is_empty());
-    let message = M::decode(bytes).expect("a message");
+    let message = M::decode(bytes).expect("valid message");
     assert_eq!(message.encode_to_vec(), bytes);
-    let with_more = [bytes, UNKNOWN_FIELD].concat();
-    let read = M::decode(with_more.as_slice()).expect("a message with more");
+    let with_unknown_field = [bytes, UNKNOWN_FIELD].concat();
+    let read =
+        M::decode(with_unknown_field.as_slice()).expect("valid message with an unknown field");
     assert!(read == message);
 }
 
 #[test]
-fn messages_of_the_build_in_production_are_read_and_written() {
+fn messages_of_the_build_in_production_are_decoded_and_encoded_again() {
     for (_, bytes) in DATAGRAMS {
-        is_read_and_written::<Datagram>(bytes);
+        check_round_trip::<Datagram>(bytes);
     }
     for bytes in UPDATES {
-        is_read_and_written::<UpdateMessage>(bytes);
+        check_round_trip::<UpdateMessage>(bytes);
     }
-    is_read_and_written::<CachesMessage>(CACHES);
+    check_round_trip::<CachesMessage>(CACHES);
 }
 
 #[test]
-fn a_report_means_what_it_meant() {
-    let report = datagram("report").report.expect("a report");
+fn a_load_report_of_the_build_in_production_is_decoded() {
+    let report = datagram("report").report.expect("load report");
     let expected = ReportMessage {
         sender: 11,
         sequence: 12,
@@ -112,10 +114,10 @@
 }
 
 #[test]
-fn a_question_means_what_it_meant() {
-    let question = datagram("question").question.expect("a question");
-    let message = PlacementMessage::try_from(question).expect("a message");
-    let request = message.request.expect("a request");
+fn a_placement_request_of_the_build_in_production_is_decoded() {
+    let question = datagram("question").question.expect("placement message");
+    let message = PlacementMessage::try_from(question).expect("valid message");
+    let request = message.request.expect("placement request");
     let need = Need::Continue {
         reader: WorkerId::from("i-1"),
     };
@@ -124,33 +126,33 @@
 }
 
 #[test]
-fn the_end_of_a_placement_says_what_it_said_of_its_worker() {
-    let question = datagram("notices").question.expect("a question");
-    let message = PlacementMessage::try_from(question).expect("a message");
+fn placement_ends_of_the_build_in_production_keep_their_worker_notices() {
+    let question = datagram("notices").question.expect("placement message");
+    let message = PlacementMessage::try_from(question).expect("valid message");
     let ends = message.notices.iter().filter_map(|notice| match notice {
         PlacementNotice::Ended {
             result,
-            worker_notice: said,
+            worker_notice,
             rate_limit,
             ..
-        } => Some((*result, *said, *rate_limit)),
+        } => Some((*result, *worker_notice, *rate_limit)),
         PlacementNotice::PromptRead { .. } => None,
     });
     let ends: Vec<(SendResult, WorkerNotice, Option<StatedLimit>)> = ends.collect();
-    let leaves = WorkerNotice {
+    let leaving = WorkerNotice {
         is_leaving: true,
         ..WorkerNotice::default()
     };
-    let rests = WorkerNotice {
+    let backing_off = WorkerNotice {
         backoff: Some(Duration::from_secs(3)),
         ..WorkerNotice::default()
     };
-    let said = [WorkerNotice::default(), leaves, rests];
-    let expected = said.map(|said| (SendResult::Refused, said, None));
+    let notices = [WorkerNotice::default(), leaving, backing_off];
+    let expected = notices.map(|notice| (SendResult::Refused, notice, None));
     assert_eq!(ends, expected);
 }
 
-/// The end of a placement as the build in production knows it.
+/// The end of a placement as defined in the build in production.
 #[derive(Clone, PartialEq, Message)]
 struct ProductionNotice {
     #[prost(uint64, tag = "1")]
@@ -165,7 +167,7 @@
     rest_micros: u64,
 }
 
-/// A refusal as the build in production knows it.
+/// A refusal as defined in the build in production.
 #[derive(Clone, PartialEq, Message)]
 struct ProductionRefusal {
     #[prost(uint64, tag = "1")]
@@ -176,36 +178,40 @@
     tenant_share: bool,
 }
 
-/// Whether the build in production reads the same in both.
-fn reads_the_same<M: Message + Default + PartialEq>(before: &[u8], more: &[u8]) -> bool {
-    assert_ne!(before, more);
-    let read = |bytes: &[u8]| M::decode(bytes).expect("a message");
-    read(before) == read(more)
+/// Returns whether the build in production decodes both to the same message.
+fn decode_to_same<M: Message + Default + PartialEq>(before: &[u8], extended: &[u8]) -> bool {
+    assert_ne!(before, extended);
+    let decode = |bytes: &[u8]| M::decode(bytes).expect("valid message");
+    decode(before) == decode(extended)
 }
 
 #[test]
-fn the_build_in_production_passes_over_rate_limits() {
-    let mut notice = datagram("notices").question.expect("a question").notices[2].clone();
+fn the_build_in_production_ignores_rate_limits() {
+    let mut notice = datagram("notices")
+        .question
+        .expect("placement message")
+        .notices[2]
+        .clone();
     let before = notice.encode_to_vec();
     notice.rate_limit = Some(StatedLimitMessage {
         limit_milli: Some(6_300),
         age_ms: 20,
     });
-    let more = notice.encode_to_vec();
-    assert!(reads_the_same::<ProductionNotice>(&before, &more));
+    let extended = notice.encode_to_vec();
+    assert!(decode_to_same::<ProductionNotice>(&before, &extended));
 
-    let answer = datagram("refused").answer.expect("an answer");
-    let mut refused = answer.refused.expect("a refusal");
+    let answer = datagram("refused").answer.expect("placement answer");
+    let mut refused = answer.refused.expect("refusal");
     let before = refused.encode_to_vec();
     refused.rate_limit = true;
-    let more = refused.encode_to_vec();
-    assert!(reads_the_same::<ProductionRefusal>(&before, &more));
+    let extended = refused.encode_to_vec();
+    assert!(decode_to_same::<ProductionRefusal>(&before, &extended));
 }
 
 #[test]
-fn a_scheduler_of_the_build_in_production_reckons_with_no_rate_limit() {
-    let answer = datagram("placed").answer.expect("an answer");
-    let (_, answer) = answer.decode_answer().expect("a placement");
+fn a_placement_of_the_build_in_production_has_no_rate_token() {
+    let answer = datagram("placed").answer.expect("placement answer");
+    let (_, answer) = answer.decode_answer().expect("placement");
     let PlacementAnswer::Placed(placement) = answer else {
         panic!("not placed: {answer:?}");
     };
@@ -213,12 +219,12 @@
 }
 
 #[test]
-fn what_the_store_holds_means_what_it_meant() {
-    let claim = AuthorityClaim::decode(CLAIM).expect("a claim");
+fn stored_values_of_the_build_in_production_are_decoded() {
+    let claim = AuthorityClaim::decode(CLAIM).expect("valid claim");
     assert_eq!(claim.holder.as_deref(), Some("gateway-1"));
     assert_eq!(claim.encode(), CLAIM);
     let member = presence::member("tansyhall/gateways/gateway-1", PRESENCE);
-    let member = member.expect("a member");
+    let member = member.expect("valid announcement");
     assert_eq!(member.name, "gateway-1");
     assert_eq!(member.capacity, 0.25);
     let mut mirror = Mirror::default();
@@ -237,25 +243,27 @@
 }
 
 #[test]
-fn rate_limits_mean_what_they_meant() {
+fn rate_limits_in_messages_are_decoded() {
     let stated = Some(StatedLimitMessage {
         limit_milli: Some(6_300),
         age_ms: 20,
     });
-    let report = datagram("report_limits").report.expect("a report");
+    let report = datagram("report_limits").report.expect("load report");
     assert_eq!(report.rate_limits[0].worker, 21);
     assert_eq!(report.rate_limits[0].stated, stated);
-    let question = datagram("notices_limits").question.expect("a question");
+    let question = datagram("notices_limits")
+        .question
+        .expect("placement message");
     assert_eq!(question.notices[2].rate_limit, stated);
-    let answer = datagram("placed_limits").answer.expect("an answer");
-    let placed = answer.placed.expect("a placement");
+    let answer = datagram("placed_limits").answer.expect("placement answer");
+    let placed = answer.placed.expect("placement");
     assert!(placed.has_rate_token);
     assert_eq!(placed.rate_limit, stated);
-    let answer = datagram("refused_limits").answer.expect("an answer");
-    assert!(answer.refused.expect("a refusal").rate_limit);
+    let answer = datagram("refused_limits").answer.expect("placement answer");
+    assert!(answer.refused.expect("refusal").rate_limit);
 }
 
-/// An item of a copy as the build in production knows it.
+/// An item of a mirror update as defined in the build in production.
 #[derive(Clone, PartialEq, Message)]
 struct ProductionItem {
     #[prost(string, tag = "1")]
@@ -269,20 +277,20 @@
 }
 
 #[test]
-fn the_build_in_production_passes_over_the_epoch_of_an_item() {
-    let changes = UpdateMessage::decode(UPDATES[0]).expect("a message");
+fn the_build_in_production_ignores_the_epoch_of_an_item() {
+    let changes = UpdateMessage::decode(UPDATES[0]).expect("valid message");
     let mut item = changes.items[0].clone();
     let before = item.encode_to_vec();
     item.epoch = Some(4);
-    let more = item.encode_to_vec();
-    assert!(reads_the_same::<ProductionItem>(&before, &more));
+    let extended = item.encode_to_vec();
+    assert!(decode_to_same::<ProductionItem>(&before, &extended));
 }
 
 proptest! {
     #![proptest_config(fixed_number_of_cases(SEED, 512))]
 
     #[test]
-    fn damaged_messages_are_refused_or_read_and_end_nothing(
+    fn corrupted_messages_are_rejected_or_decoded_without_a_panic(
         which in 0..DATAGRAMS.len(),
         length in any::<prop::sample::Index>(),
         place in any::<prop::sample::Index>(),
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what is accepted, and errors that name the key, the value and what is allowed.
+//! Validation of settings: errors name the key, the value and the allowed range.
 
 use tansyhall_forwarding::Decisions;
 use tansyhall_gateway::GatewaySettings;
@@ -32,34 +32,35 @@
 takeover_pause_seconds = 3.0
 "#;
 
-fn error_of(from: &str, to: &str) -> String {
+fn error_after_replacing(from: &str, to: &str) -> String {
     let text = SETTINGS.replace(from, to);
-    assert_ne!(text, SETTINGS, "nothing was damaged");
-    let error = GatewaySettings::parse("gateway.toml", &text).expect_err("a fault");
+    assert_ne!(text, SETTINGS, "the text to replace was not found");
+    let error = GatewaySettings::parse("gateway.toml", &text).expect_err("invalid settings");
     error.to_string()
 }
 
 #[test]
-fn whole_settings_are_accepted() {
-    let settings = GatewaySettings::parse("gateway.toml", SETTINGS).expect("no fault");
+fn complete_settings_and_unknown_keys_are_accepted() {
+    let settings = GatewaySettings::parse("gateway.toml", SETTINGS).expect("valid settings");
     assert_eq!(settings.grace().as_millis(), 8_000);
     let unknown = format!("{SETTINGS}\n[later]\nkey = 1\n");
     assert!(GatewaySettings::parse("gateway.toml", &unknown).is_ok());
 }
 
 #[test]
-fn usage_and_the_platforms_operations_may_be_left_out() {
-    let without = GatewaySettings::parse("gateway.toml", SETTINGS).expect("no fault");
-    assert!(without.usage_timing().is_none() && without.duties.is_none());
-    let with = format!(
+fn the_sections_usage_and_duties_are_optional() {
+    let without_sections =
+        GatewaySettings::parse("gateway.toml", SETTINGS).expect("valid settings");
+    assert!(without_sections.usage_timing().is_none() && without_sections.duties.is_none());
+    let text = format!(
         "{SETTINGS}\n[usage]\nwindow_seconds = 5\ndue_after_seconds = 10\n[duties]\naddress = \"127.0.0.1:1007\"\n"
     );
-    let with = GatewaySettings::parse("gateway.toml", &with).expect("no fault");
-    let timing = with.usage_timing().expect("windows");
+    let with_sections = GatewaySettings::parse("gateway.toml", &text).expect("valid settings");
+    let timing = with_sections.usage_timing().expect("usage windows");
     assert_eq!(timing.length.as_secs(), 5);
     assert_eq!(timing.due_after.as_secs(), 10);
-    let faulty = format!("{SETTINGS}\n[usage]\nwindow_seconds = 0\ndue_after_seconds = 10\n");
-    let error = GatewaySettings::parse("gateway.toml", &faulty).expect_err("a fault");
+    let invalid = format!("{SETTINGS}\n[usage]\nwindow_seconds = 0\ndue_after_seconds = 10\n");
+    let error = GatewaySettings::parse("gateway.toml", &invalid).expect_err("invalid settings");
     let error = error.to_string();
     assert!(
         error.contains("usage.window_seconds = 0: must be 0.1 to 86400"),
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn errors_name_key_value_and_what_is_allowed() {
+fn errors_name_the_key_the_value_and_the_allowed_range() {
     let cases = [
         (
             "threads = 1",
@@ -107,39 +108,39 @@
         ),
     ];
     for (from, to, expected) in cases {
-        let error = error_of(from, to);
+        let error = error_after_replacing(from, to);
         assert_eq!(error, format!("gateway.toml: {expected}"));
     }
 }
 
 #[test]
-fn what_is_no_settings_file_is_refused_with_its_place() {
-    let error = error_of("callers = \"127.0.0.1:1000\"", "callers = \"nowhere\"");
+fn syntax_errors_name_the_key() {
+    let error = error_after_replacing("callers = \"127.0.0.1:1000\"", "callers = \"nowhere\"");
     assert!(error.contains("callers"), "{error}");
-    let error = error_of("[stop]\ngrace_seconds = 8\n", "");
+    let error = error_after_replacing("[stop]\ngrace_seconds = 8\n", "");
     assert!(error.contains("stop"), "{error}");
 }
 
 #[test]
-fn mechanisms_that_decide_are_on_unless_one_is_switched_off() {
-    let parsed = |text: &str| GatewaySettings::parse("gateway.toml", text).expect("no fault");
+fn routing_mechanisms_are_enabled_unless_one_is_disabled() {
+    let parsed = |text: &str| GatewaySettings::parse("gateway.toml", text).expect("valid settings");
     assert_eq!(parsed(SETTINGS).decisions, Decisions::default());
-    let one_off = format!("{SETTINGS}\n[decisions]\nfetches = false\n");
+    let one_disabled = format!("{SETTINGS}\n[decisions]\nfetches = false\n");
     let expected = Decisions {
         fetches: false,
         ..Decisions::default()
     };
-    assert_eq!(parsed(&one_off).decisions, expected);
-    let wrong = format!("{SETTINGS}\n[decisions]\nfetches = 3\n");
-    let error = GatewaySettings::parse("gateway.toml", &wrong).expect_err("no switch");
+    assert_eq!(parsed(&one_disabled).decisions, expected);
+    let invalid = format!("{SETTINGS}\n[decisions]\nfetches = 3\n");
+    let error = GatewaySettings::parse("gateway.toml", &invalid).expect_err("not a boolean");
     assert!(error.to_string().contains("fetches"), "{error}");
 }
 
 #[test]
-fn processor_time_is_the_share_of_all_threads() {
+fn capacity_is_the_core_share_of_all_threads() {
     let text = SETTINGS.replace("threads = 1", "threads = 4\ncore_share = 0.25");
-    let settings = GatewaySettings::parse("gateway.toml", &text).expect("no fault");
+    let settings = GatewaySettings::parse("gateway.toml", &text).expect("valid settings");
     assert_eq!(settings.node.capacity(), 1.0);
-    let whole = GatewaySettings::parse("gateway.toml", SETTINGS).expect("no fault");
-    assert_eq!(whole.node.capacity(), 1.0);
+    let full_share = GatewaySettings::parse("gateway.toml", SETTINGS).expect("valid settings");
+    assert_eq!(full_share.node.capacity(), 1.0);
 }
