--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -60,7 +60,7 @@
                     .tell(Loss::Silent, &destination);
                 guard.ended(
                     SendResult::Abandoned { silent: true },
-                    "no answer within the allowed silence",
+                    "worker did not answer in time",
                 );
                 return failed(SendFailure::MayHaveRun);
             }
--- a/crates/gateway/src/worker_orders/history.rs
+++ b/crates/gateway/src/worker_orders/history.rs
@@ -8,15 +8,15 @@
 
 use crate::duties::{DutyOutcome, WorkerOrder};
 
-/// Time in addition to a worker's startup time after which an order without effect is sent again: two write intervals
-/// of the worker's store entry.
+/// Time in addition to a worker's startup time after which an order without effect is sent again: the time for two
+/// writes of the worker's store entry.
 const ENTRY_UPDATE_TIME: Duration = Duration::from_secs(2);
 /// Time within which an unanswered order is carried out, if at all: twice the time that a new holder of the authority
 /// usually waits.
 const LATE_EXECUTION_WINDOW: Duration = Duration::from_secs(6);
 /// Time after which spot workers are ordered again in a zone that had none. Each further refusal doubles it.
 const INITIAL_SPOT_BACKOFF: Duration = Duration::from_secs(2);
-/// The longest such time.
+/// Maximum time after which spot workers are ordered again.
 const MAX_SPOT_BACKOFF: Duration = Duration::from_secs(16);
 
 /// The group of workers whose number an order sets.
--- a/crates/gateway/tests/placement_messages.rs
+++ b/crates/gateway/tests/placement_messages.rs
@@ -189,8 +189,11 @@
             request,
         };
         let datagram = Datagram::question(MessageToScheduler::from(&message));
-        let wire_message = decoded(&datagram).question.expect("the datagram contains a placement message");
-        let decoded_message = PlacementMessage::try_from(wire_message).expect("a valid placement message");
+        let wire_message = decoded(&datagram)
+            .question
+            .expect("the datagram contains a placement message");
+        let decoded_message =
+            PlacementMessage::try_from(wire_message).expect("a valid placement message");
         prop_assert_eq!(decoded_message, message);
     }
 
