--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -22,12 +22,12 @@
 use tansyhall_forwarding::{MirrorUpdate, Position, Touched};
 use tokio::time::{sleep, timeout};
 
-use crate::copy_answers::CopyAnswer;
-use crate::copy_message::{Received, UpdateHead, UpdateMessage};
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
+use crate::mirror_refresh::refresh;
 use crate::presence::Member;
 use crate::state::Shared;
-use crate::store_copy::refresh;
+use crate::update_cache::CopyAnswer;
+use crate::update_message::{Received, UpdateHead, UpdateMessage};
 
 /// Age of this gateway's knowledge at which any gateway is asked.
 const STALE_AFTER: Duration = Duration::from_millis(1_500);
@@ -255,7 +255,7 @@
         state: if relying { "relied_on" } else { "not_needed" },
         reason: "",
     };
-    shared.log.record(Weight::Important, &event);
+    shared.log.record(Priority::Important, &event);
 }
 
 fn pick(shared: &Shared) -> Option<SocketAddr> {
