--- a/crates/cli/tests/gateway_platform/caches.rs
+++ b/crates/cli/tests/gateway_platform/caches.rs
@@ -19,7 +19,9 @@
 
 fn lists(site: &Site) -> Vec<u64> {
     let workers = site.workers.iter();
-    workers.map(|worker| worker.worker.lists()).collect()
+    workers
+        .map(|worker| worker.worker.cache_list_requests())
+        .collect()
 }
 
 #[actix_rt::test]
--- a/crates/cli/tests/gateway_platform/deadly_requests.rs
+++ b/crates/cli/tests/gateway_platform/deadly_requests.rs
@@ -12,7 +12,9 @@
 use std::time::Duration;
 
 use futures_util::future::join_all;
-use tansyhall_platform_standin::{Behaviour, Deadly, LastWords, MortalWorker, StoreFault};
+use tansyhall_platform_standin::{
+    Behaviour, CrashTrigger, CrashingWorker, PartialAnswer, StoreFault,
+};
 use tansyhall_testing::eventually;
 use tokio::time::sleep;
 
@@ -27,10 +29,10 @@
     pause_ms: 100,
 };
 const DEADLY: &[u8] = b"deadly";
-pub const SILENT: Deadly = Deadly {
-    text: DEADLY,
-    last_words: LastWords::None,
-    after: Duration::from_millis(10),
+pub const SILENT: CrashTrigger = CrashTrigger {
+    body_text: DEADLY,
+    partial_answer: PartialAnswer::None,
+    delay: Duration::from_millis(10),
 };
 /// Workers that must end before a request counts as deadly.
 pub const ENOUGH_ENDS: u64 = 3;
@@ -51,17 +53,20 @@
 const POPULAR: &str = "/repeat/popular";
 const WORKERS: usize = 6;
 
-fn sends(workers: &[MortalWorker]) -> u64 {
-    workers.iter().map(MortalWorker::sends).sum()
+fn sends(workers: &[CrashingWorker]) -> u64 {
+    workers
+        .iter()
+        .map(CrashingWorker::crash_requests_received)
+        .sum()
 }
 
-pub fn ends(workers: &[MortalWorker]) -> u64 {
-    workers.iter().map(MortalWorker::ends).sum()
+pub fn ends(workers: &[CrashingWorker]) -> u64 {
+    workers.iter().map(CrashingWorker::crash_count).sum()
 }
 
 /// Sends the deadly request at all gateways in turn until enough workers have ended, and waits until
 /// gateways must know.
-async fn end_enough_workers<F>(site: &Site, workers: &[MortalWorker], ask: impl Fn(usize) -> F)
+async fn end_enough_workers<F>(site: &Site, workers: &[CrashingWorker], ask: impl Fn(usize) -> F)
 where
     F: Future<Output = CallerAnswer>,
 {
@@ -79,7 +84,7 @@
 
 /// Sends the deadly request again, to each gateway a few times: workers get it no more, and its caller is
 /// told once and for all.
-pub async fn is_sent_no_more<F>(site: &Site, workers: &[MortalWorker], ask: impl Fn(usize) -> F)
+pub async fn is_sent_no_more<F>(site: &Site, workers: &[CrashingWorker], ask: impl Fn(usize) -> F)
 where
     F: Future<Output = CallerAnswer>,
 {
@@ -139,7 +144,7 @@
     assert!(read_again <= ALLOWED_SENDS, "read {read_again} times more");
 }
 
-async fn site_with_mortal_workers() -> (Site, Vec<MortalWorker>) {
+async fn site_with_mortal_workers() -> (Site, Vec<CrashingWorker>) {
     site_of(GATEWAYS, ECHO, SILENT).await
 }
 
@@ -147,8 +152,8 @@
 async fn site_of(
     gateways: usize,
     behaviour: Behaviour,
-    deadly: Deadly,
-) -> (Site, Vec<MortalWorker>) {
+    deadly: CrashTrigger,
+) -> (Site, Vec<CrashingWorker>) {
     let site = Site::start(&[("llm", Some("decode"), ECHO)], gateways).await;
     let workers = site
         .add_mortal_workers(WORKERS, ("app", None, behaviour), deadly)
@@ -238,8 +243,8 @@
 /// not clear its request.
 #[actix_rt::test]
 async fn an_answer_without_a_length_clears_nobody() {
-    let deadly = Deadly {
-        last_words: LastWords::WithoutLength,
+    let deadly = CrashTrigger {
+        partial_answer: PartialAnswer::WithoutLength,
         ..SILENT
     };
     let (site, workers) = site_of(GATEWAYS, ECHO, deadly).await;
@@ -252,8 +257,8 @@
 /// for, and broken.
 #[actix_rt::test]
 async fn a_worker_that_ends_after_its_request_was_given_up_counts_too() {
-    let deadly = Deadly {
-        after: LATER_THAN_PATIENCE,
+    let deadly = CrashTrigger {
+        delay: LATER_THAN_PATIENCE,
         ..SILENT
     };
     let (site, workers) = site_of(1, ECHO, deadly).await;
--- a/crates/cli/tests/gateway_platform/leaving_and_resting.rs
+++ b/crates/cli/tests/gateway_platform/leaving_and_resting.rs
@@ -31,8 +31,8 @@
 const FEW: usize = 4;
 
 fn turn_away(rest: Duration) -> Behaviour {
-    let rest_ms = rest.as_millis() as u64;
-    Behaviour::TurnAway { rest_ms }
+    let backoff_ms = rest.as_millis() as u64;
+    Behaviour::Reject { backoff_ms }
 }
 
 fn arrivals(workers: &[SiteWorker]) -> Vec<u64> {
@@ -63,7 +63,7 @@
     ask: impl AsyncFn(usize) -> CallerAnswer,
 ) -> usize {
     let leaving = preferred(workers, &ask).await;
-    workers[leaving].worker.say_leaving();
+    workers[leaving].worker.announce_leaving();
     let before = workers[leaving].worker.arrivals();
     for number in 0..REQUESTS {
         assert_eq!(ask(number).await.status, 200);
@@ -135,7 +135,7 @@
     let (entry, _) = site.store.get(&key).expect("the worker's entry");
     let mut entry: Value = serde_json::from_slice(&entry).expect("JSON");
 
-    leaving.worker.announce("ready");
+    leaving.worker.write_entry("ready");
     site.until_in_force(site.configure_next()).await;
     let again = async |n| ask_app(gateway, "again", n).await;
     gets_nothing_more(leaving, again).await;
@@ -151,7 +151,7 @@
     site.store.put(&key, &entry);
     let others = site.workers.iter();
     for other in others.filter(|other| other.worker.id != leaving.worker.id) {
-        other.worker.announce("draining");
+        other.worker.write_entry("draining");
     }
     site.until_in_force(site.configure_next()).await;
     let before = leaving.worker.arrivals();
@@ -166,7 +166,7 @@
     let gateway = &site.gateways[0];
     let resting = preferred(&site.workers, async |n| ask_app(gateway, "first", n).await).await;
     let worker = &site.workers[resting].worker;
-    worker.behave(turn_away(LONG_REST));
+    worker.set_behaviour(turn_away(LONG_REST));
     let before = worker.arrivals();
     assert_eq!(ask_app(gateway, "refused", 0).await.status, 200);
     assert_eq!(worker.arrivals() - before, 1);
@@ -180,7 +180,7 @@
     for alike in [&site.workers[..2], &site.workers[2..]] {
         let first = async |n| ask_own_prompt(gateway, &format!("first-{n}"), 1_000 + n).await;
         let resting = &alike[preferred(alike, first).await].worker;
-        resting.behave(turn_away(LONG_REST));
+        resting.set_behaviour(turn_away(LONG_REST));
         let before = resting.arrivals();
         let number = Cell::new(2_000);
         eventually("the engine turns a request away", || async {
@@ -220,7 +220,7 @@
     let site = Site::start(&[APP, APP], 1).await;
     let gateway = &site.gateways[0];
     for one in &site.workers {
-        one.worker.behave(turn_away(LONG_REST));
+        one.worker.set_behaviour(turn_away(LONG_REST));
     }
     assert_eq!(ask_app(gateway, "first", 0).await.status, 503);
     sleep(REST_BEGINS_WITHIN).await;
@@ -241,10 +241,10 @@
     let site = Site::start(&[APP], 1).await;
     let gateway = &site.gateways[0];
     let worker = &site.workers[0].worker;
-    worker.behave(turn_away(Duration::from_millis(1_500)));
+    worker.set_behaviour(turn_away(Duration::from_millis(1_500)));
     let refused = ask_app(gateway, "refused", 0).await;
     assert_eq!(refused.status, 503);
-    worker.behave(ECHO);
+    worker.set_behaviour(ECHO);
     let told = Duration::from_secs_f64(refused.retry_after.expect("a time to come back"));
     sleep(told).await;
     let answers = join_all((0..REQUESTS).map(|n| ask_app(gateway, "back", n))).await;
@@ -274,7 +274,7 @@
     let told = async |n| ask_app(gateway, "told", n).await;
     let leaving = let_preferred_leave(&site.workers, told).await;
     let resting = &site.workers[1 - leaving].worker;
-    resting.behave(turn_away(LONG_REST));
+    resting.set_behaviour(turn_away(LONG_REST));
     assert_eq!(ask_app(gateway, "refused", 0).await.status, 503);
     assert_eq!(ask_app(gateway, "refused", 1).await.status, 503);
     let (leaving, resting) = (site.workers[leaving].worker.id.clone(), resting.id.clone());
--- a/crates/cli/tests/gateway_platform/logs.rs
+++ b/crates/cli/tests/gateway_platform/logs.rs
@@ -23,17 +23,17 @@
     ask(gateway, "no-route", "/nowhere/", SECRET).await;
     ask(gateway, "too-long", AT_MOST_ONCE, &[b'x'; 100_000]).await;
     for (id, path, behaviour) in [
-        ("lost", AT_MOST_ONCE, Behaviour::WrongId),
-        ("broken", FINAL_STREAM, Behaviour::BreakOff { events: 1 }),
+        ("lost", AT_MOST_ONCE, Behaviour::MismatchedId),
+        ("broken", FINAL_STREAM, Behaviour::AbortAnswer { events: 1 }),
         ("failed", AT_MOST_ONCE, Behaviour::Fail),
         ("refused", AT_MOST_ONCE, Behaviour::NotRun),
     ] {
-        worker.behave(behaviour);
+        worker.set_behaviour(behaviour);
         ask(gateway, id, path, SECRET).await;
     }
     std::fs::write(&gateway.settings, "not = 'settings'").expect("the file is written");
     gateway.process.signal("HUP");
-    worker.announce("draining");
+    worker.write_entry("draining");
     site.until_ready_workers(0, 0.0).await;
     ask(gateway, "nobody", REPEATABLE, SECRET).await;
     eventually("it holds the authority over roles", || async {
--- a/crates/cli/tests/gateway_platform/rate_limits.rs
+++ b/crates/cli/tests/gateway_platform/rate_limits.rs
@@ -108,7 +108,7 @@
     let first = &site.gateways[0];
     let limited = preferred(alike, async |number| ask(first, number).await).await;
     let limited = &alike[limited].worker;
-    limited.name_rate_limit(Some(LIMIT));
+    limited.announce_rate_limit(Some(LIMIT));
     until_told(site, &ask).await;
     let told = Instant::now();
     sleep(KEPT_WITHIN).await;
@@ -143,7 +143,7 @@
     let site = Site::start(&[APP, APP], GATEWAYS).await;
     site.until_gateways_know_each_other().await;
     for one in &site.workers {
-        one.worker.name_rate_limit(Some(LIMIT));
+        one.worker.announce_rate_limit(Some(LIMIT));
     }
     until_told(&site, ask_for_app).await;
     let told = Instant::now();
@@ -169,7 +169,7 @@
     let site = Site::start(&[APP], gateways).await;
     site.until_gateways_know_each_other().await;
     let worker = &site.workers[0].worker;
-    worker.name_rate_limit(Some(HIGH_LIMIT));
+    worker.announce_rate_limit(Some(HIGH_LIMIT));
     for gateway in &site.gateways {
         let number = Cell::new(0);
         eventually("the gateway passes on an answer with the limit", || async {
@@ -180,7 +180,7 @@
         })
         .await;
     }
-    worker.name_rate_limit(None);
+    worker.announce_rate_limit(None);
     let first = &site.gateways[0];
     let number = Cell::new(50_000);
     eventually("all at once are served again", || async {
--- a/crates/cli/tests/gateway_platform/relays.rs
+++ b/crates/cli/tests/gateway_platform/relays.rs
@@ -119,7 +119,7 @@
     fill_store(&site);
     site.add_gateway();
     until_in_force(&site, site.configure_next()).await;
-    let pages = site.doors[GATEWAYS].pages();
+    let pages = site.doors[GATEWAYS].pages_requested();
     assert!(pages <= PAGES_BEFORE_OTHERS, "{pages} pages were read");
 }
 
--- a/crates/cli/tests/gateway_platform/requests.rs
+++ b/crates/cli/tests/gateway_platform/requests.rs
@@ -44,8 +44,12 @@
         assert_eq!(answer.status, 200, "request {id}");
     }
     assert_eq!(site.workers[1].worker.runs().len(), 6);
-    site.workers[0].worker.behave(Behaviour::WrongId);
-    site.workers[1].worker.behave(Behaviour::WrongId);
+    site.workers[0]
+        .worker
+        .set_behaviour(Behaviour::MismatchedId);
+    site.workers[1]
+        .worker
+        .set_behaviour(Behaviour::MismatchedId);
     let answer = ask(&site.gateways[0], "lost", AT_MOST_ONCE, b"x").await;
     assert_eq!(answer.status, 502);
     assert_eq!(answer.seal, None);
@@ -68,7 +72,7 @@
         let answer = ask(&site.gateways[0], &format!("r-{number}"), REPEATABLE, b"x").await;
         assert_eq!(answer.status, 200);
     }
-    site.workers[1].worker.behave(Behaviour::Fail);
+    site.workers[1].worker.set_behaviour(Behaviour::Fail);
     let answer = ask(&site.gateways[0], "both", REPEATABLE, b"x").await;
     assert_eq!(answer.status, 500);
     assert!(answer.seal.is_some());
@@ -77,7 +81,7 @@
 
 #[actix_rt::test]
 async fn a_resumable_stream_is_whole_although_its_worker_breaks_off_inside_an_event() {
-    let broken = Behaviour::BreakOff { events: 2 };
+    let broken = Behaviour::AbortAnswer { events: 2 };
     let site = Site::start(&[("app", None, broken)], 1).await;
     let second = site
         .add_worker("app", None, Behaviour::Serve { events: 5 })
@@ -102,7 +106,7 @@
 
 #[actix_rt::test]
 async fn a_broken_stream_that_cannot_be_resumed_does_not_look_whole() {
-    let site = Site::start(&[("app", None, Behaviour::BreakOff { events: 2 })], 1).await;
+    let site = Site::start(&[("app", None, Behaviour::AbortAnswer { events: 2 })], 1).await;
     let answer = ask(&site.gateways[0], "s", FINAL_STREAM, b"").await;
     assert_eq!(answer.status, 200);
     assert!(!answer.whole);
@@ -113,7 +117,7 @@
 async fn a_worker_that_drains_gets_nothing_new_and_one_that_joins_does() {
     let site = Site::start(&[("app", None, ECHO)], 1).await;
     let second = site.add_worker("app", None, ECHO).await;
-    site.workers[0].worker.announce("draining");
+    site.workers[0].worker.write_entry("draining");
     site.until_ready_workers(0, 1.0).await;
     let before = site.workers[0].worker.runs().len();
     for number in 0..4 {
--- a/crates/cli/tests/gateway_platform/restored_store.rs
+++ b/crates/cli/tests/gateway_platform/restored_store.rs
@@ -9,7 +9,7 @@
 use tansyhall_gateway::protocol::Catalogue;
 use tansyhall_gateway::update_message::{UpdateHead, UpdateMessage};
 use tansyhall_platform::PlatformCatalogue;
-use tansyhall_platform_standin::{Backup, Behaviour, Order, StoreFault, WORKER_ENTRIES};
+use tansyhall_platform_standin::{Backup, Behaviour, Order, StoreFault, WORKER_ENTRY_PREFIX};
 use tansyhall_testing::eventually;
 use tokio::time::sleep;
 
@@ -72,7 +72,7 @@
     site.until_in_force(site.configure_next()).await;
     restore(&site, &backup).await;
     let leaving = &site.workers[0].worker;
-    leaving.announce("draining");
+    leaving.write_entry("draining");
     for index in 0..GATEWAYS {
         site.until_ready_workers(index, 1.0).await;
     }
@@ -117,9 +117,9 @@
     let [leaving, gone, _] = &site.workers[..] else {
         panic!("three workers");
     };
-    leaving.worker.announce("draining");
+    leaving.worker.write_entry("draining");
     site.store
-        .remove(&format!("{WORKER_ENTRIES}{}", gone.worker.id));
+        .remove(&format!("{WORKER_ENTRY_PREFIX}{}", gone.worker.id));
     for index in 0..GATEWAYS {
         site.until_ready_workers(index, 1.0).await;
     }
@@ -128,7 +128,7 @@
     ask_all(&site).await;
     assert_eq!(leaving.worker.runs().len() + gone.worker.runs().len(), 0);
     // One that writes its entry again has not left.
-    gone.worker.announce("ready");
+    gone.worker.write_entry("ready");
     for index in 0..GATEWAYS {
         site.until_ready_workers(index, 2.0).await;
     }
@@ -231,7 +231,7 @@
     site.until_in_force(site.configure_next()).await;
     eventually("engines are ordered with a higher fence", || async {
         for worker in &site.workers {
-            worker.worker.announce("ready");
+            worker.worker.write_entry("ready");
         }
         (highest(site.orders()) > before).then_some(())
     })
--- a/crates/cli/tests/gateway_platform/roles.rs
+++ b/crates/cli/tests/gateway_platform/roles.rs
@@ -13,7 +13,7 @@
 /// Announces each engine with the stage that it was ordered to, as an engine does itself.
 fn announce_stages(site: &Site) {
     for worker in &site.workers {
-        worker.worker.announce("ready");
+        worker.worker.write_entry("ready");
     }
 }
 
--- a/crates/cli/tests/gateway_platform/silent_connections.rs
+++ b/crates/cli/tests/gateway_platform/silent_connections.rs
@@ -60,7 +60,7 @@
 
 fn behave(site: &Site, behaviour: Behaviour) {
     let workers = site.workers.iter();
-    workers.for_each(|worker| worker.worker.behave(behaviour));
+    workers.for_each(|worker| worker.worker.set_behaviour(behaviour));
 }
 
 async fn ask_together(gateway: &SiteGateway, round: &str, path: &str) -> Vec<CallerAnswer> {
@@ -86,7 +86,7 @@
 /// From now on, workers keep connections longer than a silent request is waited for.
 fn keep_connections(site: &Site) {
     let workers = site.workers.iter();
-    workers.for_each(|worker| worker.worker.keep_connections(KEPT_S));
+    workers.for_each(|worker| worker.worker.announce_keep_alive(KEPT_S));
 }
 
 /// Waits until so many more bytes have come back.
@@ -243,7 +243,7 @@
         let started = Instant::now();
         let expected = 2 * (round + 1);
         eventually("the duty goes on", || async {
-            let reports = site.operations.usage();
+            let reports = site.operations.usage_calls();
             let counts = reports.iter().flat_map(|call| call.counts.values());
             (counts.sum::<u64>() >= expected).then_some(())
         })
@@ -251,7 +251,7 @@
         // A window of a second, its report's lateness and the bound of being in touch.
         assert!(started.elapsed() < SOON + IN_TOUCH);
     }
-    let calls = site.operations.usage();
+    let calls = site.operations.usage_calls();
     let fences: Vec<u64> = calls.iter().map(|call| call.fence).collect();
     assert!(fences.is_sorted(), "{fences:?}");
 }
--- a/crates/cli/tests/gateway_platform/stuttering.rs
+++ b/crates/cli/tests/gateway_platform/stuttering.rs
@@ -8,7 +8,7 @@
 //! Proof: each test fails on a gateway without the comparison that it is about.
 
 use crate::support::{ask, ask_own_prompt, Site, REPEATABLE};
-use tansyhall_platform_standin::{handle_of, Behaviour};
+use tansyhall_platform_standin::{cache_handle_of, Behaviour};
 
 const ECHO: Behaviour = Behaviour::Serve { events: 0 };
 const REQUESTS: usize = 12;
@@ -29,7 +29,7 @@
         let Some(source) = &run.cache_source else {
             continue;
         };
-        let own = handle_of(&run.request_id);
+        let own = cache_handle_of(&run.request_id);
         assert!(source.ends_with(&own), "{} from {source}", run.request_id);
     }
 }
@@ -77,7 +77,7 @@
 #[actix_rt::test]
 async fn a_stream_that_breaks_off_does_not_look_whole_over_http_1_0() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let broken = Behaviour::BreakOff { events: 2 };
+    let broken = Behaviour::AbortAnswer { events: 2 };
     let site = Site::start(&[("app", None, broken)], 1).await;
     let address = site.gateways[0].addresses.callers;
     let mut caller = tokio::net::TcpStream::connect(address)
--- a/crates/cli/tests/gateway_platform/support/mod.rs
+++ b/crates/cli/tests/gateway_platform/support/mod.rs
@@ -9,8 +9,9 @@
 
 use serde_json::{json, Value};
 use tansyhall_platform_standin::{
-    Behaviour, Deadly, GatewayFields, MortalWorker, Operations, Operator, RoutePlan, ScalingPlan,
-    Store, StoreDoor, StoreFault, TenantPlan, Worker, WorkerLife, WorkerPlan,
+    Behaviour, CrashTrigger, CrashingWorker, GatewayFields, Operations, Operator, RoutePlan,
+    ScalingPlan, Store, StoreEndpoint, StoreFault, TenantPlan, Worker, WorkerIncarnation,
+    WorkerPlan,
 };
 use tansyhall_testing::{
     eventually, free_peer_address, gateway, get_metric, GatewayAddresses, GatewayProcess, Link,
@@ -102,7 +103,7 @@
     /// Gateways.
     pub gateways: Vec<SiteGateway>,
     /// The store's door of each gateway.
-    pub doors: Vec<StoreDoor>,
+    pub doors: Vec<StoreEndpoint>,
     /// The platform's operations.
     pub operations: Operations,
     pub store: Store,
@@ -198,7 +199,7 @@
     }
 
     fn start_gateway_with(&mut self, number: usize, fault: StoreFault) {
-        let door = self.store.open_door().expect("a free port");
+        let door = self.store.open_endpoint().expect("a free port");
         door.set_fault(fault);
         let addresses = GatewayAddresses::free();
         let name = format!("gateway-{number}");
@@ -210,12 +211,12 @@
     }
 
     /// One more door of the store.
-    pub fn open_door(&self) -> StoreDoor {
-        self.store.open_door().expect("a free port")
+    pub fn open_door(&self) -> StoreEndpoint {
+        self.store.open_endpoint().expect("a free port")
     }
 
     /// Where a gateway reaches its door of the store.
-    fn way_to_store(&mut self, door: &StoreDoor) -> SocketAddr {
+    fn way_to_store(&mut self, door: &StoreEndpoint) -> SocketAddr {
         if !self.has_store_links {
             return door.address;
         }
@@ -292,8 +293,8 @@
         &self,
         count: usize,
         spec: WorkerSpec,
-        deadly: Deadly,
-    ) -> Vec<MortalWorker> {
+        deadly: CrashTrigger,
+    ) -> Vec<CrashingWorker> {
         let lives = vec![None; count];
         self.start_mortal_workers(lives, spec, deadly).await
     }
@@ -303,12 +304,12 @@
         &self,
         names: &[&str],
         spec: WorkerSpec,
-        deadly: Deadly,
-    ) -> Vec<MortalWorker> {
+        deadly: CrashTrigger,
+    ) -> Vec<CrashingWorker> {
         let life = |name: &&str| {
-            Some(WorkerLife {
+            Some(WorkerIncarnation {
                 name: (*name).to_owned(),
-                born: FIRST_BIRTH,
+                started_at_ms: FIRST_BIRTH,
             })
         };
         let lives = names.iter().map(life).collect();
@@ -317,20 +318,20 @@
 
     async fn start_mortal_workers(
         &self,
-        lives: Vec<Option<WorkerLife>>,
+        lives: Vec<Option<WorkerIncarnation>>,
         (service, stage, behaviour): WorkerSpec,
-        deadly: Deadly,
-    ) -> Vec<MortalWorker> {
+        deadly: CrashTrigger,
+    ) -> Vec<CrashingWorker> {
         let count = lives.len();
         let plan = worker_plan(service, ZONE, stage);
         let mut workers = Vec::new();
         for life in lives {
             let address = free_peer_address();
             let plan = WorkerPlan {
-                life,
+                incarnation: life,
                 ..plan.clone()
             };
-            let started = MortalWorker::start(&self.store, address, plan, behaviour, deadly);
+            let started = CrashingWorker::start(&self.store, address, plan, behaviour, deadly);
             workers.push(started.expect("a free port"));
         }
         for index in 0..self.gateways.len() {
@@ -348,7 +349,7 @@
         behaviour: Behaviour,
     ) -> SiteWorker {
         let plan = WorkerPlan {
-            stutters: true,
+            duplicates_answers: true,
             ..worker_plan(service, ZONE, stage)
         };
         let worker = Worker::start(&self.store, plan, behaviour).expect("a free port");
@@ -398,12 +399,12 @@
     stage: Option<&'static str>,
 ) -> WorkerPlan {
     WorkerPlan {
-        life: None,
+        incarnation: None,
         service,
         zone,
         stage,
         spot: false,
-        stutters: false,
+        duplicates_answers: false,
     }
 }
 
--- a/crates/cli/tests/gateway_platform/support/observed.rs
+++ b/crates/cli/tests/gateway_platform/support/observed.rs
@@ -68,7 +68,7 @@
     pub async fn until_collected(&self, requests: u64) {
         eventually("the counts are in the store", || async {
             let mut collection = Collection::default();
-            for rows in self.store.values_below(ROWS_PREFIX) {
+            for rows in self.store.values_with_prefix(ROWS_PREFIX) {
                 RowsMessage::decode_into(&rows, &mut collection).expect("rows");
             }
             let counted = collection
--- a/crates/cli/tests/gateway_platform/usage.rs
+++ b/crates/cli/tests/gateway_platform/usage.rs
@@ -36,7 +36,7 @@
 
 async fn until_reported(site: &Site, depot: u64, desk: u64) {
     eventually("every request is reported", || async {
-        let calls = site.operations.usage();
+        let calls = site.operations.usage_calls();
         let all = (total(&calls, "depot"), total(&calls, "desk"));
         (all == (depot, desk)).then_some(())
     })
@@ -73,13 +73,13 @@
     site.configure_tenants(&tenants()).await;
     ask_often(&site, "first", 4).await;
     until_reported(&site, 12, 4).await;
-    let holder = site.operations.usage()[0].holder.clone();
+    let holder = site.operations.usage_calls()[0].holder.clone();
     let index = holder.trim_start_matches("gateway-").parse::<usize>();
     let killed = site.gateways.remove(index.expect("a gateway's number"));
     drop(killed);
     ask_often(&site, "second", 4).await;
     until_reported(&site, 20, 8).await;
-    let calls = site.operations.usage();
+    let calls = site.operations.usage_calls();
     let fences: Vec<u64> = calls.iter().map(|call| call.fence).collect();
     assert!(fences.is_sorted(), "{fences:?}");
     assert!(calls.iter().any(|call| call.holder != holder));
@@ -106,14 +106,14 @@
 
 async fn until_nothing_is_under_way(site: &Site) {
     eventually("no call is still to be done", || async {
-        (site.operations.reports_under_way() == 0).then_some(())
+        (site.operations.pending_reports() == 0).then_some(())
     })
     .await;
 }
 
 async fn until_a_report_is_under_way(site: &Site) {
     eventually("a report is left unanswered", || async {
-        (site.operations.reports_under_way() > 0).then_some(())
+        (site.operations.pending_reports() > 0).then_some(())
     })
     .await;
 }
@@ -132,7 +132,7 @@
     until_reported(&site, 24, 12).await;
     until_nothing_is_under_way(&site).await;
     until_reported(&site, 24, 12).await;
-    let calls = site.operations.usage();
+    let calls = site.operations.usage_calls();
     let in_order = calls.iter().map(|call| call.received).is_sorted();
     assert!(!in_order, "no report was done after a newer one");
 }
@@ -143,7 +143,7 @@
     site.configure_tenants(&tenants()).await;
     ask_often(&site, "first", 4).await;
     until_reported(&site, 12, 4).await;
-    let holder = site.operations.usage()[0].holder.clone();
+    let holder = site.operations.usage_calls()[0].holder.clone();
     site.operations.set_fault(OperationsFault::Late {
         after_ms: 4 * LATE_MS,
     });
@@ -154,9 +154,9 @@
     site.operations.set_fault(OperationsFault::None);
     until_reported(&site, 24, 8).await;
     until_nothing_is_under_way(&site).await;
-    assert!(site.operations.refused_late() > 0, "none was refused");
+    assert!(site.operations.late_calls_refused() > 0, "none was refused");
     until_reported(&site, 24, 8).await;
-    let calls = site.operations.usage();
+    let calls = site.operations.usage_calls();
     assert!(calls.iter().map(|call| call.fence).is_sorted());
 }
 
@@ -175,7 +175,7 @@
     let site = Site::start(&[("app", None, ECHO)], 2).await;
     site.configure_tenants(&tenants()).await;
     ask_often(&site, "first", 4).await;
-    for fault in [OperationsFault::TooMany, OperationsFault::Refuse] {
+    for fault in [OperationsFault::TooManyRequests, OperationsFault::Refuse] {
         let before = reports(&site, "not_done").await;
         site.operations.set_fault(fault);
         ask_often(&site, &format!("{fault:?}"), 1).await;
@@ -187,7 +187,7 @@
     site.operations.set_fault(OperationsFault::None);
     until_reported(&site, 12, 6).await;
     assert_eq!(reports(&site, "refused").await, 0.0);
-    let calls = site.operations.usage();
+    let calls = site.operations.usage_calls();
     assert!(calls.iter().all(|call| call.fence == calls[0].fence));
 }
 
@@ -197,9 +197,9 @@
     site.configure_tenants(&tenants()).await;
     ask_often(&site, "first", 4).await;
     until_reported(&site, 8, 4).await;
-    let calls = site.operations.usage();
+    let calls = site.operations.usage_calls();
     let (holder, fence) = (calls[0].holder.clone(), calls[0].fence);
-    site.operations.see_usage_fence(fence + 1);
+    site.operations.record_usage_fence(fence + 1);
     ask_often(&site, "second", 4).await;
     eventually("a report is refused", || async {
         (reports(&site, "refused").await > 0.0).then_some(())
@@ -212,7 +212,7 @@
     drop(site.gateways.remove(index.expect("a gateway's number")));
     ask_often(&site, "fourth", 4).await;
     eventually("the next holder reports", || async {
-        let calls = site.operations.usage();
+        let calls = site.operations.usage_calls();
         calls.iter().any(|call| call.fence > fence).then_some(())
     })
     .await;
--- a/crates/cli/tests/gateway_platform/worker_orders.rs
+++ b/crates/cli/tests/gateway_platform/worker_orders.rs
@@ -25,7 +25,7 @@
 }
 
 fn desired(site: &Site, spot: bool) -> Vec<u32> {
-    let calls = site.operations.scale();
+    let calls = site.operations.scale_calls();
     let of_kind = calls.iter().filter(|call| call.spot == spot);
     of_kind.map(|call| call.desired).collect()
 }
@@ -48,7 +48,7 @@
     })
     .await;
     drop(started);
-    let calls = site.operations.scale();
+    let calls = site.operations.scale_calls();
     let is_right = |call: &ScaleCall| call.service == "llm" && call.zone == ZONE;
     assert!(calls.iter().all(is_right), "{calls:?}");
 }
@@ -78,7 +78,7 @@
             .then_some(())
     })
     .await;
-    assert!(site.operations.scale().is_empty());
+    assert!(site.operations.scale_calls().is_empty());
 }
 
 /// Milliseconds after which an order that was left unanswered is carried out.
@@ -106,7 +106,7 @@
         .set_fault(OperationsFault::Late { after_ms: LATE_MS });
     site.configure_scaling(&scaling());
     eventually("an order is left unanswered", || async {
-        (site.operations.orders_under_way() > 0).then_some(())
+        (site.operations.pending_orders() > 0).then_some(())
     })
     .await;
     site.operations.set_fault(OperationsFault::None);
@@ -119,10 +119,10 @@
     site.configure_scaling(&scaling_up_to(FEWER));
     eventually("the newer order is carried out", || async {
         let last = desired(&site, true).last().copied()?;
-        (site.operations.orders_under_way() == 0 && last < FEWER).then_some(())
+        (site.operations.pending_orders() == 0 && last < FEWER).then_some(())
     })
     .await;
-    let calls = site.operations.scale();
+    let calls = site.operations.scale_calls();
     assert!(contradictions(&calls).is_empty(), "{calls:#?}");
     let late = calls.iter().filter(|call| call.desired == SPOT);
     assert!(late.count() > 0, "no order was carried out late");
@@ -133,7 +133,7 @@
     let site = site_with_an_unanswered_order().await;
     eventually("all are carried out", || async {
         let ordered = desired(&site, true);
-        (site.operations.orders_under_way() == 0 && ordered.len() > 1).then_some(())
+        (site.operations.pending_orders() == 0 && ordered.len() > 1).then_some(())
     })
     .await;
     let ordered = desired(&site, true);
--- a/crates/fault-soak/src/gateways.rs
+++ b/crates/fault-soak/src/gateways.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result};
-use tansyhall_platform_standin::{GatewayFields, Store, StoreDoor, StoreFault};
+use tansyhall_platform_standin::{GatewayFields, Store, StoreEndpoint, StoreFault};
 use tansyhall_testing::{gateway, gateway_of, GatewayAddresses, GatewayProcess};
 use tokio::time::sleep;
 
@@ -56,13 +56,13 @@
     process: RefCell<Option<GatewayProcess>>,
     is_busy: Cell<bool>,
     starts: Cell<usize>,
-    door: StoreDoor,
+    door: StoreEndpoint,
 }
 
 impl GatewaySlot {
     /// Starts a gateway.
     pub async fn start(place: GatewayPlace, store: &Store) -> Result<Self> {
-        let door = store.open_door()?;
+        let door = store.open_endpoint()?;
         let slot = Self {
             callers: Link::open(door.address).await?,
             store: Link::open(door.address).await?,
--- a/crates/fault-soak/src/link.rs
+++ b/crates/fault-soak/src/link.rs
@@ -11,7 +11,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
-use tansyhall_platform_standin::listen_again;
+use tansyhall_platform_standin::listen_on_reused_address;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -94,7 +94,7 @@
     /// Opens a link that may be closed and opened again at this entrance; a port that the system gives to
     /// outgoing connections may be taken meanwhile.
     pub fn open_at(entrance: SocketAddr, exit: SocketAddr) -> std::io::Result<Self> {
-        Self::of(listen_again(entrance)?, exit)
+        Self::of(listen_on_reused_address(entrance)?, exit)
     }
 
     fn of(listener: TcpListener, exit: SocketAddr) -> std::io::Result<Self> {
@@ -167,7 +167,7 @@
         if state.is_open.wait_for(|is_open| *is_open).await.is_err() {
             return;
         }
-        listener = listen_again(entrance).expect("the link's port is free");
+        listener = listen_on_reused_address(entrance).expect("the link's port is free");
     }
 }
 
--- a/crates/fault-soak/src/site.rs
+++ b/crates/fault-soak/src/site.rs
@@ -9,7 +9,7 @@
 use anyhow::Result;
 use serde_json::json;
 use tansyhall_gateway::presence;
-use tansyhall_platform_standin::{Operations, Operator, Store, StoreFault, WORKER_ENTRIES};
+use tansyhall_platform_standin::{Operations, Operator, Store, StoreFault, WORKER_ENTRY_PREFIX};
 use tansyhall_testing::{eventually, get_metric};
 use tokio::time::sleep;
 
@@ -253,7 +253,7 @@
         let peers = addresses.peers.to_string();
         if let Some(own) = announced.filter(|value| value.starts_with(&peers)) {
             let linked = own.replacen(&peers, &slot.copies.entrance.to_string(), 1);
-            self.store.rewrite(&key, linked.into_bytes());
+            self.store.replace_value(&key, linked.into_bytes());
         }
     }
 
@@ -287,8 +287,11 @@
     fn end_silent_entries(&self) {
         let workers = self.workers.borrow();
         let live: Vec<String> = workers.iter().map(|worker| worker.id()).collect();
-        for key in self.store.keys(WORKER_ENTRIES) {
-            if !live.iter().any(|id| key[WORKER_ENTRIES.len()..] == **id) {
+        for key in self.store.keys(WORKER_ENTRY_PREFIX) {
+            if !live
+                .iter()
+                .any(|id| key[WORKER_ENTRY_PREFIX.len()..] == **id)
+            {
                 self.store.remove(&key);
             }
         }
--- a/crates/fault-soak/src/worker/state.rs
+++ b/crates/fault-soak/src/worker/state.rs
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::Deserialize;
-use tansyhall_platform_standin::{Store, WORKER_ENTRIES};
+use tansyhall_platform_standin::{Store, WORKER_ENTRY_PREFIX};
 use tokio::sync::watch;
 
 use super::{entry, WorkerPlan};
@@ -324,7 +324,7 @@
     }
 
     fn key(&self) -> String {
-        format!("{WORKER_ENTRIES}{}", self.id)
+        format!("{WORKER_ENTRY_PREFIX}{}", self.id)
     }
 
     pub(super) fn record_arrival(&self, seen: SeenArrival) {
