--- a/crates/gateway/src/role_orders.rs
+++ b/crates/gateway/src/role_orders.rs
@@ -22,12 +22,12 @@
 use crate::authority::Authority;
 use crate::authority_claim;
 use crate::desired_roles::{self, DesiredRoles};
-use crate::events::{Event, Weight};
+use crate::events::{Event, Priority};
 use crate::protocol::{EngineReport, RoleOrder, WorkerCall};
 use crate::state::Shared;
 use crate::store_call::in_time;
 use crate::worker_notices::NoticeSource;
-use crate::worker_request::{Asked, WorkerRequest};
+use crate::worker_request::{RequestKind, WorkerRequest};
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Time in which every gateway receives a change of the desired roles.
@@ -210,7 +210,7 @@
     async fn order_role(&self, Epoch(fence): Epoch, worker: &Worker, role: Role) {
         let protocol = &self.shared.protocol;
         let report = self
-            .call(worker, Asked::Report, protocol.report_call())
+            .call(worker, RequestKind::Report, protocol.report_call())
             .await;
         let report = report.and_then(|body| protocol.engine_report(&body).ok());
         let Some(EngineReport {
@@ -228,7 +228,11 @@
                 ..WorkerNotice::default()
             };
             let notices = &self.shared.connections.notices;
-            notices.take(&worker.id, notice, NoticeSource::Answer(Asked::Report));
+            notices.apply(
+                &worker.id,
+                notice,
+                NoticeSource::Answer(RequestKind::Report),
+            );
             return;
         }
         if busy
@@ -245,7 +249,7 @@
             orders_taken,
         };
         let answered = self
-            .call(worker, Asked::Order, protocol.role_order(&order))
+            .call(worker, RequestKind::Order, protocol.role_order(&order))
             .await;
         let event = Event::Order {
             worker: worker.id.as_str(),
@@ -258,12 +262,12 @@
                 "unknown"
             },
         };
-        self.shared.log.record(Weight::Important, &event);
+        self.shared.log.record(Priority::Important, &event);
     }
 
     /// Calls an engine. Returns the body of a successful answer, or `None` if the call failed.
-    async fn call(&self, worker: &Worker, asked: Asked, call: WorkerCall) -> Option<Bytes> {
-        let request = WorkerRequest::of_call(asked, call);
+    async fn call(&self, worker: &Worker, kind: RequestKind, call: WorkerCall) -> Option<Bytes> {
+        let request = WorkerRequest::from_call(kind, call);
         let destination = self.shared.destination(worker);
         let answered = async {
             let sent = self.shared.connections.send(&destination, &request).await;
