--- a/crates/cli/tests/duty_counterexamples.rs
+++ b/crates/cli/tests/duty_counterexamples.rs
@@ -256,7 +256,7 @@
 
     async fn keep_alive(&self, LeaseId(lease): LeaseId) -> Result<Duration, StoreError> {
         if self.store.leases.borrow().contains(&lease) {
-            return Ok(lease::AUTHORITY.time_to_live);
+            return Ok(lease::AUTHORITY_TIMING.time_to_live);
         }
         if let (true, Some(claimed)) = (self.answers_between_looks, self.store.claimed.get()) {
             // The authority looked when it made the claim, and at each pace since.
@@ -315,19 +315,23 @@
         let store = Rc::clone(&client.store);
         let adapter = Adapter {
             protocol: Arc::new(PlatformProtocol),
-            catalogue: Arc::new(PlatformCatalogue),
+            store_schema: Arc::new(PlatformCatalogue),
             store: Rc::new(client),
             duties: None,
         };
         let shared = create_shared_state(settings, &adapter, log).expect("a gateway");
-        let kept = NodeLease::new(authority_claim::KEY, lease::AUTHORITY, false);
+        let kept = NodeLease::new(authority_claim::KEY, lease::AUTHORITY_TIMING, false);
         let authority = Authority::new(kept.clone());
         let copies = Rc::new(Cell::new(true));
         let client = || Rc::clone(&adapter.store);
         let mut tasks = vec![
             actix_rt::spawn(copy(Arc::clone(&shared), store, Rc::clone(&copies))),
-            actix_rt::spawn(kept.keep(Arc::clone(&shared), client())),
-            actix_rt::spawn(authority.clone().seek(Arc::clone(&shared), client())),
+            actix_rt::spawn(kept.maintain(Arc::clone(&shared), client())),
+            actix_rt::spawn(
+                authority
+                    .clone()
+                    .claim_and_hold(Arc::clone(&shared), client()),
+            ),
         ];
         if let Some(operations) = operations {
             let calls = DutyCalls::new(&shared, operations, authority.clone());
--- a/crates/cli/tests/gateway_platform/restored_store.rs
+++ b/crates/cli/tests/gateway_platform/restored_store.rs
@@ -6,7 +6,7 @@
 use prost::Message;
 use serde_json::json;
 use tansyhall_forwarding::MirrorUpdate;
-use tansyhall_gateway::protocol::Catalogue;
+use tansyhall_gateway::protocol::StoreSchema;
 use tansyhall_gateway::update_message::{UpdateHead, UpdateMessage};
 use tansyhall_platform::PlatformCatalogue;
 use tansyhall_platform_standin::{Backup, Behaviour, Order, StoreFault, WORKER_ENTRY_PREFIX};
@@ -186,7 +186,7 @@
     let key = PlatformCatalogue.configuration_key();
     let item = snapshot.items.iter().find(|item| item.key == key);
     let value = &item.expect("a configuration").value;
-    let configuration = PlatformCatalogue.configuration(value);
+    let configuration = PlatformCatalogue.decode_configuration(value);
     assert_eq!(configuration.expect("a configuration").version, version);
 }
 
--- a/crates/gateway/src/authority.rs
+++ b/crates/gateway/src/authority.rs
@@ -24,7 +24,7 @@
 use crate::events::{Event, Priority};
 use crate::lease::NodeLease;
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Name of the claim, from which each gateway's claim delay is derived.
 const CLAIM_NAME: &str = "roles";
@@ -70,7 +70,7 @@
     }
 
     /// Claims the authority when it is free, and keeps it, until the gateway stops.
-    pub async fn seek(self, shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
+    pub async fn claim_and_hold(self, shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
         let node = NodeId::new(shared.settings.read().node.name.clone());
         let delay = claim_delay(&PoolName::new(CLAIM_NAME), &node, MAX_CLAIM_DELAY);
         let mut claimant = Claimant {
@@ -98,7 +98,7 @@
     async fn check_claim(&mut self) {
         let now = self.shared.now();
         let lease = &self.authority.lease;
-        if self.claim.held_epoch().is_none() && !self.shared.hears_reports() {
+        if self.claim.held_epoch().is_none() && !self.shared.receives_load_reports() {
             lease.set_wanted(false);
             return;
         }
@@ -174,7 +174,7 @@
             operations,
         };
         // The outcome is not evaluated here: the claim is read back from the mirror.
-        if let Err(error) = in_time(self.store.transact(&transaction)).await {
+        if let Err(error) = with_timeout(self.store.transact(&transaction)).await {
             log::debug!("authority claim may not have been created: {error}");
         }
     }
--- a/crates/gateway/src/authority_claim.rs
+++ b/crates/gateway/src/authority_claim.rs
@@ -20,7 +20,7 @@
 }
 
 /// Returns the condition that the claim with this fence is still in the store.
-pub fn stands(Epoch(fence): Epoch) -> Compare {
+pub fn held_condition(Epoch(fence): Epoch) -> Compare {
     let revision = fence & ((1 << REVISION_BITS) - 1);
     Compare::ModifiedAt(KEY.into(), Revision(revision))
 }
--- a/crates/gateway/src/cache_recovery.rs
+++ b/crates/gateway/src/cache_recovery.rs
@@ -62,7 +62,7 @@
 }
 
 /// Answers a gateway's query for the known cache contents.
-pub async fn hand_over(shared: web::Data<Arc<Shared>>) -> HttpResponse {
+pub async fn serve_caches(shared: web::Data<Arc<Shared>>) -> HttpResponse {
     let parts = shared.directory.lock().known_parts();
     let message = CachesMessage {
         parts: parts.iter().map(encode_part).collect(),
@@ -74,7 +74,7 @@
 /// Recovers the cache contents once.
 pub async fn run(shared: Arc<Shared>) {
     wait_for_fleet(&shared).await;
-    while !shared.hears_reports() {
+    while !shared.receives_load_reports() {
         sleep(CHECK_INTERVAL).await;
     }
     if !query_gateways(&shared).await {
@@ -135,7 +135,7 @@
     let others = fleet
         .members()
         .filter(receives_reports)
-        .map(|member| member.copy);
+        .map(|member| member.peer_address);
     others
         .filter(|address| *address != settings.listen.peers)
         .collect()
@@ -185,5 +185,5 @@
         .await
         .ok()
         .flatten()?;
-    shared.protocol.cache_list(&body).ok()
+    shared.protocol.decode_cache_list(&body).ok()
 }
--- a/crates/gateway/src/duties.rs
+++ b/crates/gateway/src/duties.rs
@@ -58,7 +58,7 @@
 
 impl DutyOutcome {
     /// Returns the name of the outcome in logs, and the platform's message.
-    pub fn parts(&self) -> (&'static str, &str) {
+    pub fn name_and_detail(&self) -> (&'static str, &str) {
         match self {
             DutyOutcome::Done => ("done", ""),
             DutyOutcome::Refused(detail) => ("refused", detail),
--- a/crates/gateway/src/exchange/mod.rs
+++ b/crates/gateway/src/exchange/mod.rs
@@ -24,7 +24,7 @@
 use crate::placement::OpenPlacement;
 use crate::protocol::{CallerTerms, SendTerms, Work};
 use crate::send_guard::{SendDetails, SendGuard};
-use crate::state::{whole_millis, InFlight, Routed, Shared};
+use crate::state::{saturating_millis, InFlightGuard, RoutedRequest, Shared};
 use crate::worker_request::{RequestKind, WorkerRequest};
 
 /// Time after which a refused caller should retry if there is no better estimate; also the shortest such time
@@ -55,7 +55,7 @@
     /// The conditions that the caller's headers and body state.
     pub terms: CallerTerms,
     /// The matching route and its service.
-    pub routed: Routed,
+    pub routed: RoutedRequest,
     /// When the request arrived.
     pub arrived: Timestamp,
     /// Time until which the caller waits for the answer.
@@ -79,14 +79,14 @@
     usage_counted: bool,
     /// Random number that determines which workers are compared, and which of several nearly equal engines is chosen.
     draw: u64,
-    _in_flight: InFlight,
+    _in_flight: InFlightGuard,
 }
 
 impl Exchange {
     /// Creates the exchange for a request that starts now.
     pub fn new(shared: &Arc<Shared>, request: CallerRequest, sink: AnswerSink) -> Self {
         Self {
-            _in_flight: InFlight::begin(shared),
+            _in_flight: InFlightGuard::begin(shared),
             shared: Arc::clone(shared),
             request,
             sink,
@@ -354,12 +354,12 @@
             configuration: self.request.routed.version,
             outcome,
             cause: self.cause,
-            waiting_ms: whole_millis(self.waiting),
+            waiting_ms: saturating_millis(self.waiting),
             sends,
-            objective_ms: whole_millis(self.route().latency_objective),
-            begun_ms: whole_millis(self.answer_started_after.unwrap_or_default()),
-            took_ms: whole_millis(now.since(self.request.arrived)),
-            left_ms: whole_millis(self.request.deadline.since(now)),
+            objective_ms: saturating_millis(self.route().latency_objective),
+            begun_ms: saturating_millis(self.answer_started_after.unwrap_or_default()),
+            took_ms: saturating_millis(now.since(self.request.arrived)),
+            left_ms: saturating_millis(self.request.deadline.since(now)),
             retries_left: self.retries_left(now),
             store_age_ms: self.shared.store_age_ms(),
             gateways: self.shared.gateways.load(Ordering::Relaxed),
--- a/crates/gateway/src/exchange/prompt.rs
+++ b/crates/gateway/src/exchange/prompt.rs
@@ -116,7 +116,7 @@
         let body = answer.body.read_whole(MAX_ANSWER_BYTES).await;
         let body =
             body.ok_or_else(|| FailedPromptRead::failed_after_start("answer was cut off"))?;
-        let handle = protocol.prompt_handle(&body);
+        let handle = protocol.decode_prompt_handle(&body);
         let handle =
             handle.map_err(|error| FailedPromptRead::failed_after_start(format!("{error:#}")))?;
         Ok(PromptHandle {
@@ -134,7 +134,7 @@
         let Some(worker) = self.worker(&handle.worker) else {
             return;
         };
-        let call = self.shared.protocol.release_handle(&handle.handle);
+        let call = self.shared.protocol.release_handle_call(&handle.handle);
         let request = WorkerRequest::from_call(RequestKind::Release, call);
         let destination = self.shared.destination(&worker);
         let connections = std::sync::Arc::clone(&self.shared.connections);
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -63,6 +63,6 @@
 
     /// Returns the address at which a gateway receives datagrams.
     pub fn load_address(&self, name: &str) -> Option<SocketAddr> {
-        self.members.get(name).map(|member| member.load)
+        self.members.get(name).map(|member| member.load_address)
     }
 }
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -20,10 +20,10 @@
 
 use crate::events::{Event, Priority};
 use crate::mirror_refresh::refresh;
-use crate::peers::{self, RELAY_WAIT};
+use crate::peers::{self, MAX_RELAY_WAIT};
 use crate::presence::{self, Member};
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 mod first_copy;
 
@@ -110,7 +110,7 @@
             Upstream::Store => self.request_from_store().await,
             Upstream::Relay(name) => {
                 let relay = relays.iter().find(|member| member.name == name);
-                if let Some(address) = relay.map(|member| member.copy) {
+                if let Some(address) = relay.map(|member| member.peer_address) {
                     self.request_from_relay(&name, address).await;
                 }
             }
@@ -132,7 +132,8 @@
         self.watch = None;
         let position = || self.shared.mirror.lock().position();
         let before = position();
-        let result = peers::ask(&mut self.client, address, RELAY_WAIT, &self.shared).await;
+        let result =
+            peers::pull_update(&mut self.client, address, MAX_RELAY_WAIT, &self.shared).await;
         let now = self.shared.now();
         match result {
             Ok(age) => {
@@ -190,7 +191,7 @@
             None if self.can_watch_from(known) => self.watch_after(known.revision).await?,
             None => return self.read_snapshot(None).await,
         };
-        let result = in_time(async { watch.next().await.transpose() }).await;
+        let result = with_timeout(async { watch.next().await.transpose() }).await;
         self.count_read(&result);
         self.record_epoch();
         let Some(events) = result? else {
@@ -225,7 +226,7 @@
     }
 
     async fn watch_after(&self, known: u64) -> Result<WatchStream, StoreError> {
-        in_time(self.store.watch(ALL_KEYS, Revision(known + 1))).await
+        with_timeout(self.store.watch(ALL_KEYS, Revision(known + 1))).await
     }
 
     fn count_read<T>(&self, result: &Result<T, StoreError>) {
@@ -255,7 +256,9 @@
 
     fn record_contact(&mut self, epoch: u64) {
         let now = self.shared.now();
-        self.shared.store_contact.mark(now, Duration::ZERO, epoch);
+        self.shared
+            .store_contact
+            .record_answer(now, Duration::ZERO, epoch);
         if std::mem::take(&mut self.is_store_lost) {
             self.record_dependency("regained", "");
         }
@@ -327,7 +330,7 @@
         position: Position::new(epoch.0, revision),
     };
     let contact = &shared.store_contact;
-    contact.mark(shared.now(), Duration::ZERO, epoch.0);
+    contact.record_answer(shared.now(), Duration::ZERO, epoch.0);
     record_store_revision(shared, revision);
     let touched = shared.mirror.lock().replace(snapshot);
     if touched.has_changes() {
@@ -357,7 +360,7 @@
 ) -> Result<RangePage, StoreError> {
     let mut failures = 0;
     loop {
-        match in_time(store.range_page(ALL_KEYS, after)).await {
+        match with_timeout(store.range_page(ALL_KEYS, after)).await {
             Err(StoreError::NotApplied(_)) if after.is_some() && failures < MAX_PAGE_RETRIES => {
                 failures += 1;
                 sleep(BACKOFF.delay(failures, rand::random()).max(MIN_RETRY_PAUSE)).await;
--- a/crates/gateway/src/follower/first_copy.rs
+++ b/crates/gateway/src/follower/first_copy.rs
@@ -17,9 +17,9 @@
 use super::{
     candidate, read_all_pages, read_page, Follower, MIN_RETRY_PAUSE, START_ANNOUNCEMENT_TIME,
 };
-use crate::peers::{self, RELAY_WAIT};
+use crate::peers::{self, MAX_RELAY_WAIT};
 use crate::presence::{self, Member};
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Time in which relays get the copy and send it to their subscribers: 4 MB in 52 pages, while all other gateways read
 /// the list of gateways. Afterwards their successors read the store as well, one after another.
@@ -86,7 +86,13 @@
             sleep(MIN_RETRY_PAUSE).await;
             return self.has_copy();
         };
-        let result = peers::ask(&mut self.client, relay.copy, RELAY_WAIT, &self.shared).await;
+        let result = peers::pull_update(
+            &mut self.client,
+            relay.peer_address,
+            MAX_RELAY_WAIT,
+            &self.shared,
+        )
+        .await;
         if let Err(error) = result {
             log::debug!(
                 "request for the first copy to relay {} failed: {error:#}",
@@ -128,9 +134,11 @@
         let mut after: Option<String> = None;
         loop {
             let page = self.store.range_page(presence::PREFIX, after.as_deref());
-            let page = in_time(page).await?;
+            let page = with_timeout(page).await?;
             let entries = page.entries.iter();
-            listed.extend(entries.filter_map(|entry| presence::member(&entry.key, &entry.value)));
+            listed.extend(
+                entries.filter_map(|entry| presence::decode_member(&entry.key, &entry.value)),
+            );
             match page.entries.last() {
                 Some(last) if page.more => after = Some(last.key.clone()),
                 _ => return Ok(listed),
--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -17,7 +17,7 @@
 use crate::exchange::{CallerRequest, Exchange};
 use crate::headers::HeaderList;
 use crate::protocol::CallerTerms;
-use crate::state::{InFlight, InForce, NotRouted, Routed, Shared};
+use crate::state::{ConfigurationInForce, InFlightGuard, RoutedRequest, RoutingError, Shared};
 
 /// Retry time for callers of a gateway that cannot serve requests yet. A gateway that started together with hundreds of
 /// others had the configuration after 0.8 s; callers that retry earlier are refused again.
@@ -48,7 +48,7 @@
     shared: web::Data<Arc<Shared>>,
 ) -> HttpResponse {
     let shared: &Arc<Shared> = &shared;
-    let in_flight = InFlight::begin(shared);
+    let in_flight = InFlightGuard::begin(shared);
     let response = match read_request(&request, payload, shared).await {
         Ok(caller_request) => forward(shared, caller_request, request.version()).await,
         Err(refusal) => {
@@ -66,7 +66,7 @@
     shared: &Arc<Shared>,
 ) -> Result<CallerRequest, Refusal> {
     let arrived = shared.now();
-    if !shared.accepts() {
+    if !shared.accepts_requests() {
         return Err(Refusal::Leaving);
     }
     let in_force = shared.in_force().ok_or(Refusal::NotReady)?;
@@ -74,11 +74,11 @@
     headers.remove_connection_headers();
     let terms = shared
         .protocol
-        .caller_terms(&headers)
+        .parse_caller_terms(&headers)
         .map_err(|bad| Refusal::BadRequest(bad.to_string()))?;
     let routed = route(request, &terms, &in_force)?;
     let limits = in_force.limits();
-    let caller_timeout = terms.patience.unwrap_or(routed.route.timeout);
+    let caller_timeout = terms.timeout.unwrap_or(routed.route.timeout);
     let time_limit = caller_timeout.min(routed.route.timeout);
     let body = timeout(time_limit, read_body(payload, limits.body_bytes))
         .await
@@ -108,13 +108,13 @@
 fn route(
     request: &HttpRequest,
     terms: &CallerTerms,
-    in_force: &InForce,
-) -> Result<Routed, Refusal> {
+    in_force: &ConfigurationInForce,
+) -> Result<RoutedRequest, Refusal> {
     let host = host(request).ok_or(Refusal::NoRoute)?;
     let routed = in_force.route(host, request.uri().path(), terms.key.as_ref());
     routed.map_err(|reason| match reason {
-        NotRouted::NoRoute => Refusal::NoRoute,
-        NotRouted::UnknownKey => Refusal::UnknownKey,
+        RoutingError::NoRoute => Refusal::NoRoute,
+        RoutingError::UnknownKey => Refusal::UnknownKey,
     })
 }
 
@@ -235,7 +235,7 @@
 }
 
 fn record_refusal(request: &HttpRequest, refusal: &Refusal, shared: &Shared) {
-    let terms = shared.protocol.caller_terms(&caller_headers(request));
+    let terms = shared.protocol.parse_caller_terms(&caller_headers(request));
     let request_id = terms.ok().and_then(|terms| terms.request_id);
     let in_force = shared.in_force();
     let event = Event::Refused {
--- a/crates/gateway/src/lease.rs
+++ b/crates/gateway/src/lease.rs
@@ -17,18 +17,18 @@
 use tokio::time::sleep;
 
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Timing of the lease for a gateway's announcement. Every gateway renews one, and with hundreds of gateways
 /// these renewals are a large part of all calls to the store. A longer time to live is acceptable, because
 /// gateways that send requests to a crashed gateway notice the crash sooner.
-pub const PRESENCE: LeaseTiming = LeaseTiming {
+pub const PRESENCE_TIMING: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(12),
     renewal_interval: Duration::from_secs(4),
     clock_drift_margin: Duration::from_millis(500),
 };
 /// Timing of the lease for the authority over the site.
-pub const AUTHORITY: LeaseTiming = LeaseTiming {
+pub const AUTHORITY_TIMING: LeaseTiming = LeaseTiming {
     time_to_live: Duration::from_secs(3),
     renewal_interval: Duration::from_secs(1),
     clock_drift_margin: Duration::from_millis(500),
@@ -74,7 +74,7 @@
     }
 
     /// Obtains and renews the lease until the gateway stops, then revokes it.
-    pub async fn keep(self, shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
+    pub async fn maintain(self, shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
         while !shared.is_stopping() {
             if self.wanted.load(Ordering::Relaxed) {
                 self.step(&shared, &*store).await;
@@ -145,7 +145,7 @@
     match action {
         LeaseAction::Wait => None,
         LeaseAction::Grant(time_to_live) => {
-            let granted = in_time(store.grant_lease(time_to_live)).await;
+            let granted = with_timeout(store.grant_lease(time_to_live)).await;
             Some(match granted {
                 Ok(LeaseId(lease)) => LeaseEvent::Granted {
                     lease: Lease(lease),
@@ -155,7 +155,7 @@
             })
         }
         LeaseAction::Renew(Lease(lease)) => {
-            let renewed = in_time(store.keep_alive(LeaseId(lease))).await;
+            let renewed = with_timeout(store.keep_alive(LeaseId(lease))).await;
             Some(match renewed {
                 Ok(time_to_live) => LeaseEvent::Renewed { time_to_live },
                 Err(StoreError::LeaseLapsed) => LeaseEvent::Lapsed,
@@ -163,7 +163,7 @@
             })
         }
         LeaseAction::Revoke(Lease(lease)) => {
-            let _ = in_time(store.revoke_lease(LeaseId(lease))).await;
+            let _ = with_timeout(store.revoke_lease(LeaseId(lease))).await;
             None
         }
     }
--- a/crates/gateway/src/load_exchange.rs
+++ b/crates/gateway/src/load_exchange.rs
@@ -102,7 +102,7 @@
     let settings = shared.settings.read();
     let places_own_requests =
         !settings.decisions.schedulers || fleet.plan.is_scheduler(&settings.node.name);
-    places_own_requests || shared.ledger.lock().has_requesting_gateways()
+    places_own_requests || shared.granted_placements.lock().has_requesting_gateways()
 }
 
 /// Sends a report to the gateways that place requests and to the holder of the authority.
--- a/crates/gateway/src/mirror_refresh.rs
+++ b/crates/gateway/src/mirror_refresh.rs
@@ -13,7 +13,7 @@
 use crate::fleet::Fleet;
 use crate::presence;
 use crate::quarantine;
-use crate::state::{InForce, Shared};
+use crate::state::{ConfigurationInForce, Shared};
 use crate::worker_entries;
 
 /// Updates the shared state from the items of the mirror that were touched. With thousands of workers, the cost of a
@@ -60,7 +60,7 @@
 
 /// Recomputes this gateway's share of the fleet's budgets if more gateways are counted than are announced. Gateways
 /// whose announcements were lost when the store was restored have announced themselves again by now, or are gone.
-pub fn share_budgets_anew(shared: &Shared) {
+pub fn update_budget_shares(shared: &Shared) {
     let announced = shared.fleet.read().len() as u64;
     let has_snapshot = !shared.mirror.lock().position().is_start();
     if has_snapshot && shared.gateways.load(Ordering::Relaxed) > announced {
@@ -83,7 +83,7 @@
 
 /// Applies the configuration. Returns whether it contains other services than the previous one.
 fn refresh_configuration(shared: &Arc<Shared>, touched: &Touched) -> bool {
-    let key = shared.catalogue.configuration_key();
+    let key = shared.store_schema.configuration_key();
     if !touched.covers(key) {
         return false;
     }
@@ -94,7 +94,7 @@
     if previous.as_ref().map(|in_force| in_force.written) == Some(item.written) {
         return false;
     }
-    let configuration = shared.catalogue.configuration(&item.value);
+    let configuration = shared.store_schema.decode_configuration(&item.value);
     let checked = configuration.and_then(|configuration| {
         configuration.validate()?;
         Ok(configuration)
@@ -125,14 +125,14 @@
             shared.metrics.configuration_version.set(version);
             let engines = engine_capacities(&configuration);
             shared.directory.lock().set_engines(engines);
-            let in_force = InForce::new(configuration, item.written);
+            let in_force = ConfigurationInForce::new(configuration, item.written);
             let services_changed =
                 previous.is_none_or(|previous| !previous.names_same_services(&in_force));
             *shared.in_force.write() = Some(Arc::new(in_force));
             services_changed
         }
         Err(error) => {
-            record_refused(shared, &item, &error);
+            record_refused_item(shared, &item, &error);
             false
         }
     }
@@ -147,7 +147,7 @@
 }
 
 /// Logs an item that cannot be used.
-pub fn record_refused(shared: &Shared, item: &Item, error: &anyhow::Error) {
+pub fn record_refused_item(shared: &Shared, item: &Item, error: &anyhow::Error) {
     let event = Event::ItemRefused {
         key: &item.key,
         revision: item.written.revision,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -47,7 +47,7 @@
 /// Longest time for the whole body of an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a relay may wait for changes before it answers a request.
-pub const RELAY_WAIT: Duration = Duration::from_millis(300);
+pub const MAX_RELAY_WAIT: Duration = Duration::from_millis(300);
 /// Longest wait for changes that a request may ask for.
 const MAX_CHANGES_WAIT: Duration = Duration::from_secs(2);
 /// Longest update that is accepted.
@@ -84,7 +84,7 @@
 }
 
 /// Answers a gateway's request for changes.
-pub async fn hand_over(
+pub async fn serve_changes(
     query: web::Query<ChangesQuery>,
     shared: web::Data<Arc<Shared>>,
 ) -> HttpResponse {
@@ -106,7 +106,7 @@
     let age = shared.store_contact.age(shared.now());
     let plain_message =
         |update| UpdateMessage::new(update, age, &mut shared.deflated_values.lock());
-    let mut cache = shared.copy_answers.lock();
+    let mut cache = shared.update_cache.lock();
     let mirror = shared.mirror.lock();
     let epoch = mirror.position().epoch;
     let after = query.position(epoch);
@@ -129,21 +129,21 @@
 /// Creates a client for requests to gateways.
 pub fn client() -> Client {
     Client::builder()
-        .timeout(RELAY_WAIT + CALL_TIMEOUT)
+        .timeout(MAX_RELAY_WAIT + CALL_TIMEOUT)
         .finish()
 }
 
 /// Requests an update from a gateway, applies it, and returns the age of the gateway's information. An update of an
 /// earlier epoch is obsolete and is not applied.
-pub async fn ask(
+pub async fn pull_update(
     client: &mut Client,
     peer: SocketAddr,
     wait: Duration,
     shared: &Arc<Shared>,
 ) -> anyhow::Result<Duration> {
     let after = shared.mirror.lock().position();
-    let ReceivedUpdate { update, epoch, age } = fetch(client, peer, after, wait).await?;
-    let is_current_epoch = shared.store_contact.mark(shared.now(), age, epoch);
+    let ReceivedUpdate { update, epoch, age } = fetch_update(client, peer, after, wait).await?;
+    let is_current_epoch = shared.store_contact.record_answer(shared.now(), age, epoch);
     if !is_current_epoch {
         return Ok(OBSOLETE_AGE);
     }
@@ -169,7 +169,7 @@
 /// Requests from a gateway the update after a position. The answer must carry the number of this request:
 /// the first answer on a reused connection may be a late answer to an earlier request, and its age would be
 /// mistaken for the current one. The connections of a client that received such an answer are not used again.
-pub async fn fetch(
+pub async fn fetch_update(
     client: &mut Client,
     peer: SocketAddr,
     after: Position,
@@ -212,8 +212,8 @@
 /// answering gateway may have to deflate first.
 fn head_timeout(after: Position) -> Duration {
     match after.is_start() {
-        true => RELAY_WAIT + SNAPSHOT_TIMEOUT,
-        false => RELAY_WAIT + CALL_TIMEOUT,
+        true => MAX_RELAY_WAIT + SNAPSHOT_TIMEOUT,
+        false => MAX_RELAY_WAIT + CALL_TIMEOUT,
     }
 }
 
@@ -235,7 +235,7 @@
 }
 
 /// Polls any gateway while neither the store nor a relay sends updates.
-pub async fn follow(shared: Arc<Shared>) {
+pub async fn poll_while_stale(shared: Arc<Shared>) {
     let mut client = client();
     let mut relies_on_peers = false;
     loop {
@@ -251,7 +251,7 @@
             continue;
         }
         let Some(peer) = pick(&shared) else { continue };
-        if let Err(error) = ask(&mut client, peer, Duration::ZERO, &shared).await {
+        if let Err(error) = pull_update(&mut client, peer, Duration::ZERO, &shared).await {
             log::debug!("no update from peer {peer}: {error:#}");
         }
     }
@@ -275,14 +275,17 @@
     let fleet = shared.fleet.read().clone();
     let is_other = |peer: &SocketAddr| *peer != settings.listen.peers;
     let is_in_zone = |member: &&Member| member.zone.as_ref() == Some(&settings.node.zone);
-    let zone_peers = fleet.members().filter(is_in_zone).map(|member| member.copy);
+    let zone_peers = fleet
+        .members()
+        .filter(is_in_zone)
+        .map(|member| member.peer_address);
     let zone_peers: Vec<SocketAddr> = zone_peers.filter(is_other).collect();
     // Links between zones are slower and cost more, but one in a few requests uses them, because the whole zone may be
     // cut off.
     if !zone_peers.is_empty() && !rand::rng().random_ratio(1, ANY_ZONE_RATIO) {
         return zone_peers.choose(&mut rand::rng()).copied();
     }
-    let mut peers: Vec<SocketAddr> = fleet.members().map(|member| member.copy).collect();
+    let mut peers: Vec<SocketAddr> = fleet.members().map(|member| member.peer_address).collect();
     peers.extend(&settings.store.seeds);
     peers.retain(is_other);
     peers.choose(&mut rand::rng()).copied()
--- a/crates/gateway/src/placement/server.rs
+++ b/crates/gateway/src/placement/server.rs
@@ -32,7 +32,7 @@
     let zone = shared.zone();
     let id = message.request.as_ref().map(|request| request.id);
     apply_worker_notices(shared, &message);
-    let mut ledger = shared.ledger.lock();
+    let mut ledger = shared.granted_placements.lock();
     let mut directory = shared.directory.lock();
     let answer = ledger.handle_message(now, &mut directory, &zone, message)?;
     Some((id?, answer))
@@ -53,7 +53,11 @@
         if *worker_notice == WorkerNotice::default() && rate_limit.is_none() {
             continue;
         }
-        let worker = shared.ledger.lock().worker_of(message.sender, *id).cloned();
+        let worker = shared
+            .granted_placements
+            .lock()
+            .worker_of(message.sender, *id)
+            .cloned();
         let Some(worker) = worker else {
             continue;
         };
@@ -70,7 +74,7 @@
 /// Closes placements whose deadline has passed.
 pub fn expire(shared: &Shared) {
     let now = shared.now();
-    let mut ledger = shared.ledger.lock();
+    let mut ledger = shared.granted_placements.lock();
     let mut directory = shared.directory.lock();
     ledger.expire(now, &mut directory);
 }
--- a/crates/gateway/src/presence.rs
+++ b/crates/gateway/src/presence.rs
@@ -15,7 +15,7 @@
 use crate::lease::NodeLease;
 use crate::settings::GatewaySettings;
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Prefix of the keys under which gateways announce themselves.
 pub const PREFIX: &str = "tansyhall/gateways/";
@@ -34,9 +34,9 @@
     /// Its name.
     pub name: String,
     /// The address at which other gateways request updates of its mirror.
-    pub copy: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The address at which it receives datagrams.
-    pub load: SocketAddr,
+    pub load_address: SocketAddr,
     /// Its zone; `None` if the announcement is from an older version.
     pub zone: Option<ZoneName>,
     /// Its processor time in cores; 0 if the announcement is from an older version.
@@ -58,19 +58,19 @@
 pub fn members(mirror: &Mirror) -> Vec<Member> {
     mirror
         .items_with_prefix(PREFIX)
-        .filter_map(|item| member(&item.key, &item.value))
+        .filter_map(|item| decode_member(&item.key, &item.value))
         .collect()
 }
 
 /// Decodes a gateway's announcement. Returns `None` if it is malformed.
-pub fn member(key: &str, value: &[u8]) -> Option<Member> {
+pub fn decode_member(key: &str, value: &[u8]) -> Option<Member> {
     let mut words = std::str::from_utf8(value).ok()?.split(' ');
     let copy = words.next()?;
     let load = words.next()?;
     Some(Member {
         name: key.strip_prefix(PREFIX)?.to_owned(),
-        copy: copy.parse().ok()?,
-        load: load.parse().ok()?,
+        peer_address: copy.parse().ok()?,
+        load_address: load.parse().ok()?,
         zone: words.next().map(ZoneName::new),
         capacity: words.next().and_then(parse_capacity).unwrap_or_default(),
     })
@@ -80,8 +80,8 @@
 pub fn own_member(settings: &GatewaySettings) -> Member {
     Member {
         name: settings.node.name.clone(),
-        copy: settings.listen.peers,
-        load: settings.listen.load,
+        peer_address: settings.listen.peers,
+        load_address: settings.listen.load,
         zone: Some(settings.node.zone.clone()),
         capacity: settings.node.capacity(),
     }
@@ -126,6 +126,6 @@
         compare: Vec::new(),
         operations: vec![put],
     };
-    in_time(store.transact(&transaction)).await?;
+    with_timeout(store.transact(&transaction)).await?;
     Ok(())
 }
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -18,7 +18,7 @@
     /// The caller's id for the request; the worker that runs it repeats it in its answer.
     pub request_id: Option<String>,
     /// How long the caller waits for the answer.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The parts of the prompt, for requests to model engines.
     pub prompt: Vec<PromptPart>,
     /// The API key that identifies the caller. It is not forwarded to workers.
@@ -119,15 +119,15 @@
     /// Its role.
     pub role: Option<Role>,
     /// Whether it is currently carrying out an order.
-    pub busy: bool,
+    pub is_executing_order: bool,
     /// Whether it is leaving: it accepts no new requests.
-    pub leaves: bool,
+    pub is_leaving: bool,
 }
 
 /// The protocol between callers, the gateway and workers.
 pub trait Protocol: Send + Sync {
     /// Parses the parameters in the headers of a caller's request.
-    fn caller_terms(&self, headers: &HeaderList) -> Result<CallerTerms, BadRequest>;
+    fn parse_caller_terms(&self, headers: &HeaderList) -> Result<CallerTerms, BadRequest>;
     /// Returns the headers of a request to a worker, based on those of the caller's request.
     fn worker_headers(&self, caller: &HeaderList, terms: &SendTerms) -> HeaderList;
     /// Returns the id that an answer has in common with its request. Requests whose caller has set no id and
@@ -138,29 +138,29 @@
     /// Returns the notice about the worker itself in the head of its answer.
     fn worker_notice(&self, status: u16, headers: &HeaderList) -> WorkerNotice;
     /// Decodes the KV cache handle in the answer to [`Work::ReadPrompt`].
-    fn prompt_handle(&self, body: &[u8]) -> anyhow::Result<String>;
+    fn decode_prompt_handle(&self, body: &[u8]) -> anyhow::Result<String>;
     /// Returns the call that releases a KV cache handle which will not be used.
-    fn release_handle(&self, handle: &str) -> WorkerCall;
+    fn release_handle_call(&self, handle: &str) -> WorkerCall;
     /// Returns the call that requests an engine's report.
-    fn report_call(&self) -> WorkerCall;
+    fn engine_report_call(&self) -> WorkerCall;
     /// Decodes an engine's report.
-    fn engine_report(&self, body: &[u8]) -> anyhow::Result<EngineReport>;
+    fn decode_engine_report(&self, body: &[u8]) -> anyhow::Result<EngineReport>;
     /// Returns the call that requests the list of an engine's cache contents.
     fn cache_list_call(&self) -> WorkerCall;
     /// Decodes the list of an engine's cache contents.
-    fn cache_list(&self, body: &[u8]) -> anyhow::Result<Vec<PromptPart>>;
+    fn decode_cache_list(&self, body: &[u8]) -> anyhow::Result<Vec<PromptPart>>;
     /// Returns the call that orders an engine to change its role.
-    fn role_order(&self, order: &RoleOrder) -> WorkerCall;
+    fn role_order_call(&self, order: &RoleOrder) -> WorkerCall;
 }
 
 /// The keys and formats of the platform's items in the store.
-pub trait Catalogue: Send + Sync {
+pub trait StoreSchema: Send + Sync {
     /// Returns the key of the configuration.
     fn configuration_key(&self) -> &str;
     /// Returns the prefix of the keys of workers.
     fn worker_prefix(&self) -> &str;
     /// Decodes a configuration.
-    fn configuration(&self, value: &[u8]) -> anyhow::Result<Configuration>;
+    fn decode_configuration(&self, value: &[u8]) -> anyhow::Result<Configuration>;
     /// Decodes a worker's entry; `id` is its key without the prefix.
-    fn worker(&self, id: &str, value: &[u8]) -> anyhow::Result<Worker>;
+    fn decode_worker(&self, id: &str, value: &[u8]) -> anyhow::Result<Worker>;
 }
--- a/crates/gateway/src/quarantine/listed.rs
+++ b/crates/gateway/src/quarantine/listed.rs
@@ -17,7 +17,7 @@
 
 use super::record_barred;
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Prefix of the keys that list barred requests.
 pub const PREFIX: &str = "tansyhall/barred/";
@@ -111,11 +111,11 @@
 }
 
 async fn list(store: &dyn KeyValueStore, unlisted: &UnlistedRequest) -> Result<(), StoreError> {
-    let lease = in_time(store.grant_lease(quarantine::SUSPECT_TTL)).await?;
+    let lease = with_timeout(store.grant_lease(quarantine::SUSPECT_TTL)).await?;
     let transaction = listing_transaction(unlisted, lease);
-    let outcome = in_time(store.transact(&transaction)).await?;
+    let outcome = with_timeout(store.transact(&transaction)).await?;
     if !outcome.succeeded {
-        in_time(store.revoke_lease(lease)).await?;
+        with_timeout(store.revoke_lease(lease)).await?;
     }
     Ok(())
 }
@@ -140,7 +140,7 @@
         compare: Vec::new(),
         operations: vec![removal],
     };
-    in_time(store.transact(&transaction)).await?;
+    with_timeout(store.transact(&transaction)).await?;
     Ok(())
 }
 
--- a/crates/gateway/src/role_orders.rs
+++ b/crates/gateway/src/role_orders.rs
@@ -25,7 +25,7 @@
 use crate::events::{Event, Priority};
 use crate::protocol::{EngineReport, RoleOrder, WorkerCall};
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 use crate::worker_notices::NoticeSource;
 use crate::worker_request::{RequestKind, WorkerRequest};
 
@@ -169,14 +169,14 @@
             None => Compare::Absent(desired_roles::KEY.into()),
         };
         let transaction = Transaction {
-            compare: vec![authority_claim::stands(epoch), unchanged],
+            compare: vec![authority_claim::held_condition(epoch), unchanged],
             operations: vec![Operation::Put {
                 key: desired_roles::KEY.into(),
                 value: desired.encode(),
                 lease: None,
             }],
         };
-        let _ = in_time(self.store.transact(&transaction)).await;
+        let _ = with_timeout(self.store.transact(&transaction)).await;
     }
 
     async fn order_engines(&mut self, epoch: Epoch) {
@@ -210,21 +210,21 @@
     async fn order_role(&self, Epoch(fence): Epoch, worker: &Worker, role: Role) {
         let protocol = &self.shared.protocol;
         let report = self
-            .call(worker, RequestKind::Report, protocol.report_call())
+            .call(worker, RequestKind::Report, protocol.engine_report_call())
             .await;
-        let report = report.and_then(|body| protocol.engine_report(&body).ok());
+        let report = report.and_then(|body| protocol.decode_engine_report(&body).ok());
         let Some(EngineReport {
             orders_taken,
             role: current_role,
-            busy,
-            leaves,
+            is_executing_order,
+            is_leaving,
         }) = report
         else {
             return;
         };
-        if leaves {
+        if is_leaving {
             let notice = WorkerNotice {
-                is_leaving: leaves,
+                is_leaving,
                 ..WorkerNotice::default()
             };
             let notices = &self.shared.connections.notices;
@@ -235,7 +235,7 @@
             );
             return;
         }
-        if busy
+        if is_executing_order
             || current_role == Some(role)
             || self.authority.fence(&self.shared) != Some(Epoch(fence))
         {
@@ -249,7 +249,7 @@
             orders_taken,
         };
         let answered = self
-            .call(worker, RequestKind::Order, protocol.role_order(&order))
+            .call(worker, RequestKind::Order, protocol.role_order_call(&order))
             .await;
         let event = Event::Order {
             worker: worker.id.as_str(),
--- a/crates/gateway/src/run.rs
+++ b/crates/gateway/src/run.rs
@@ -36,7 +36,7 @@
 use crate::metrics::Metrics;
 use crate::mirror_refresh;
 use crate::placement::{self, PlacementClient};
-use crate::protocol::{Catalogue, Protocol};
+use crate::protocol::{Protocol, StoreSchema};
 use crate::settings::GatewaySettings;
 use crate::state::Shared;
 use crate::store_contact::StoreContact;
@@ -69,7 +69,7 @@
     /// The protocol of callers and workers.
     pub protocol: Arc<dyn Protocol>,
     /// The format of the items in the store.
-    pub catalogue: Arc<dyn Catalogue>,
+    pub store_schema: Arc<dyn StoreSchema>,
     /// The store.
     pub store: Rc<dyn KeyValueStore>,
     /// The operations that the platform offers, if any.
@@ -108,7 +108,7 @@
         Arc::clone(&shared),
         Rc::clone(&adapter.store),
     ));
-    actix_rt::spawn(peers::follow(Arc::clone(&shared)));
+    actix_rt::spawn(peers::poll_while_stale(Arc::clone(&shared)));
     shared.datagrams.bind(settings.listen.load).await?;
     actix_rt::spawn(load_exchange::run(Arc::clone(&shared)));
     actix_rt::spawn(placement::send_notices(Arc::clone(&shared)));
@@ -145,16 +145,18 @@
 fn spawn_lease_tasks(shared: &Arc<Shared>, adapter: &Adapter) {
     let store = &adapter.store;
     let own_key = presence::key(&shared.settings.read().node.name);
-    let presence = NodeLease::new(&own_key, lease::PRESENCE, true);
-    let authority = NodeLease::new(authority_claim::KEY, lease::AUTHORITY, false);
+    let presence = NodeLease::new(&own_key, lease::PRESENCE_TIMING, true);
+    let authority = NodeLease::new(authority_claim::KEY, lease::AUTHORITY_TIMING, false);
     for lease in [&presence, &authority] {
-        let renewal = lease.clone().keep(Arc::clone(shared), Rc::clone(store));
+        let renewal = lease.clone().maintain(Arc::clone(shared), Rc::clone(store));
         actix_rt::spawn(renewal);
     }
     let announcement = presence::announce(Arc::clone(shared), Rc::clone(store), presence);
     actix_rt::spawn(announcement);
     let authority = Authority::new(authority);
-    let acquisition = authority.clone().seek(Arc::clone(shared), Rc::clone(store));
+    let acquisition = authority
+        .clone()
+        .claim_and_hold(Arc::clone(shared), Rc::clone(store));
     actix_rt::spawn(acquisition);
     spawn_duties(shared, adapter, &authority);
 }
@@ -211,17 +213,17 @@
         settings: RwLock::new(Arc::new(settings)),
         clock,
         protocol: Arc::clone(&adapter.protocol),
-        catalogue: Arc::clone(&adapter.catalogue),
+        store_schema: Arc::clone(&adapter.store_schema),
         mirror: Mutex::new(Mirror::excluding_prefix(usage::ROWS_PREFIX)),
         mirror_position: watch::Sender::default(),
         deflated_values: Mutex::default(),
-        copy_answers: Mutex::default(),
+        update_cache: Mutex::default(),
         worker_entries: Mutex::default(),
         logged_workers: Mutex::default(),
         lapsed_workers: Mutex::default(),
         in_force: RwLock::new(None),
         directory,
-        ledger: Mutex::new(GrantedPlacements::default()),
+        granted_placements: Mutex::new(GrantedPlacements::default()),
         placements: PlacementClient::new(gateway),
         fleet: RwLock::new(Arc::new(fleet)),
         datagrams: Datagrams::default(),
@@ -275,8 +277,8 @@
     let server = HttpServer::new(move || {
         App::new()
             .app_data(data.clone())
-            .route("/changes", web::get().to(peers::hand_over))
-            .route("/caches", web::get().to(cache_recovery::hand_over))
+            .route("/changes", web::get().to(peers::serve_changes))
+            .route("/caches", web::get().to(cache_recovery::serve_caches))
     })
     .workers(1)
     .disable_signals()
@@ -328,7 +330,7 @@
         shared
             .connections
             .prune(|worker| shared.directory.lock().get(worker).is_some());
-        mirror_refresh::share_budgets_anew(&shared);
+        mirror_refresh::update_budget_shares(&shared);
         let now = shared.now();
         shared.directory.lock().expire_notices(now);
         shared.sends.lock().expire(now);
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -13,7 +13,7 @@
 use crate::connections::NotSentReason;
 use crate::events::{Event, Priority};
 use crate::placement::OpenPlacement;
-use crate::state::{whole_millis, Shared};
+use crate::state::{saturating_millis, Shared};
 use crate::worker_request::RequestKind;
 
 /// Returns the result of a send that failed before anything was sent.
@@ -233,9 +233,9 @@
             detail: &self.detail,
             reading_tokens: self.planned_tokens,
             fetched: self.fetch_from().is_some(),
-            expected_ms: whole_millis(self.expected_latency()),
-            head_ms: self.head_latency.map_or(0, whole_millis),
-            took_ms: whole_millis(now.since(self.started_at)),
+            expected_ms: saturating_millis(self.expected_latency()),
+            head_ms: self.head_latency.map_or(0, saturating_millis),
+            took_ms: saturating_millis(now.since(self.started_at)),
         };
         self.shared.log.record(priority, &event);
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,7 @@
 use crate::fleet::Fleet;
 use crate::metrics::Metrics;
 use crate::placement::PlacementClient;
-use crate::protocol::{Catalogue, Protocol};
+use crate::protocol::{Protocol, StoreSchema};
 use crate::settings::GatewaySettings;
 use crate::store_contact::StoreContact;
 use crate::update_cache::UpdateCache;
@@ -45,7 +45,7 @@
     /// The protocol of callers and workers.
     pub protocol: Arc<dyn Protocol>,
     /// The keys and formats of the store's items.
-    pub catalogue: Arc<dyn Catalogue>,
+    pub store_schema: Arc<dyn StoreSchema>,
     /// The mirror of the store.
     pub mirror: Mutex<Mirror>,
     /// The position of the mirror, for tasks that wait for a newer one.
@@ -53,7 +53,7 @@
     /// Long values of the mirror, deflated for other gateways.
     pub deflated_values: Mutex<DeflatedValues>,
     /// Deflated updates for gateways that follow this mirror. Locked before `mirror`.
-    pub copy_answers: Mutex<UpdateCache>,
+    pub update_cache: Mutex<UpdateCache>,
     /// Workers' entries as last decoded. Locked before `directory` where both are locked.
     pub worker_entries: Mutex<WorkerEntries>,
     /// Workers that accept requests, as last logged.
@@ -61,11 +61,11 @@
     /// Workers that are still used although their entries lapsed while the store was unavailable.
     pub lapsed_workers: Mutex<LapsedWorkers>,
     /// The configuration in force and its routes.
-    pub in_force: RwLock<Option<Arc<InForce>>>,
+    pub in_force: RwLock<Option<Arc<ConfigurationInForce>>>,
     /// Workers and their estimated load.
     pub directory: Arc<Mutex<Directory>>,
     /// Placements granted to other gateways. Locked before `directory` where both are locked.
-    pub ledger: Mutex<GrantedPlacements>,
+    pub granted_placements: Mutex<GrantedPlacements>,
     /// Client for placements that schedulers make for this gateway.
     pub placements: PlacementClient,
     /// The gateways that are announced in the store.
@@ -99,7 +99,7 @@
 }
 
 /// A configuration in force, with its routes and tenants indexed.
-pub struct InForce {
+pub struct ConfigurationInForce {
     /// The configuration.
     pub configuration: Configuration,
     /// The store position at which it was written.
@@ -113,7 +113,7 @@
 
 /// Why a request is not routed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotRouted {
+pub enum RoutingError {
     /// No route matches its host and path.
     NoRoute,
     /// Its route is not public, and no tenant has its API key.
@@ -121,7 +121,7 @@
 }
 
 /// The result of routing a request.
-pub struct Routed {
+pub struct RoutedRequest {
     /// The route that matches the request.
     pub route: Arc<Route>,
     /// The service that the route selected for this request.
@@ -136,7 +136,7 @@
     pub version: u64,
 }
 
-impl InForce {
+impl ConfigurationInForce {
     /// Indexes a configuration that was written to the store at `written`.
     pub fn new(configuration: Configuration, written: Position) -> Self {
         let routes = Mutex::new(RouteTable::new(&configuration));
@@ -152,20 +152,25 @@
     }
 
     /// Routes a request from the caller with this API key.
-    pub fn route(&self, host: &str, path: &str, key: Option<&ApiKey>) -> Result<Routed, NotRouted> {
+    pub fn route(
+        &self,
+        host: &str,
+        path: &str,
+        key: Option<&ApiKey>,
+    ) -> Result<RoutedRequest, RoutingError> {
         let mut routes = self.routes.lock();
-        let matched = routes.find(host, path).ok_or(NotRouted::NoRoute)?;
+        let matched = routes.find(host, path).ok_or(RoutingError::NoRoute)?;
         let tenant = self.tenant_of(key);
         if self.tenants.is_some() && tenant.is_none() && !matched.public {
-            return Err(NotRouted::UnknownKey);
+            return Err(RoutingError::UnknownKey);
         }
         let routed = routes.route_request(host, path);
         drop(routes);
-        let (route, service) = routed.ok_or(NotRouted::NoRoute)?;
+        let (route, service) = routed.ok_or(RoutingError::NoRoute)?;
         let tenant_rank = tenant.as_ref().and_then(|tenant| tenant.rank);
         let rank = tenant_rank.filter(|_| !route.public).unwrap_or(route.rank);
         let most_urgent = self.most_urgent_ranks.get(&service);
-        Ok(Routed {
+        Ok(RoutedRequest {
             yields: most_urgent.is_some_and(|most_urgent| *most_urgent < rank),
             rank,
             tenant: tenant.map(|tenant| tenant.name.clone()),
@@ -206,7 +211,7 @@
     }
 
     /// Returns the configuration in force, if one has been received.
-    pub fn in_force(&self) -> Option<Arc<InForce>> {
+    pub fn in_force(&self) -> Option<Arc<ConfigurationInForce>> {
         self.in_force.read().clone()
     }
 
@@ -217,7 +222,7 @@
 
     /// Returns whether this gateway receives the other gateways' reports of load and of cache contents. It does if it
     /// places requests, or is next in line to do so.
-    pub fn hears_reports(&self) -> bool {
+    pub fn receives_load_reports(&self) -> bool {
         let settings = self.settings.read();
         let fleet = self.fleet.read();
         !settings.decisions.schedulers || fleet.plan.is_listener(&settings.node.name)
@@ -225,7 +230,7 @@
 
     /// Returns the milliseconds since the store last answered.
     pub fn store_age_ms(&self) -> u64 {
-        whole_millis(self.store_contact.age(self.now()))
+        saturating_millis(self.store_contact.age(self.now()))
     }
 
     /// Returns whether SIGTERM was received.
@@ -234,7 +239,7 @@
     }
 
     /// Returns the time since SIGTERM was received, or `None` if it was not.
-    pub fn stopping_for(&self) -> Option<Duration> {
+    pub fn time_since_sigterm(&self) -> Option<Duration> {
         let since = self.stopping_since.get()?;
         Some(self.now().since(*since))
     }
@@ -245,8 +250,8 @@
     }
 
     /// Returns whether a request that arrives now is accepted.
-    pub fn accepts(&self) -> bool {
-        self.stopping_for()
+    pub fn accepts_requests(&self) -> bool {
+        self.time_since_sigterm()
             .is_none_or(|elapsed| self.stop_plan().accepts(elapsed))
     }
 
@@ -270,9 +275,9 @@
 }
 
 /// Counts a request as in progress until it is dropped.
-pub struct InFlight(Arc<Shared>);
+pub struct InFlightGuard(Arc<Shared>);
 
-impl InFlight {
+impl InFlightGuard {
     /// Starts to count a request.
     pub fn begin(shared: &Arc<Shared>) -> Self {
         shared.in_flight.fetch_add(1, Ordering::Relaxed);
@@ -280,13 +285,13 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Returns a duration in whole milliseconds, as it is written to logs.
-pub fn whole_millis(duration: Duration) -> u64 {
+pub fn saturating_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/store_call.rs
+++ b/crates/gateway/src/store_call.rs
@@ -10,7 +10,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Returns the result of the call, or [`StoreError::Unknown`] if there was no answer in time.
-pub async fn in_time<T>(
+pub async fn with_timeout<T>(
     call: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     timeout(CALL_TIMEOUT, call).await.unwrap_or_else(|_| {
--- a/crates/gateway/src/store_contact.rs
+++ b/crates/gateway/src/store_contact.rs
@@ -26,7 +26,7 @@
 impl StoreContact {
     /// Records that the store gave an answer in this epoch `age` ago, to this gateway or to one that passed it on.
     /// Returns whether the epoch is the latest one known. An answer of an earlier epoch is not recorded.
-    pub fn mark(&self, now: Timestamp, age: Duration, epoch: u64) -> bool {
+    pub fn record_answer(&self, now: Timestamp, age: Duration, epoch: u64) -> bool {
         let mut contact = self.0.lock();
         let known_epoch = contact.epoch.unwrap_or(epoch);
         if epoch < known_epoch {
@@ -47,7 +47,7 @@
     }
 
     /// Returns when the store last answered again after it was unavailable or restored, or `None` if it never was.
-    pub fn returned(&self) -> Option<Timestamp> {
+    pub fn last_return(&self) -> Option<Timestamp> {
         self.0.lock().last_return
     }
 
--- a/crates/gateway/src/usage/collector.rs
+++ b/crates/gateway/src/usage/collector.rs
@@ -12,7 +12,7 @@
 use super::state::Usage;
 use super::ROWS_PREFIX;
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Pause between two writes of all collectors of a fleet together. If all gateways crash at once, the counts of half a
 /// pause are lost on average, which is 4% of a window of five seconds. A shorter pause wakes all watchers of the store
@@ -74,7 +74,7 @@
             lease: None,
         }],
     };
-    match in_time(store.transact(&transaction)).await {
+    match with_timeout(store.transact(&transaction)).await {
         Ok(_) => true,
         Err(error) => {
             log::debug!("collected usage may not have been written: {error}");
--- a/crates/gateway/src/usage/reporter.rs
+++ b/crates/gateway/src/usage/reporter.rs
@@ -29,7 +29,7 @@
 use crate::duty_calls::DutyCalls;
 use crate::events::{Event, Priority};
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Pause between two checks, and between two calls for one report.
 const CHECK_INTERVAL: Duration = Duration::from_millis(400);
@@ -121,7 +121,7 @@
     }
 
     async fn rows(&self) -> Option<Rows> {
-        match in_time(self.store.range(ROWS_PREFIX)).await {
+        match with_timeout(self.store.range(ROWS_PREFIX)).await {
             Ok(range) => Some(Rows::read(range.entries)),
             Err(error) => {
                 log::debug!("failed to read collected usage: {error}");
@@ -167,13 +167,13 @@
         };
         let transaction = Transaction {
             compare: vec![
-                authority_claim::stands(epoch),
+                authority_claim::held_condition(epoch),
                 Compare::Absent(report_key(window)),
                 no_other_decision,
             ],
             operations: limit_operations(operations),
         };
-        let outcome = in_time(self.store.transact(&transaction)).await;
+        let outcome = with_timeout(self.store.transact(&transaction)).await;
         self.record_decision(
             window,
             &counts,
@@ -242,7 +242,7 @@
     }
 
     fn record_report(&self, window: WindowNumber, outcome: &DutyOutcome) {
-        let (outcome, detail) = outcome.parts();
+        let (outcome, detail) = outcome.name_and_detail();
         self.shared
             .metrics
             .usage_reports
--- a/crates/gateway/src/worker_entries.rs
+++ b/crates/gateway/src/worker_entries.rs
@@ -16,7 +16,7 @@
 
 use crate::departed_workers::DepartedWorkers;
 use crate::events::{Event, Priority};
-use crate::mirror_refresh::record_refused;
+use crate::mirror_refresh::record_refused_item;
 use crate::state::Shared;
 
 /// Minimum time between two log lines about changes of the workers.
@@ -75,7 +75,7 @@
 
 /// Applies the entries that were touched. `services_changed` says that the services of the configuration have changed.
 pub fn refresh(shared: &Arc<Shared>, touched: &Touched, services_changed: bool) {
-    let prefix = shared.catalogue.worker_prefix();
+    let prefix = shared.store_schema.worker_prefix();
     match touched {
         Touched::Nothing => {}
         Touched::Keys(keys) => {
@@ -111,7 +111,7 @@
 
 /// Applies the current state of one entry in the mirror of the store.
 fn refresh_entry(shared: &Shared, name: &str) {
-    let key = format!("{}{name}", shared.catalogue.worker_prefix());
+    let key = format!("{}{name}", shared.store_schema.worker_prefix());
     let mirror = shared.mirror.lock();
     let item = mirror.get(&key).cloned();
     let epoch = mirror.position().epoch;
@@ -142,8 +142,8 @@
     item: &Item,
     previous: Option<WorkerEntry>,
 ) -> WorkerEntry {
-    let decoded = shared.catalogue.worker(name, &item.value);
-    let worker = decoded.map_err(|error| record_refused(shared, item, &error));
+    let decoded = shared.store_schema.decode_worker(name, &item.value);
+    let worker = decoded.map_err(|error| record_refused_item(shared, item, &error));
     let worker = worker.map(|worker| {
         let departed = &mut known.departed;
         match is_still_leaving(
@@ -256,7 +256,7 @@
 }
 
 fn handle_removed_entry(shared: &Shared, worker: &Worker) {
-    let returned = shared.store_contact.returned();
+    let returned = shared.store_contact.last_return();
     let is_leaving = shared.directory.lock().has_stated_leaving(&worker.id);
     let mut lapsed = shared.lapsed_workers.lock();
     let is_usable = !is_leaving && lapsed.record_missing_entry(shared.now(), returned, worker);
@@ -282,7 +282,7 @@
 pub async fn withdraw_overdue_workers(shared: Arc<Shared>) {
     loop {
         sleep(EXPIRY_CHECK_INTERVAL).await;
-        let returned = shared.store_contact.returned();
+        let returned = shared.store_contact.last_return();
         let now = shared.now();
         let overdue = shared.lapsed_workers.lock().take_overdue(now, returned);
         let mut directory = shared.directory.lock();
--- a/crates/gateway/src/worker_notices.rs
+++ b/crates/gateway/src/worker_notices.rs
@@ -16,7 +16,7 @@
 use crate::events::{Event, EventLog, Priority};
 use crate::headers::HeaderList;
 use crate::protocol::Protocol;
-use crate::state::whole_millis;
+use crate::state::saturating_millis;
 use crate::worker_request::{RequestKind, WorkerRequest};
 
 /// Statuses of successful answers.
@@ -129,7 +129,7 @@
             let event = Event::WorkerRests {
                 worker: worker.as_str(),
                 source: source.name(),
-                rest_ms: whole_millis(backoff),
+                rest_ms: saturating_millis(backoff),
             };
             self.log.record(Priority::Important, &event);
         }
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -34,7 +34,7 @@
 use crate::duty_calls::DutyCalls;
 use crate::events::{Event, Priority};
 use crate::state::Shared;
-use crate::store_call::in_time;
+use crate::store_call::with_timeout;
 
 /// Store key of the planned numbers of workers.
 const PLANNED_WORKERS_KEY: &str = "tansyhall/workers";
@@ -156,7 +156,7 @@
             None => Compare::Absent(PLANNED_WORKERS_KEY.into()),
         };
         let transaction = Transaction {
-            compare: vec![authority_claim::stands(epoch), unchanged],
+            compare: vec![authority_claim::held_condition(epoch), unchanged],
             operations: vec![Operation::Put {
                 key: PLANNED_WORKERS_KEY.into(),
                 value: serde_json::to_vec(planned).unwrap_or_default(),
@@ -164,7 +164,7 @@
             }],
         };
         // The result is not used: the numbers are read back from the copy of the store.
-        if let Err(error) = in_time(self.store.transact(&transaction)).await {
+        if let Err(error) = with_timeout(self.store.transact(&transaction)).await {
             log::debug!("planned numbers of workers may not have been written: {error}");
         }
     }
@@ -308,7 +308,7 @@
     }
 
     fn record(&self, order: &WorkerOrder, needed: u32, outcome: &DutyOutcome) {
-        let (outcome, detail) = outcome.parts();
+        let (outcome, detail) = outcome.name_and_detail();
         let kind = order.kind.name();
         self.shared
             .metrics
--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -223,7 +223,7 @@
     let claim = AuthorityClaim::decode(CLAIM).expect("valid claim");
     assert_eq!(claim.holder.as_deref(), Some("gateway-1"));
     assert_eq!(claim.encode(), CLAIM);
-    let member = presence::member("tansyhall/gateways/gateway-1", PRESENCE);
+    let member = presence::decode_member("tansyhall/gateways/gateway-1", PRESENCE);
     let member = member.expect("valid announcement");
     assert_eq!(member.name, "gateway-1");
     assert_eq!(member.capacity, 0.25);
--- a/crates/gateway/tests/questions_to_gateways.rs
+++ b/crates/gateway/tests/questions_to_gateways.rs
@@ -36,7 +36,7 @@
 
 async fn revision(client: &mut awc::Client, gateway: &TwiceAnswering, after: u64) -> Option<u64> {
     let after = Position::new(0, after);
-    let result = peers::fetch(client, gateway.address, after, Duration::ZERO).await;
+    let result = peers::fetch_update(client, gateway.address, after, Duration::ZERO).await;
     match result.ok()?.update? {
         MirrorUpdate::Snapshot(snapshot) => Some(snapshot.position.revision),
         MirrorUpdate::Changes { position, .. } => Some(position.revision),
@@ -88,7 +88,7 @@
     );
     let after = Position::new(EPOCH, 7);
     let mut client = peers::client();
-    let result = peers::fetch(&mut client, gateway.address, after, Duration::ZERO).await;
+    let result = peers::fetch_update(&mut client, gateway.address, after, Duration::ZERO).await;
     let received = result.expect("an accepted answer");
     assert_eq!(received.epoch, EPOCH);
     let Some(MirrorUpdate::Snapshot(snapshot)) = received.update else {
