--- a/crates/cli/tests/duty_counterexamples.rs
+++ b/crates/cli/tests/duty_counterexamples.rs
@@ -17,7 +17,7 @@
 use tansyhall_gateway::duty_calls::DutyCalls;
 use tansyhall_gateway::events::EventLog;
 use tansyhall_gateway::lease::{self, NodeLease};
-use tansyhall_gateway::run::{share, Adapter};
+use tansyhall_gateway::run::{create_shared_state, Adapter};
 use tansyhall_gateway::state::Shared;
 use tansyhall_gateway::usage::{self, RowsMessage, ROWS_PREFIX};
 use tansyhall_gateway::GatewaySettings;
@@ -256,7 +256,7 @@
 
     async fn keep_alive(&self, LeaseId(lease): LeaseId) -> Result<Duration, StoreError> {
         if self.store.leases.borrow().contains(&lease) {
-            return Ok(lease::AUTHORITY.time_to_live);
+            return Ok(lease::AUTHORITY_TIMING.time_to_live);
         }
         if let (true, Some(claimed)) = (self.answers_between_looks, self.store.claimed.get()) {
             // The authority looked when it made the claim, and at each pace since.
@@ -315,23 +315,29 @@
         let store = Rc::clone(&client.store);
         let adapter = Adapter {
             protocol: Arc::new(PlatformProtocol),
-            catalogue: Arc::new(PlatformCatalogue),
+            store_schema: Arc::new(PlatformCatalogue),
             store: Rc::new(client),
             duties: None,
         };
-        let shared = share(settings, &adapter, log).expect("a gateway");
-        let kept = NodeLease::new(authority_claim::KEY, lease::AUTHORITY, false);
+        let shared = create_shared_state(settings, &adapter, log).expect("a gateway");
+        let kept = NodeLease::new(authority_claim::KEY, lease::AUTHORITY_TIMING, false);
         let authority = Authority::new(kept.clone());
         let copies = Rc::new(Cell::new(true));
         let client = || Rc::clone(&adapter.store);
         let mut tasks = vec![
             actix_rt::spawn(copy(Arc::clone(&shared), store, Rc::clone(&copies))),
-            actix_rt::spawn(kept.keep(Arc::clone(&shared), client())),
-            actix_rt::spawn(authority.clone().seek(Arc::clone(&shared), client())),
+            actix_rt::spawn(kept.maintain(Arc::clone(&shared), client())),
+            actix_rt::spawn(
+                authority
+                    .clone()
+                    .claim_and_hold(Arc::clone(&shared), client()),
+            ),
         ];
         if let Some(operations) = operations {
             let calls = DutyCalls::new(&shared, operations, authority.clone());
-            tasks.push(actix_rt::spawn(usage::tell_collector(Arc::clone(&shared))));
+            tasks.push(actix_rt::spawn(usage::send_to_collector(Arc::clone(
+                &shared,
+            ))));
             tasks.push(actix_rt::spawn(usage::report(
                 Arc::clone(&shared),
                 client(),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,9 @@
-//! The gateway: sockets, tasks and state around the decisions of `tansyhall-forwarding`.
+//! The gateway: the sockets, tasks and state around the decisions made by `tansyhall-forwarding`.
 //!
-//! Callers' requests come in through [`ingress`], each lives in a [`exchange`], and leaves through
-//! [`connections`] to a worker. [`follower`] keeps a copy of the store, [`mirror_refresh`] makes it the
-//! configuration in force, [`peers`] tells other gateways what is new in it, [`presence`] announces
-//! this gateway. In a large fleet, [`placement`] asks a scheduler where requests go.
+//! [`ingress`] receives callers' requests, [`exchange`] runs each of them, and [`connections`] sends them to workers.
+//! [`follower`] keeps a mirror of the store up to date, [`mirror_refresh`] derives the configuration in force from it,
+//! [`peers`] sends its changes to other gateways, and [`presence`] announces this gateway. In a large fleet,
+//! [`placement`] asks a scheduler where to send requests.
 
 #![forbid(unsafe_code)]
 
@@ -18,6 +18,7 @@
 pub mod correlation;
 pub mod datagrams;
 pub mod deflated_values;
+mod departed_workers;
 pub mod desired_roles;
 pub mod duties;
 pub mod duty_calls;
@@ -28,7 +29,6 @@
 pub mod headers;
 pub mod ingress;
 pub mod lease;
-mod left_workers;
 pub mod load_exchange;
 pub mod load_messages;
 pub mod metrics;
