--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -73,7 +73,10 @@
     let output = explain(&["--request", "r-4", "overloaded.log"]);
     let text = String::from_utf8_lossy(&output.stdout);
     let cause = text.lines().last().expect("a cause");
-    assert!(cause.contains("refused because of its tenant's share"), "{cause}");
+    assert!(
+        cause.contains("refused because of its tenant's share"),
+        "{cause}"
+    );
 }
 
 #[test]
