--- a/crates/gateway/src/ingress.rs
+++ b/crates/gateway/src/ingress.rs
@@ -215,23 +215,24 @@
 fn gateway_response(answer: GatewayAnswer) -> HttpResponse {
     match answer {
         GatewayAnswer::NotRun { retry_after } => {
-            not_run_response(retry_after, "no worker is available")
+            not_run_response(retry_after, "no worker can take it now")
         }
         GatewayAnswer::Lost => {
-            HttpResponse::BadGateway().body("answer was lost; the request may have run\n")
+            HttpResponse::BadGateway().body("the answer is lost; it may have run\n")
+        }
+        GatewayAnswer::TimedOut => {
+            HttpResponse::GatewayTimeout().body("no answer in time; it may have run\n")
         }
-        GatewayAnswer::TimedOut => HttpResponse::GatewayTimeout()
-            .body("no answer before the deadline; the request may have run\n"),
         // Neither 502 nor 504, which callers retry, nor a status which promises that the request did not run.
         GatewayAnswer::Barred => HttpResponse::InternalServerError()
-            .body("request crashes workers; it will not be sent again\n"),
+            .body("workers end under this request; it will not be sent again\n"),
     }
 }
 
 fn not_run_response(retry_after: Duration, reason: &'static str) -> HttpResponse {
     HttpResponse::ServiceUnavailable()
         .append_header(("Retry-After", format!("{:.3}", retry_after.as_secs_f64())))
-        .body(format!("request was not run: {reason}\n"))
+        .body(format!("not run: {reason}\n"))
 }
 
 fn record_refusal(request: &HttpRequest, refusal: &Refusal, shared: &Shared) {
@@ -265,17 +266,15 @@
 fn refusal_response(refusal: &Refusal) -> HttpResponse {
     match refusal {
         Refusal::NotReady => {
-            not_run_response(NOT_READY_RETRY_AFTER, "gateway has no configuration yet")
+            not_run_response(NOT_READY_RETRY_AFTER, "no configuration is known yet")
         }
-        Refusal::Leaving => not_run_response(LEAVING_RETRY_AFTER, "gateway is shutting down"),
+        Refusal::Leaving => not_run_response(LEAVING_RETRY_AFTER, "this gateway is leaving"),
         Refusal::NoRoute => HttpResponse::NotFound().body("no route for this host and path\n"),
-        Refusal::UnknownKey => HttpResponse::Unauthorized().body("a valid API key is required\n"),
+        Refusal::UnknownKey => HttpResponse::Unauthorized().body("a key that is known is needed\n"),
         Refusal::BadRequest(reason) => HttpResponse::BadRequest().body(format!("{reason}\n")),
-        Refusal::BodyTooLong => HttpResponse::PayloadTooLarge().body("request body is too long\n"),
-        Refusal::BodyIncomplete => HttpResponse::BadRequest().body("request body is incomplete\n"),
-        Refusal::BodyTimeout => {
-            HttpResponse::RequestTimeout().body("request body was not received in time\n")
-        }
+        Refusal::BodyTooLong => HttpResponse::PayloadTooLarge().body("the body is too long\n"),
+        Refusal::BodyIncomplete => HttpResponse::BadRequest().body("the body broke off\n"),
+        Refusal::BodyTimeout => HttpResponse::RequestTimeout().body("the body came too late\n"),
     }
 }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -73,10 +73,7 @@
                 &["route", "service", "outcome", "cause"],
             )?,
             latency: HistogramVec::new(
-                HistogramOpts::new(
-                    "gateway_latency_seconds",
-                    "Seconds from a request's arrival to the head of its answer",
-                ),
+                HistogramOpts::new("gateway_latency_seconds", "Arrival to the answer's head"),
                 &["route"],
             )?,
             sends: IntCounterVec::new(
@@ -86,29 +83,29 @@
             mismatched_answers: IntCounterVec::new(
                 Opts::new(
                     "gateway_foreign_answers_total",
-                    "Answers that do not match the request sent before them",
+                    "Answers that do not bear the id of the request before them",
                 ),
                 &["work"],
             )?,
             worker_notices: IntCounterVec::new(
                 Opts::new(
                     "gateway_worker_notices_total",
-                    "New notices that workers attached to answers, by kind",
+                    "What workers said of themselves in answers",
                 ),
                 &["notice"],
             )?,
             worker_ends: IntCounter::new(
                 "gateway_worker_ends_total",
-                "Workers that ended while they ran requests",
+                "Workers that ended under requests",
             )?,
             barred_requests: IntGauge::new(
                 "gateway_barred_requests",
-                "Requests that are not sent to workers because they crash workers",
+                "Requests that workers may get no more",
             )?,
             placements: IntCounterVec::new(
                 Opts::new(
                     "gateway_placements_total",
-                    "Placement requests to schedulers by outcome",
+                    "Questions to schedulers by outcome",
                 ),
                 &["outcome"],
             )?,
@@ -116,34 +113,25 @@
                 "gateway_configuration_version",
                 "Version of the configuration in force",
             )?,
-            ready_workers: IntGauge::new("gateway_ready_workers", "Workers that accept requests")?,
+            ready_workers: IntGauge::new("gateway_ready_workers", "Workers that take requests")?,
             mirror_revision: IntGauge::new(
                 "gateway_mirror_revision",
-                "Revision of the mirror of the store",
-            )?,
-            mirror_epoch: IntGauge::new(
-                "gateway_mirror_epoch",
-                "Epoch of the mirror of the store",
-            )?,
-            store_epoch: IntGauge::new(
-                "gateway_store_epoch",
-                "Latest epoch that the store reported",
+                "Revision of the copy of the store",
             )?,
+            mirror_epoch: IntGauge::new("gateway_mirror_epoch", "Epoch of the copy of the store")?,
+            store_epoch: IntGauge::new("gateway_store_epoch", "Latest epoch that the store named")?,
             store_revision: IntGauge::new(
                 "gateway_store_revision",
-                "Revision of the store when all of it was last read",
+                "Revision of the store when it was last read whole",
             )?,
             store_reads: IntCounterVec::new(
                 Opts::new(
                     "gateway_store_reads_total",
-                    "Requests for changes of the store by outcome",
+                    "Calls for changes of the store",
                 ),
                 &["outcome"],
             )?,
-            gateways: IntGauge::new(
-                "gateway_gateways",
-                "Gateways that share the budgets of the fleet",
-            )?,
+            gateways: IntGauge::new("gateway_gateways", "Gateways that share budgets")?,
             workers: IntGaugeVec::new(
                 Opts::new("gateway_workers", "Workers by service and state"),
                 &["service", "state"],
@@ -155,12 +143,12 @@
             worker_orders: IntCounterVec::new(
                 Opts::new(
                     "gateway_worker_orders_total",
-                    "Orders of workers from the platform by kind and outcome",
+                    "Orders of workers by kind and outcome",
                 ),
                 &["kind", "outcome"],
             )?,
             usage_reports: IntCounterVec::new(
-                Opts::new("gateway_usage_reports_total", "Usage reports by outcome"),
+                Opts::new("gateway_usage_reports_total", "Reports of usage by outcome"),
                 &["outcome"],
             )?,
             store_age_ms: IntGauge::new(
@@ -169,20 +157,17 @@
             )?,
             follows_store: IntGauge::new(
                 "gateway_follows_store",
-                "Whether this gateway requests changes from the store itself",
+                "Whether this gateway asks the store itself for changes",
             )?,
             caches_recovered: IntGauge::new(
                 "gateway_caches_recovered",
-                "Whether the contents of caches from before the start are known",
+                "Whether what caches held before the start is known",
             )?,
             retries_left: IntGaugeVec::new(
-                Opts::new(
-                    "gateway_retries_left",
-                    "Retries that this gateway still has",
-                ),
+                Opts::new("gateway_retries_left", "Retries that could still be spent"),
                 &["service"],
             )?,
-            in_flight: IntGauge::new("gateway_in_flight", "Requests in progress")?,
+            in_flight: IntGauge::new("gateway_in_flight", "Requests under way")?,
             registry,
         };
         metrics.register()?;
