--- a/crates/gateway/src/exchange/run.rs
+++ b/crates/gateway/src/exchange/run.rs
@@ -62,7 +62,7 @@
                     .report(Loss::Silent, &destination);
                 guard.set_result(
                     SendResult::Abandoned { silent: true },
-                    "no answer within the allowed silence",
+                    "worker did not answer in time",
                 );
                 return failed(SendFailure::MayHaveRun);
             }
