--- a/crates/node/src/at_most_once/mod.rs
+++ b/crates/node/src/at_most_once/mod.rs
@@ -11,5 +11,5 @@
 pub use attempts::{record_attempt, record_key, Denied, RecordedAttempt};
 pub use metrics::JournalMetrics;
 pub use replica::Journal;
-pub use view_manager::JournalKeeper;
+pub use view_manager::JournalViewManager;
 pub use views::{MemberWithAddress, ViewRecord, ViewWithAddresses};
--- a/crates/node/src/at_most_once/view_manager.rs
+++ b/crates/node/src/at_most_once/view_manager.rs
@@ -18,19 +18,19 @@
 const MAX_MISSED_PROBES: u32 = 3;
 
 /// Adopts the stored view and replaces lost members.
-pub struct JournalKeeper {
+pub struct JournalViewManager {
     node: Arc<Node>,
     store: EtcdStore,
 }
 
-impl JournalKeeper {
+impl JournalViewManager {
     /// Returns the view manager of a node.
     pub fn new(node: Arc<Node>, store: EtcdStore) -> Self {
         Self { node, store }
     }
 }
 
-impl Actor for JournalKeeper {
+impl Actor for JournalViewManager {
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
--- a/crates/node/src/dispatch/load_poller.rs
+++ b/crates/node/src/dispatch/load_poller.rs
@@ -15,14 +15,14 @@
 
 /// Actor that polls the load report of each followed engine. An engine has at most one load request
 /// in progress, and an engine that does not answer does not delay the requests to others.
-pub struct LoadFollower {
+pub struct LoadPoller {
     node: Arc<Node>,
     client: EngineClient,
     pending: HashSet<EngineName>,
     cache_events_read_at: HashMap<EngineName, Timestamp>,
 }
 
-impl LoadFollower {
+impl LoadPoller {
     /// Returns the poller of a node.
     pub fn new(node: Arc<Node>) -> Self {
         let client = EngineClient::new(node.settings.limits.connect_timeout);
@@ -137,7 +137,7 @@
     }
 }
 
-impl Actor for LoadFollower {
+impl Actor for LoadPoller {
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -13,7 +13,7 @@
 
 pub use in_flight::InFlight;
 pub use lengths::{OutputLengths, RequestClass};
-pub use load_poller::LoadFollower;
+pub use load_poller::LoadPoller;
 pub use trackers::EngineTrackers;
 
 use crate::state::Node;
--- a/crates/node/src/limits/admission.rs
+++ b/crates/node/src/limits/admission.rs
@@ -10,7 +10,7 @@
 use tansyhall_shares::LimitKey;
 
 use super::keys::LimitKeys;
-use super::LimitKeeper;
+use super::TenantLimiter;
 use crate::callers::admit::RequestParams;
 use crate::state::Node;
 
@@ -105,7 +105,7 @@
         self.generated.fetch_max(tokens, Ordering::Relaxed);
     }
 
-    fn limiter(&self) -> &LimitKeeper {
+    fn limiter(&self) -> &TenantLimiter {
         &self.node.limits
     }
 
--- a/crates/node/src/limits/limiter.rs
+++ b/crates/node/src/limits/limiter.rs
@@ -39,7 +39,7 @@
 }
 
 /// Enforces the limits of tenants at this node.
-pub struct LimitKeeper {
+pub struct TenantLimiter {
     shares: Mutex<Shares>,
     meters: Sharded<LimitKey, Meter>,
     max_meters: usize,
@@ -47,7 +47,7 @@
     pub(super) slots: Mutex<FairSlots<Option<TenantName>>>,
 }
 
-impl LimitKeeper {
+impl TenantLimiter {
     /// Returns the limiter of a node that starts and assumes that it is the only one.
     pub fn new(name: NodeId, incarnation: u64, limits: &Limits, now: Timestamp) -> Self {
         let settings = ShareSettings::default();
--- a/crates/node/src/limits/mod.rs
+++ b/crates/node/src/limits/mod.rs
@@ -11,6 +11,6 @@
 
 pub use admission::{Admission, Refusal};
 pub use canary::{Variant, AFFINITY_HEADER};
-pub use limiter::LimitKeeper;
+pub use limiter::TenantLimiter;
 pub use tenant::{tenant_of, TENANT_HEADER};
-pub use transport::{Alone, ShareTransport};
+pub use transport::{DisconnectedTransport, ShareTransport};
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -13,11 +13,11 @@
 use tansyhall_membership::MemberAddresses;
 use tansyhall_store::{EtcdStore, RateLimit};
 
-use crate::at_most_once::JournalKeeper;
+use crate::at_most_once::JournalViewManager;
 use crate::authority::{AuthorityKeeper, Release};
 use crate::configuration::{ConfigurationStore, ConfigurationWatcher};
-use crate::dispatch::LoadFollower;
-use crate::limits::{self, Alone};
+use crate::dispatch::LoadPoller;
+use crate::limits::{self, DisconnectedTransport};
 use crate::peers::{Leave, PeerTransport, PeersActor};
 use crate::state::Node;
 use crate::{admin, callers};
@@ -61,8 +61,8 @@
         actix_rt::spawn(server);
     }
     callers::start_sweeping(Arc::clone(&node));
-    limits::ticker::start(Arc::clone(&node), Arc::new(Alone));
-    LoadFollower::new(Arc::clone(&node)).start();
+    limits::ticker::start(Arc::clone(&node), Arc::new(DisconnectedTransport));
+    LoadPoller::new(Arc::clone(&node)).start();
     let store = EtcdStore::new(platform, timeout).with_limit(limit);
     let addresses = MemberAddresses {
         peers: peers_address,
@@ -73,7 +73,7 @@
     let updates = peers_actor.clone().recipient();
     ConfigurationWatcher::new(Arc::clone(&node), store.clone(), updates).start();
     if node.settings.journal.is_replicated() {
-        JournalKeeper::new(Arc::clone(&node), store.clone()).start();
+        JournalViewManager::new(Arc::clone(&node), store.clone()).start();
     }
     let authority = AuthorityKeeper::new(Arc::clone(&node), store).start();
     Ok(RunningNode {
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -16,7 +16,7 @@
 use crate::callers::CallersState;
 use crate::configuration::{Held, InForce};
 use crate::dispatch::{DispatchState, InFlight};
-use crate::limits::LimitKeeper;
+use crate::limits::TenantLimiter;
 use crate::metrics::Metrics;
 use crate::peers::{ForeignLog, PeersView};
 
@@ -52,7 +52,7 @@
     /// What dispatch to engines keeps.
     pub dispatch: DispatchState,
     /// Limits of tenants.
-    pub limits: LimitKeeper,
+    pub limits: TenantLimiter,
     engines: Mutex<HashMap<EngineName, EngineStatus>>,
     stopping: AtomicBool,
 }
@@ -64,7 +64,7 @@
         let name = settings.name.clone();
         let incarnation = incarnation();
         Ok(Arc::new(Self {
-            limits: LimitKeeper::new(name, incarnation, &settings.limits, clock.now()),
+            limits: TenantLimiter::new(name, incarnation, &settings.limits, clock.now()),
             callers: CallersState::new(&settings.limits),
             dispatch: DispatchState::new(&settings.routing),
             journal: Journal::new(&settings),
--- a/crates/node/tests/dispatch_choice.rs
+++ b/crates/node/tests/dispatch_choice.rs
@@ -8,13 +8,13 @@
 use support::*;
 use tansyhall_core::{EngineName, Role};
 use tansyhall_engine::blocks::block_hashes;
-use tansyhall_node::dispatch::LoadFollower;
+use tansyhall_node::dispatch::LoadPoller;
 use tansyhall_node::Node;
 use tansyhall_testing::eventually;
 
 /// Polls the engines' load, and waits until each of them has reported.
 async fn start_polling(node: &Arc<Node>, engines: usize) {
-    LoadFollower::new(Arc::clone(node)).start();
+    LoadPoller::new(Arc::clone(node)).start();
     let names: Vec<EngineName> = (0..engines)
         .map(|index| format!("engine-{index}").as_str().into())
         .collect();
@@ -100,7 +100,7 @@
 async fn an_engine_that_does_not_report_is_chosen_by_the_nodes_own_count() {
     let engines = [dead_address(), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
-    LoadFollower::new(Arc::clone(&node)).start();
+    LoadPoller::new(Arc::clone(&node)).start();
     eventually("a report fails", || {
         let failed = node
             .metrics
@@ -126,7 +126,7 @@
         .collect();
     let limits = "max_requests = 100\n[routing]\nfollowed_engines = 2";
     let (node, address) = start_node(&engines, &[], limits);
-    LoadFollower::new(Arc::clone(&node)).start();
+    LoadPoller::new(Arc::clone(&node)).start();
     eventually("two engines are known", || {
         let known = node.dispatch.trackers.len();
         async move { (known == 2).then_some(()) }
--- a/crates/node/tests/limits_two_nodes.rs
+++ b/crates/node/tests/limits_two_nodes.rs
@@ -10,7 +10,7 @@
 use tansyhall_core::{NodeId, Timestamp};
 use tansyhall_node::configuration::InForce;
 use tansyhall_node::limits::keys::limits_in_force;
-use tansyhall_node::limits::{LimitKeeper, ShareTransport};
+use tansyhall_node::limits::{ShareTransport, TenantLimiter};
 use tansyhall_shares::{Amount, FleetView, LimitKey, Message};
 
 const RESOURCES: &str = "[[tenant]]\nname = 'cooperative'\nowner = 'depot'\n\
@@ -32,7 +32,7 @@
 
 struct TwoNodes {
     names: [NodeId; 2],
-    limiters: [LimitKeeper; 2],
+    limiters: [TenantLimiter; 2],
     outboxes: [Outbox; 2],
     now: Timestamp,
 }
@@ -44,7 +44,7 @@
         let limits = Limits::default();
         let limiters = names
             .clone()
-            .map(|name| LimitKeeper::new(name, 1, &limits, now));
+            .map(|name| TenantLimiter::new(name, 1, &limits, now));
         for limiter in &limiters {
             limiter.apply_limits(now, in_force);
         }
