--- a/crates/node/src/callers/choice.rs
+++ b/crates/node/src/callers/choice.rs
@@ -183,7 +183,7 @@
     UnknownModel,
     /// No engine is expected to answer before the deadline.
     DeadlineUnreachable {
-        /// Time after which an engine is expected to.
+        /// Time after which an engine is expected to meet the deadline.
         retry_after: Duration,
     },
     /// No engine accepts work.
