--- a/crates/cli/tests/duty_counterexamples.rs
+++ b/crates/cli/tests/duty_counterexamples.rs
@@ -183,7 +183,7 @@
         let windows = around.saturating_sub(100)..around + 100;
         let mut collection = Collection::default();
         for gateway in ["gateway-0", "gateway-1"] {
-            collection.take_in(SourceUsage {
+            collection.merge(SourceUsage {
                 source: Source {
                     gateway: gateway.into(),
                     incarnation: 1,
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -316,7 +316,7 @@
     };
     let (epoch, revision) = (page.epoch, page.revision.0);
     let mut entries = page.entries;
-    while let (true, Some(last)) = (page.more, entries.last()) {
+    while let (true, Some(last)) = (page.has_more, entries.last()) {
         let after = last.key.clone();
         page = read_page(store, Some(&after)).await?;
         if page.epoch != epoch {
--- a/crates/gateway/src/follower/first_copy.rs
+++ b/crates/gateway/src/follower/first_copy.rs
@@ -41,7 +41,7 @@
         let mut listed = self.list_gateways().await?;
         if listed.len() <= GATEWAYS_PER_RELAY {
             let page = read_page(&*self.store, None).await?;
-            if !page.more {
+            if !page.has_more {
                 return self.read_snapshot(Some(page)).await;
             }
         }
@@ -140,7 +140,7 @@
                 entries.filter_map(|entry| presence::decode_member(&entry.key, &entry.value)),
             );
             match page.entries.last() {
-                Some(last) if page.more => after = Some(last.key.clone()),
+                Some(last) if page.has_more => after = Some(last.key.clone()),
                 _ => return Ok(listed),
             }
         }
--- a/crates/gateway/src/usage/collector.rs
+++ b/crates/gateway/src/usage/collector.rs
@@ -52,7 +52,7 @@
     let oldest = usage.timing.oldest_open(usage.time(shared.now())?);
     let mut collection = usage.collection.lock();
     let previous = WindowNumber(oldest.0.saturating_sub(1));
-    collection.forget_before(oldest, usage.timing.end_of(previous));
+    collection.remove_before(oldest, usage.timing.end_of(previous));
     if collection.is_empty() {
         return None;
     }
--- a/crates/gateway/src/usage/exchange.rs
+++ b/crates/gateway/src/usage/exchange.rs
@@ -91,17 +91,17 @@
         return;
     };
     if has_changed {
-        link.sender.restart();
+        link.sender.reset_for_new_collector();
     }
     if collector == usage.source.gateway {
         link.choice.record_acknowledgement(now);
-        usage.collection.lock().take_in(own_usage);
+        usage.collection.lock().merge(own_usage);
         return;
     }
-    let (sequence, changed) = link.sender.next(own_usage);
+    let (sequence, changed) = link.sender.next_message(own_usage);
     let mut message = UsageMessage::new(&changed);
     message.sequence = sequence;
-    let own_time = usage.clock.lock().own_time(now);
+    let own_time = usage.clock.lock().local_time(now);
     message.own_time = own_time.unwrap_or_default().0;
     if let Some(address) = fleet.load_address(&collector) {
         shared.datagrams.send(address, &Datagram::usage(message));
@@ -115,17 +115,17 @@
     };
     let now = shared.now();
     let reading = ClockReading {
-        steady: now,
-        day: UnixMillis(message.own_time),
+        monotonic: now,
+        wall: UnixMillis(message.own_time),
     };
     let sequence = message.sequence;
     let counted = message.into_usage();
     let incarnation = counted.source.incarnation;
     let mut clock = usage.clock.lock();
-    clock.hear(counted.source.clone(), reading);
+    clock.record_gateway_reading(counted.source.clone(), reading);
     let time = clock.time(now);
     drop(clock);
-    usage.collection.lock().take_in(counted);
+    usage.collection.lock().merge(counted);
     let acknowledgement = AcknowledgementMessage {
         sequence,
         incarnation,
@@ -154,8 +154,8 @@
     link.choice.record_acknowledgement(now);
     drop(link);
     let reading = ClockReading {
-        steady: now,
-        day: UnixMillis(message.time),
+        monotonic: now,
+        wall: UnixMillis(message.time),
     };
-    usage.clock.lock().be_told(reading);
+    usage.clock.lock().record_collector_reading(reading);
 }
--- a/crates/gateway/src/usage/message.rs
+++ b/crates/gateway/src/usage/message.rs
@@ -157,7 +157,7 @@
             .context("usage counts are not valid deflate data")?;
         let rows = Self::decode(inflated.as_slice()).context("failed to decode usage counts")?;
         for source in rows.sources {
-            collection.take_in(source.into_usage());
+            collection.merge(source.into_usage());
         }
         Ok(())
     }
--- a/crates/gateway/src/usage/reporter.rs
+++ b/crates/gateway/src/usage/reporter.rs
@@ -81,13 +81,13 @@
             ReportStep::Decide {
                 window,
                 counted_until,
-                anyway,
+                may_be_incomplete,
             } => {
                 if let Some(rows) = self.rows().await {
                     let complete = rows
                         .collection
                         .covers(self.gateways().iter().map(String::as_str), counted_until);
-                    if complete || anyway {
+                    if complete || may_be_incomplete {
                         self.decide(epoch, window, rows, complete, usage, time)
                             .await;
                     }
@@ -278,7 +278,7 @@
                         .push((entry.key, entry_collection.last_window()));
                     entry_collection
                         .sources()
-                        .for_each(|usage| rows.collection.take_in(usage));
+                        .for_each(|usage| rows.collection.merge(usage));
                 }
                 Err(error) => {
                     log::warn!("ignoring invalid usage counts at {}: {error:#}", entry.key)
--- a/crates/gateway/src/usage/state.rs
+++ b/crates/gateway/src/usage/state.rs
@@ -45,9 +45,9 @@
 
     /// Reads this machine's clocks.
     pub(super) fn read_clock(&self, now: Timestamp) {
-        self.clock.lock().read_own(ClockReading {
-            steady: now,
-            day: time_of_day(),
+        self.clock.lock().record_local_reading(ClockReading {
+            monotonic: now,
+            wall: time_of_day(),
         });
     }
 
--- a/crates/gateway/tests/usage_messages.rs
+++ b/crates/gateway/tests/usage_messages.rs
@@ -53,7 +53,7 @@
     #[test]
     fn stored_collections_keep_the_counts(usages in prop::collection::vec(usage(), 0..6)) {
         let mut written = Collection::default();
-        usages.into_iter().for_each(|usage| written.take_in(usage));
+        usages.into_iter().for_each(|usage| written.merge(usage));
         let rows = RowsMessage::encode_collection(&written).expect("the collection is encoded");
         let mut read = Collection::default();
         RowsMessage::decode_into(&rows, &mut read).expect("the collection is decoded");
--- a/crates/journal/src/attempt.rs
+++ b/crates/journal/src/attempt.rs
@@ -80,7 +80,7 @@
     }
 
     /// Starts over in a later view. Votes of the earlier view no longer count.
-    pub fn view_changed(&mut self, view: View) {
+    pub fn change_view(&mut self, view: View) {
         if self.decision.is_some() || view.number <= self.view.number {
             return;
         }
@@ -90,7 +90,7 @@
     }
 
     /// Handles a replica's answer, given in `view`. Returns the decision as soon as it is possible.
-    pub fn reply(
+    pub fn handle_reply(
         &mut self,
         member: &Member,
         view: ViewNumber,
@@ -127,13 +127,13 @@
     }
 
     /// Whether the records must be released: only if this attempt never runs the request.
-    pub fn releases(&self) -> bool {
+    pub fn must_release(&self) -> bool {
         !matches!(self.decision, None | Some(Decision::Run))
     }
 
     /// Cancels the permission to run: no back end accepted the request, and this attempt will never run it. The
     /// grants of two replicas show that no other attempt had permission.
-    pub fn not_taken(&mut self) -> Decision {
+    pub fn cancel_run(&mut self) -> Decision {
         if self.decision == Some(Decision::Run) {
             self.decision = Some(Decision::NotRun);
         }
--- a/crates/journal/src/change.rs
+++ b/crates/journal/src/change.rs
@@ -19,7 +19,7 @@
     /// Make the next view the active view in the store, by compare-and-swap.
     Activate,
     /// Prepare another view with a higher number, because a member refused this one.
-    PrepareAnew,
+    PrepareNewView,
 }
 
 /// A change of views in progress.
@@ -64,14 +64,14 @@
         } else if self.installed.len() >= QUORUM {
             ChangeStep::Activate
         } else if self.is_refused {
-            ChangeStep::PrepareAnew
+            ChangeStep::PrepareNewView
         } else {
             ChangeStep::Install(self.records.clone())
         }
     }
 
     /// Handles a member's answer to the seal and merges its records.
-    pub fn seal_reply(&mut self, member: &Member, reply: SealReply) {
+    pub fn handle_seal_reply(&mut self, member: &Member, reply: SealReply) {
         let SealReply::Sealed(records) = reply else {
             return;
         };
@@ -83,12 +83,12 @@
 
     /// Records that a member of the next view refused to install it: the member votes in a later view or in another
     /// view with the same number, or it has restarted.
-    pub fn refused(&mut self) {
+    pub fn handle_refusal(&mut self) {
         self.is_refused = true;
     }
 
     /// Records that a member of the next view has installed it and votes in it.
-    pub fn installed(&mut self, member: &Member) {
+    pub fn handle_installed(&mut self, member: &Member) {
         if self.next.has(member) {
             self.installed.insert(member.clone());
         }
--- a/crates/journal/src/replica.rs
+++ b/crates/journal/src/replica.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether the view with this digest is installed at this replica, sealed or not.
-    pub fn is_of(&self, digest: ViewDigest) -> bool {
+    pub fn has_installed(&self, digest: ViewDigest) -> bool {
         let view = self.voting_view.as_ref();
         view.is_some_and(|view| view.digest() == digest)
     }
@@ -128,7 +128,7 @@
             return SealReply::NotMember;
         }
         self.sealed_by = self.sealed_by.max(Some(next));
-        self.forget_old(now);
+        self.remove_expired(now);
         SealReply::Sealed(Records(self.records.keys().cloned().collect()))
     }
 
@@ -169,12 +169,12 @@
         if record.is_some_and(|record| now.since(record.since) >= retention) {
             self.records.remove(key);
         } else if self.records.len() >= self.limits.max_records {
-            self.forget_old(now);
+            self.remove_expired(now);
         }
     }
 
     /// Removes every record whose retention has passed.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         let retention = self.limits.retention;
         self.records
             .retain(|_, record| now.since(record.since) < retention);
--- a/crates/journal/tests/counterexamples.rs
+++ b/crates/journal/tests/counterexamples.rs
@@ -76,11 +76,11 @@
     let (replicas, first) = zone();
     let mut attempt = attempt(FIRST, KeyOrigin::Caller, &first);
     let member = replicas[0].member();
-    assert_eq!(attempt.reply(member, ONE, VoteReply::Granted), None);
-    assert_eq!(attempt.reply(member, ONE, VoteReply::Granted), None);
+    assert_eq!(attempt.handle_reply(member, ONE, VoteReply::Granted), None);
+    assert_eq!(attempt.handle_reply(member, ONE, VoteReply::Granted), None);
     let other = replicas[1].member();
     assert_eq!(
-        attempt.reply(other, ONE, VoteReply::Granted),
+        attempt.handle_reply(other, ONE, VoteReply::Granted),
         Some(Decision::Run)
     );
 }
@@ -110,14 +110,14 @@
     let mut change = ViewChange::new(first, next.clone());
     for replica in &mut replicas[1..3] {
         let records = seal(replica);
-        change.seal_reply(replica.member(), SealReply::Sealed(records));
+        change.handle_seal_reply(replica.member(), SealReply::Sealed(records));
     }
     let ChangeStep::Install(records) = change.step() else {
         panic!("expected Install once a majority is sealed");
     };
     for replica in &mut replicas[1..] {
         assert!(replica.install(now(), &next, &records));
-        change.installed(replica.member());
+        change.handle_installed(replica.member());
         assert_eq!(vote(replica, TWO, SECOND), VoteReply::Taken);
         assert_eq!(vote(replica, TWO, FIRST), VoteReply::Taken);
     }
@@ -131,11 +131,11 @@
     let mut change = ViewChange::new(first, next);
     for _ in 0..2 {
         let records = seal(&mut replicas[2]);
-        change.seal_reply(replicas[2].member(), SealReply::Sealed(records));
+        change.handle_seal_reply(replicas[2].member(), SealReply::Sealed(records));
     }
     let non_member = replicas[3].member();
-    change.seal_reply(non_member, SealReply::Sealed(Records::default()));
-    change.seal_reply(replicas[0].member(), SealReply::NotMember);
+    change.handle_seal_reply(non_member, SealReply::Sealed(Records::default()));
+    change.handle_seal_reply(replicas[0].member(), SealReply::NotMember);
     assert_eq!(change.step(), ChangeStep::Seal);
 }
 
@@ -154,14 +154,14 @@
     let (replicas, first) = zone();
     let next = view(TWO, [&replicas[1], &replicas[2], &replicas[3]]);
     let mut attempt = attempt(FIRST, KeyOrigin::Caller, &first);
-    attempt.reply(replicas[0].member(), ONE, VoteReply::Granted);
-    attempt.view_changed(next);
+    attempt.handle_reply(replicas[0].member(), ONE, VoteReply::Granted);
+    attempt.change_view(next);
     assert_eq!(
-        attempt.reply(replicas[1].member(), TWO, VoteReply::Granted),
+        attempt.handle_reply(replicas[1].member(), TWO, VoteReply::Granted),
         None
     );
     assert_eq!(
-        attempt.reply(replicas[2].member(), ONE, VoteReply::Granted),
+        attempt.handle_reply(replicas[2].member(), ONE, VoteReply::Granted),
         None
     );
 }
@@ -171,7 +171,7 @@
     let (replicas, first) = zone();
     let decide = |origin, reply| {
         let mut attempt = attempt(FIRST, origin, &first);
-        attempt.reply(replicas[0].member(), ONE, reply);
+        attempt.handle_reply(replicas[0].member(), ONE, reply);
         attempt.give_up()
     };
     assert_eq!(
@@ -194,11 +194,11 @@
     let mut attempt = attempt(FIRST, KeyOrigin::Caller, &first);
     for replica in &mut replicas[..2] {
         let reply = vote(replica, ONE, FIRST);
-        attempt.reply(replica.member(), ONE, reply);
+        attempt.handle_reply(replica.member(), ONE, reply);
     }
-    assert!(!attempt.releases());
-    assert_eq!(attempt.not_taken(), Decision::NotRun);
-    assert!(attempt.releases());
+    assert!(!attempt.must_release());
+    assert_eq!(attempt.cancel_run(), Decision::NotRun);
+    assert!(attempt.must_release());
     replicas[0].release(&key(), SECOND);
     assert_eq!(vote(&mut replicas[0], ONE, SECOND), VoteReply::Taken);
     replicas[0].release(&key(), FIRST);
--- a/crates/journal/tests/journal_machine.rs
+++ b/crates/journal/tests/journal_machine.rs
@@ -132,7 +132,7 @@
             return;
         }
         let member = replica.member().clone();
-        if attempt.reply(&member, view, reply) == Some(Decision::Run) {
+        if attempt.handle_reply(&member, view, reply) == Some(Decision::Run) {
             self.permitted[index] = true;
         }
         let running = self.permitted.iter().filter(|permitted| **permitted);
@@ -147,12 +147,12 @@
         );
     }
 
-    fn not_taken(&mut self, index: usize) {
-        if !self.permitted[index] || self.attempts[index].releases() {
+    fn cancel_run(&mut self, index: usize) {
+        if !self.permitted[index] || self.attempts[index].must_release() {
             return;
         }
         self.permitted[index] = false;
-        let decision = self.attempts[index].not_taken();
+        let decision = self.attempts[index].cancel_run();
         self.assert_truthful(decision);
     }
 
@@ -186,15 +186,15 @@
             ChangeStep::Seal => {
                 let reply = replica.seal(now(), change.active().number, change.next().number);
                 if reply_arrives {
-                    change.seal_reply(replica.member(), reply);
+                    change.handle_seal_reply(replica.member(), reply);
                 }
             }
             ChangeStep::Install(records) => {
                 if replica.install(now(), change.next(), &records) && reply_arrives {
-                    change.installed(replica.member());
+                    change.handle_installed(replica.member());
                 }
             }
-            ChangeStep::PrepareAnew => panic!("the change is not informed of any refusal"),
+            ChangeStep::PrepareNewView => panic!("the change is not informed of any refusal"),
         }
     }
 }
@@ -236,7 +236,7 @@
                 message,
             } => {
                 // An attempt that has decided requests no more votes.
-                let decided = zone.permitted[attempt] || zone.attempts[attempt].releases();
+                let decided = zone.permitted[attempt] || zone.attempts[attempt].must_release();
                 if !decided {
                     let view = zone.attempts[attempt].view();
                     zone.request_vote(attempt, node, view, message);
@@ -252,16 +252,16 @@
                     zone.assert_truthful(decision);
                 }
             }
-            Step::CancelRun(index) => zone.not_taken(index),
+            Step::CancelRun(index) => zone.cancel_run(index),
             Step::Release { attempt, node } => {
-                if zone.attempts[attempt].releases() {
+                if zone.attempts[attempt].must_release() {
                     let id = zone.attempts[attempt].id();
                     zone.replicas[node].release(&key(), id);
                 }
             }
             Step::LearnView(index) => {
                 let active = zone.active.clone();
-                zone.attempts[index].view_changed(active);
+                zone.attempts[index].change_view(active);
             }
             Step::Prepare { left_out } => zone.prepare(left_out),
             Step::Change { node, message } => zone.advance_change(node, message),
--- a/crates/journal/tests/restored_store.rs
+++ b/crates/journal/tests/restored_store.rs
@@ -39,14 +39,14 @@
     for index in reached {
         let reply = replicas[*index].seal(NOW, from.number, to.number);
         let member = replicas[*index].member().clone();
-        change.seal_reply(&member, reply);
+        change.handle_seal_reply(&member, reply);
     }
     if let ChangeStep::Install(records) = change.step() {
         for index in reached {
             let member = replicas[*index].member().clone();
             match replicas[*index].install(NOW, to, &records) {
-                true => change.installed(&member),
-                false if to.has(&member) => change.refused(),
+                true => change.handle_installed(&member),
+                false if to.has(&member) => change.handle_refusal(),
                 false => {}
             }
         }
@@ -59,7 +59,7 @@
     let attempt = AttemptId(RequestId(request));
     let votes = voters.map(|index| {
         let replica = &mut replicas[index];
-        let is_of_view = replica.is_of(view.digest());
+        let is_of_view = replica.has_installed(view.digest());
         is_of_view && replica.vote(NOW, view.number, &key, attempt) == VoteReply::Granted
     });
     votes.into_iter().filter(|granted| *granted).count()
@@ -81,7 +81,7 @@
     // The store has lost view two and assigns its number to another view.
     let reused_two = view(TWO, &replicas, [0, 1, 4]);
     let step = change(&mut replicas, &one, &reused_two, &[1, 2, 4]);
-    assert_eq!(step, ChangeStep::PrepareAnew);
+    assert_eq!(step, ChangeStep::PrepareNewView);
     assert_eq!(grants(&mut replicas, [1, 4], &reused_two, 2), 1);
 }
 
--- a/crates/node/src/at_most_once/attempts.rs
+++ b/crates/node/src/at_most_once/attempts.rs
@@ -108,7 +108,7 @@
                 break;
             };
             holder = holder.or(vote.holder);
-            attempt.reply(&vote.voter.member, self.view.number, vote.reply);
+            attempt.handle_reply(&vote.voter.member, self.view.number, vote.reply);
         }
         match attempt.give_up() {
             Decision::Run => Ok(()),
--- a/crates/node/src/at_most_once/replica.rs
+++ b/crates/node/src/at_most_once/replica.rs
@@ -63,7 +63,7 @@
     /// Removes expired records; returns the number of those left.
     pub(super) fn sweep(&self, now: Timestamp) -> usize {
         let mut replica = self.replica.lock();
-        replica.forget_old(now);
+        replica.remove_expired(now);
         replica.len()
     }
 
@@ -94,7 +94,7 @@
                 key,
                 attempt,
             } => {
-                let is_of_view = digest.is_none_or(|digest| replica.is_of(digest));
+                let is_of_view = digest.is_none_or(|digest| replica.has_installed(digest));
                 let reply = match is_of_view {
                     true => replica.vote(now, view, &key, attempt),
                     false => VoteReply::NotVoting,
--- a/crates/node/src/at_most_once/view_manager.rs
+++ b/crates/node/src/at_most_once/view_manager.rs
@@ -240,7 +240,7 @@
         }
         match change.step() {
             ChangeStep::Activate => self.activate(stored, next).await,
-            ChangeStep::PrepareAnew => {
+            ChangeStep::PrepareNewView => {
                 let present = self.present_members(active).await;
                 let number = next.number.next();
                 self.prepare(stored, Some(active), number, present).await
@@ -261,7 +261,7 @@
         let answers = join_all(seals).await;
         for (member, answer) in active.members.iter().zip(answers) {
             if let Ok(JournalAnswer::Sealed(reply)) = answer {
-                change.seal_reply(&member.member, reply);
+                change.handle_seal_reply(&member.member, reply);
             }
         }
     }
@@ -277,8 +277,8 @@
         let answers = join_all(installs).await;
         for (member, answer) in next.members.iter().zip(answers) {
             match answer {
-                Ok(JournalAnswer::Installed(true)) => change.installed(&member.member),
-                Ok(JournalAnswer::Installed(false)) => change.refused(),
+                Ok(JournalAnswer::Installed(true)) => change.handle_installed(&member.member),
+                Ok(JournalAnswer::Installed(false)) => change.handle_refusal(),
                 Ok(_) | Err(_) => {}
             }
         }
--- a/crates/node/src/configuration/watcher.rs
+++ b/crates/node/src/configuration/watcher.rs
@@ -17,9 +17,9 @@
 /// Reads of the store are tried again for ever, but never so rarely that a change made right after
 /// an outage is late.
 const RETRIES: RetryPolicy = RetryPolicy {
-    max_tries: u32::MAX,
-    first_wait: Duration::from_millis(250),
-    longest_wait: Duration::from_secs(2),
+    max_attempts: u32::MAX,
+    initial_backoff: Duration::from_millis(250),
+    max_backoff: Duration::from_secs(2),
 };
 /// Time between looks at whether this node is to follow the store.
 const TURN_POLL: Duration = Duration::from_millis(50);
--- a/crates/node/tests/at_most_once_messages.rs
+++ b/crates/node/tests/at_most_once_messages.rs
@@ -147,7 +147,7 @@
 
     fn vote(&mut self, index: usize, node: usize, answer_lost: bool) {
         let attempt = &mut self.attempts[index];
-        attempt.view_changed(self.active.clone());
+        attempt.change_view(self.active.clone());
         let request = JournalRequest::Vote {
             view: attempt.view(),
             digest: Some(self.active.digest()),
@@ -160,7 +160,7 @@
         if answer_lost || self.given_up[index] {
             return;
         }
-        let decision = attempt.reply(self.nodes[node].member(), attempt.view(), reply);
+        let decision = attempt.handle_reply(self.nodes[node].member(), attempt.view(), reply);
         if decision == Some(Decision::Run) {
             self.given_up[index] = true;
             self.running += 1;
@@ -220,7 +220,7 @@
                     view: change.next().clone(),
                     records: records.clone(),
                 },
-                ChangeStep::Seal | ChangeStep::Activate | ChangeStep::PrepareAnew => {
+                ChangeStep::Seal | ChangeStep::Activate | ChangeStep::PrepareNewView => {
                     JournalRequest::Seal {
                         active: change.active().number,
                         next: change.next().number,
@@ -228,8 +228,8 @@
                 }
             };
             match exchange(node, request) {
-                JournalAnswer::Sealed(reply) => change.seal_reply(node.member(), reply),
-                JournalAnswer::Installed(true) => change.installed(node.member()),
+                JournalAnswer::Sealed(reply) => change.handle_seal_reply(node.member(), reply),
+                JournalAnswer::Installed(true) => change.handle_installed(node.member()),
                 _ => {}
             }
         }
--- a/crates/soak/src/journal.rs
+++ b/crates/soak/src/journal.rs
@@ -148,10 +148,10 @@
         if slip.told {
             return;
         }
-        match slip.attempt.reply(member, request.view, reply) {
+        match slip.attempt.handle_reply(member, request.view, reply) {
             None => {}
             Some(Decision::Run) if random.random_bool(NOT_TAKEN) => {
-                let decision = slip.attempt.not_taken();
+                let decision = slip.attempt.cancel_run();
                 self.tell(request.attempt, decision, oracle);
             }
             Some(Decision::Run) => {
@@ -176,7 +176,7 @@
         if decision == Decision::NotRun || self.broken == Some(Rule::Verdict) {
             oracle.told_not_run(slip.number);
         }
-        if slip.attempt.releases() {
+        if slip.attempt.must_release() {
             for replica in &mut self.replicas {
                 replica.release(slip.attempt.key(), slip.attempt.id());
             }
@@ -206,10 +206,10 @@
             match &step {
                 ChangeStep::Seal => {
                     let reply = replica.seal(now, change.active().number, change.next().number);
-                    change.seal_reply(&member, reply);
+                    change.handle_seal_reply(&member, reply);
                 }
                 ChangeStep::Install(records) if replica.install(now, change.next(), records) => {
-                    change.installed(&member);
+                    change.handle_installed(&member);
                 }
                 _ => {}
             }
--- a/crates/store/src/retry.rs
+++ b/crates/store/src/retry.rs
@@ -9,19 +9,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetryPolicy {
     /// Maximum number of attempts, including the first.
-    pub max_tries: u32,
+    pub max_attempts: u32,
     /// Upper bound of the wait before the second attempt. It doubles with each further attempt.
-    pub first_wait: Duration,
+    pub initial_backoff: Duration,
     /// Upper bound of the wait before any attempt.
-    pub longest_wait: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
-            max_tries: 5,
-            first_wait: Duration::from_millis(100),
-            longest_wait: Duration::from_secs(5),
+            max_attempts: 5,
+            initial_backoff: Duration::from_millis(100),
+            max_backoff: Duration::from_secs(5),
         }
     }
 }
@@ -64,7 +64,7 @@
             (StoreError::Unknown(_), Repeatability::Repeatable) => NextStep::Retry,
             (StoreError::NotApplied(_), _) => NextStep::Retry,
         };
-        if attempts >= self.max_tries {
+        if attempts >= self.max_attempts {
             return NextStep::GiveUp;
         }
         step(
@@ -76,7 +76,7 @@
     /// Returns the upper bound of the wait after attempt number `attempts`.
     fn max_backoff_after(&self, attempts: u32) -> Duration {
         let doublings = attempts.saturating_sub(1).min(u32::BITS - 1);
-        let wait = self.first_wait.saturating_mul(1 << doublings);
-        wait.min(self.longest_wait)
+        let wait = self.initial_backoff.saturating_mul(1 << doublings);
+        wait.min(self.max_backoff)
     }
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -104,7 +104,7 @@
     /// The store's revision at the read of this page.
     pub revision: Revision,
     /// Whether more keys follow after this page.
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// A change that a watch reports.
@@ -164,7 +164,7 @@
             entries: range.entries,
             epoch: self.epoch(),
             revision: range.revision,
-            more: false,
+            has_more: false,
         })
     }
     /// Executes a transaction.
--- a/crates/store/tests/limits.rs
+++ b/crates/store/tests/limits.rs
@@ -36,14 +36,14 @@
 
     #[test]
     fn waits_do_not_exceed_their_bounds(attempts in 1_u32..100, jitter in 0.0..1.0) {
-        let policy = RetryPolicy { max_tries: 1_000, ..RetryPolicy::default() };
+        let policy = RetryPolicy { max_attempts: 1_000, ..RetryPolicy::default() };
         let error = StoreError::NotApplied("limited".into());
         let step = policy.after_failure(&error, Repeatability::Once, attempts, jitter);
         let NextStep::Retry(wait) = step else {
             panic!("{step:?}");
         };
-        prop_assert!(wait <= policy.longest_wait);
-        prop_assert!(wait <= policy.first_wait.saturating_mul(1 << (attempts - 1).min(31)));
+        prop_assert!(wait <= policy.max_backoff);
+        prop_assert!(wait <= policy.initial_backoff.saturating_mul(1 << (attempts - 1).min(31)));
     }
 }
 
@@ -79,7 +79,7 @@
 fn the_last_attempt_and_a_lapsed_lease_are_not_retried() {
     let policy = RetryPolicy::default();
     let refused = StoreError::NotApplied("limited".into());
-    let step = policy.after_failure(&refused, Repeatability::Once, policy.max_tries, 0.5);
+    let step = policy.after_failure(&refused, Repeatability::Once, policy.max_attempts, 0.5);
     assert_eq!(step, NextStep::GiveUp);
     let lapsed = policy.after_failure(&StoreError::LeaseLapsed, Repeatability::Once, 1, 0.5);
     assert_eq!(lapsed, NextStep::GiveUp);
--- a/crates/usage/src/clock.rs
+++ b/crates/usage/src/clock.rs
@@ -27,17 +27,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockReading {
     /// The monotonic clock of this gateway.
-    pub steady: Timestamp,
+    pub monotonic: Timestamp,
     /// The wall-clock time, of this gateway or of the gateway that sent it.
-    pub day: UnixMillis,
+    pub wall: UnixMillis,
 }
 
 impl ClockReading {
     /// Returns the wall-clock time, in milliseconds, at which the monotonic clock was zero.
     fn offset(&self) -> i64 {
-        let steady = i64::try_from(self.steady.0 / MICROS_PER_MILLI).unwrap_or(i64::MAX);
-        let day = i64::try_from(self.day.0).unwrap_or(i64::MAX);
-        day.saturating_sub(steady)
+        let monotonic_ms = i64::try_from(self.monotonic.0 / MICROS_PER_MILLI).unwrap_or(i64::MAX);
+        let wall_ms = i64::try_from(self.wall.0).unwrap_or(i64::MAX);
+        wall_ms.saturating_sub(monotonic_ms)
     }
 }
 
@@ -60,41 +60,41 @@
 
 impl FleetClock {
     /// Updates the local offset from a reading of this gateway's clocks, by at most [`MAX_SLEW`].
-    pub fn read_own(&mut self, reading: ClockReading) {
+    pub fn record_local_reading(&mut self, reading: ClockReading) {
         let observed = reading.offset();
         let offset = match self.local {
             None => observed,
             Some(previous) => {
-                let elapsed_ms = reading.steady.since(previous.at).as_millis() as f64;
+                let elapsed_ms = reading.monotonic.since(previous.at).as_millis() as f64;
                 let max_change = (elapsed_ms * MAX_SLEW).ceil() as i64;
                 previous.offset + (observed - previous.offset).clamp(-max_change, max_change)
             }
         };
         self.local = Some(ClockOffset {
             offset,
-            at: reading.steady,
+            at: reading.monotonic,
         });
     }
 
     /// Records the time of a gateway that reports to this one.
-    pub fn hear(&mut self, source: Source, reading: ClockReading) {
+    pub fn record_gateway_reading(&mut self, source: Source, reading: ClockReading) {
         let received = ClockOffset {
             offset: reading.offset(),
-            at: reading.steady,
+            at: reading.monotonic,
         };
         self.gateways.insert(source, received);
     }
 
     /// Records the time received from the collector, the gateway that this one reports to.
-    pub fn be_told(&mut self, reading: ClockReading) {
+    pub fn record_collector_reading(&mut self, reading: ClockReading) {
         self.collector = Some(ClockOffset {
             offset: reading.offset(),
-            at: reading.steady,
+            at: reading.monotonic,
         });
     }
 
     /// Returns this gateway's own time, to be sent to other gateways, or `None` if its clock has not been read yet.
-    pub fn own_time(&self, now: Timestamp) -> Option<UnixMillis> {
+    pub fn local_time(&self, now: Timestamp) -> Option<UnixMillis> {
         Some(time_at(now, self.local?.offset))
     }
 
@@ -121,6 +121,6 @@
 }
 
 fn time_at(now: Timestamp, offset: i64) -> UnixMillis {
-    let steady = i64::try_from(now.0 / MICROS_PER_MILLI).unwrap_or(i64::MAX);
-    UnixMillis(u64::try_from(steady.saturating_add(offset)).unwrap_or_default())
+    let monotonic_ms = i64::try_from(now.0 / MICROS_PER_MILLI).unwrap_or(i64::MAX);
+    UnixMillis(u64::try_from(monotonic_ms.saturating_add(offset)).unwrap_or_default())
 }
--- a/crates/usage/src/collection.rs
+++ b/crates/usage/src/collection.rs
@@ -39,7 +39,7 @@
 
 impl Collection {
     /// Merges the usage of a source: keeps the larger of two counts.
-    pub fn take_in(&mut self, usage: SourceUsage) {
+    pub fn merge(&mut self, usage: SourceUsage) {
         let counted = self.sources.entry(usage.source).or_default();
         counted.until = counted.until.max(usage.counted_until);
         for (window, counts) in usage.windows {
@@ -49,7 +49,7 @@
     }
 
     /// Removes windows before `oldest`, and sources that have no window left and have not reported since `oldest_begins`.
-    pub fn forget_before(&mut self, oldest: WindowNumber, oldest_begins: UnixMillis) {
+    pub fn remove_before(&mut self, oldest: WindowNumber, oldest_begins: UnixMillis) {
         for counted in self.sources.values_mut() {
             counted.windows.retain(|window, _| *window >= oldest);
         }
--- a/crates/usage/src/report.rs
+++ b/crates/usage/src/report.rs
@@ -41,7 +41,7 @@
         /// Time up to which the counts of every gateway must be complete.
         counted_until: UnixMillis,
         /// Whether the report is decided without the counts of gateways that have not sent them.
-        anyway: bool,
+        may_be_incomplete: bool,
     },
     /// Do nothing until the next check.
     Wait,
@@ -71,7 +71,8 @@
     ReportStep::Decide {
         window,
         counted_until,
-        anyway: now >= end.after(fraction_of(timing.due_after, SILENT_GATEWAY_WAIT_FRACTION)),
+        may_be_incomplete: now
+            >= end.after(fraction_of(timing.due_after, SILENT_GATEWAY_WAIT_FRACTION)),
     }
 }
 
--- a/crates/usage/src/sender.rs
+++ b/crates/usage/src/sender.rs
@@ -25,7 +25,7 @@
 
 impl UsageSender {
     /// Returns the next message with its sequence number: the counts that the collector may not have.
-    pub fn next(&mut self, usage: SourceUsage) -> (u64, SourceUsage) {
+    pub fn next_message(&mut self, usage: SourceUsage) -> (u64, SourceUsage) {
         self.sequence += 1;
         self.acknowledged
             .retain(|window, _| usage.windows.contains_key(window));
@@ -61,7 +61,7 @@
     }
 
     /// Prepares for another collector, which has no counts yet: the next message contains all counts.
-    pub fn restart(&mut self) {
+    pub fn reset_for_new_collector(&mut self) {
         self.last_sequence_of_previous = self.sequence;
         self.collector = None;
         self.clear_acknowledged();
--- a/crates/usage/tests/counting.rs
+++ b/crates/usage/tests/counting.rs
@@ -62,9 +62,9 @@
 #[test]
 fn a_restarted_gateway_adds_to_its_earlier_counts() {
     let mut collection = Collection::default();
-    collection.take_in(usage(source("g", 1), at(1.0), &[("a", 3), ("b", 1)]));
-    collection.take_in(usage(source("g", 2), at(2.0), &[("a", 2)]));
-    collection.take_in(usage(source("g", 1), at(0.5), &[("a", 2)]));
+    collection.merge(usage(source("g", 1), at(1.0), &[("a", 3), ("b", 1)]));
+    collection.merge(usage(source("g", 2), at(2.0), &[("a", 2)]));
+    collection.merge(usage(source("g", 1), at(0.5), &[("a", 2)]));
     let total = collection.total(first_window());
     assert_eq!(total, counts(&[("a", 5), ("b", 1)]));
     assert!(collection.covers(["g"].into_iter(), at(2.0)));
@@ -75,9 +75,9 @@
 #[test]
 fn windows_and_sources_before_the_oldest_window_are_removed() {
     let mut collection = Collection::default();
-    collection.take_in(usage(source("g", 1), at(1.0), &[("a", 3)]));
+    collection.merge(usage(source("g", 1), at(1.0), &[("a", 3)]));
     let second = first_window().next();
-    collection.forget_before(second, at(5.0));
+    collection.remove_before(second, at(5.0));
     assert!(collection.is_empty());
 }
 
@@ -89,7 +89,7 @@
 fn acknowledged_sender(meter: &mut UsageMeter) -> UsageSender {
     let mut sender = UsageSender::default();
     meter.count(&TenantName::new("a"), at(0.1));
-    let (sequence, _) = sender.next(meter.usage(at(0.2)));
+    let (sequence, _) = sender.next_message(meter.usage(at(0.2)));
     assert!(sender.acknowledge(sequence, COLLECTOR));
     sender
 }
@@ -99,13 +99,13 @@
     let mut meter = UsageMeter::new(source("g", 1), TIMING);
     let mut sender = acknowledged_sender(&mut meter);
     meter.count(&TenantName::new("b"), at(0.3));
-    let (sequence, message) = sender.next(meter.usage(at(0.4)));
+    let (sequence, message) = sender.next_message(meter.usage(at(0.4)));
     assert_eq!(message.windows[&first_window()], counts(&[("b", 1)]));
     assert!(sender.acknowledge(sequence, RESTARTED_COLLECTOR));
-    let (sequence, message) = sender.next(meter.usage(at(0.5)));
+    let (sequence, message) = sender.next_message(meter.usage(at(0.5)));
     assert_eq!(message.windows[&first_window()].total(), 2);
     assert!(sender.acknowledge(sequence, RESTARTED_COLLECTOR));
-    let (_, message) = sender.next(meter.usage(at(0.6)));
+    let (_, message) = sender.next_message(meter.usage(at(0.6)));
     assert!(message.windows.is_empty());
 }
 
@@ -113,11 +113,11 @@
 fn an_acknowledgement_from_the_previous_collector_is_ignored() {
     let mut meter = UsageMeter::new(source("g", 1), TIMING);
     let mut sender = acknowledged_sender(&mut meter);
-    let (sequence, _) = sender.next(meter.usage(at(0.3)));
-    sender.restart();
-    let (first, _) = sender.next(meter.usage(at(0.4)));
+    let (sequence, _) = sender.next_message(meter.usage(at(0.3)));
+    sender.reset_for_new_collector();
+    let (first, _) = sender.next_message(meter.usage(at(0.4)));
     assert!(!sender.acknowledge(sequence, COLLECTOR));
-    let (_, message) = sender.next(meter.usage(at(0.5)));
+    let (_, message) = sender.next_message(meter.usage(at(0.5)));
     assert_eq!(message.windows[&first_window()].total(), 1);
     assert!(sender.acknowledge(first, RESTARTED_COLLECTOR));
 }
@@ -128,17 +128,17 @@
     let mut sender = UsageSender::default();
     meter.count(&TenantName::new("a"), at(0.1));
     meter.count(&TenantName::new("b"), at(0.2));
-    let (first, message) = sender.next(meter.usage(at(0.3)));
+    let (first, message) = sender.next_message(meter.usage(at(0.3)));
     assert_eq!(message.windows[&first_window()].total(), 2);
-    let (second, message) = sender.next(meter.usage(at(0.4)));
+    let (second, message) = sender.next_message(meter.usage(at(0.4)));
     assert_eq!(message.windows[&first_window()].total(), 2);
     sender.acknowledge(first, COLLECTOR);
     sender.acknowledge(second, COLLECTOR);
     meter.count(&TenantName::new("a"), at(0.5));
-    let (_, message) = sender.next(meter.usage(at(0.6)));
+    let (_, message) = sender.next_message(meter.usage(at(0.6)));
     assert_eq!(message.windows[&first_window()], counts(&[("a", 2)]));
-    sender.restart();
-    let (_, message) = sender.next(meter.usage(at(0.7)));
+    sender.reset_for_new_collector();
+    let (_, message) = sender.next_message(meter.usage(at(0.7)));
     assert_eq!(message.windows[&first_window()].total(), 3);
 }
 
@@ -155,7 +155,7 @@
     let decide = |may_be_incomplete| ReportStep::Decide {
         window,
         counted_until: at(6.0),
-        anyway: may_be_incomplete,
+        may_be_incomplete,
     };
     assert_eq!(step(6.0, &closed), decide(false));
     assert_eq!(step(8.0, &closed), decide(true));
@@ -173,8 +173,8 @@
 
 fn reading(monotonic_seconds: f64, wall_seconds: f64) -> ClockReading {
     ClockReading {
-        steady: Timestamp((monotonic_seconds * 1e6) as u64),
-        day: at(wall_seconds),
+        monotonic: Timestamp((monotonic_seconds * 1e6) as u64),
+        wall: at(wall_seconds),
     }
 }
 
@@ -187,10 +187,10 @@
 #[test]
 fn a_clock_that_jumps_is_followed_only_at_the_maximum_slew() {
     let mut clock = FleetClock::default();
-    clock.read_own(reading(1.0, 101.0));
+    clock.record_local_reading(reading(1.0, 101.0));
     for second in 2..12 {
         let jumped = f64::from(second) + 100.0 + 7.0;
-        clock.read_own(reading(f64::from(second), jumped));
+        clock.record_local_reading(reading(f64::from(second), jumped));
     }
     assert!(error_millis(&mut clock, 12.0, 112.0).abs() <= 25);
 }
@@ -198,11 +198,11 @@
 #[test]
 fn the_median_corrects_a_clock_that_is_wrong_from_the_start() {
     let mut clock = FleetClock::default();
-    clock.read_own(reading(1.0, 108.0));
-    clock.hear(source("g", 1), reading(1.0, 101.0));
-    clock.hear(source("h", 1), reading(1.0, 101.002));
+    clock.record_local_reading(reading(1.0, 108.0));
+    clock.record_gateway_reading(source("g", 1), reading(1.0, 101.0));
+    clock.record_gateway_reading(source("h", 1), reading(1.0, 101.002));
     assert!(error_millis(&mut clock, 2.0, 102.0).abs() <= 2);
-    clock.be_told(reading(2.0, 102.001));
+    clock.record_collector_reading(reading(2.0, 102.001));
     assert_eq!(error_millis(&mut clock, 3.0, 103.0), 1);
 }
 
@@ -226,24 +226,24 @@
                     started += 1;
                     meter.count(&TenantName::new(["a", "b", "c"][usize::from(step)]), at(1.0));
                 }
-                3 => in_transit.push(sender.next(meter.usage(at(2.0)))),
+                3 => in_transit.push(sender.next_message(meter.usage(at(2.0)))),
                 4 => {
                     if let Some((sequence, message)) = in_transit.pop() {
-                        collection.take_in(message);
+                        collection.merge(message);
                         sender.acknowledge(sequence, COLLECTOR);
                     }
                 }
                 5 => {
                     if let Some((_, message)) = in_transit.first().cloned() {
-                        collection.take_in(message);
+                        collection.merge(message);
                     }
                 }
                 6 => { in_transit.pop(); }
-                _ => sender.restart(),
+                _ => sender.reset_for_new_collector(),
             }
         }
-        let (_, last) = sender.next(meter.usage(at(2.0)));
-        collection.take_in(last);
+        let (_, last) = sender.next_message(meter.usage(at(2.0)));
+        collection.merge(last);
         prop_assert_eq!(collection.total(first_window()).total(), started);
     }
 }
