--- a/crates/cli/tests/duty_counterexamples.rs
+++ b/crates/cli/tests/duty_counterexamples.rs
@@ -1,5 +1,5 @@
-//! Counterexamples of `spec/duties.pml` without a rule, replayed against the gateway's tasks: a store and
-//! operations in memory, which carry out, hold back and forget as the test says.
+//! Counterexamples that `spec/duties.pml` has when one of its rules is removed, replayed against the gateway's tasks. The
+//! store and the platform's operations are in memory, and execute, delay or lose calls as the test requires.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -30,15 +30,16 @@
 use tansyhall_usage::{Collection, Source, SourceUsage, TenantCounts, UnixMillis, WindowNumber};
 use tokio::time::sleep;
 
-/// Where decisions stand.
-const REPORTS: &str = "tansyhall/usage/reports/";
-const CLOSED: &str = "tansyhall/usage/closed";
-/// How far a copy of the store is behind it.
-const COPY_PACE: Duration = Duration::from_millis(10);
-/// A window, in milliseconds.
+/// Prefix of the store's keys that contain decided reports.
+const REPORTS_PREFIX: &str = "tansyhall/usage/reports/";
+/// Key of the store that contains the last closed window.
+const CLOSED_KEY: &str = "tansyhall/usage/closed";
+/// Interval at which a gateway's mirror is updated from the store.
+const MIRROR_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
+/// Length of a usage window, in milliseconds.
 const WINDOW_MS: u64 = 500;
-/// Pause between two looks of the authority at its claim, as the gateway has it.
-const LOOKS: Duration = Duration::from_millis(300);
+/// Interval at which the authority checks its claim. Equal to the gateway's constant.
+const CLAIM_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 const SETTINGS: &str = r#"
 [node]
@@ -73,32 +74,32 @@
 due_after_seconds = 8
 "#;
 
-/// The store.
+/// The store in memory.
 #[derive(Default)]
 struct Store {
     revision: Cell<u64>,
     items: RefCell<BTreeMap<String, (Item, Option<LeaseId>)>>,
     leases: RefCell<BTreeSet<i64>>,
-    granted: Cell<i64>,
-    /// When the claim was last made.
-    claimed: Cell<Option<Instant>>,
-    /// Whether the next decision is held back without an answer.
-    holds_decision: Cell<bool>,
-    held: RefCell<Option<Transaction>>,
-    /// How often what was collected was read; each time it says one request more.
-    reads: Cell<u64>,
+    last_lease: Cell<i64>,
+    /// Time at which the claim was last created.
+    claimed_at: Cell<Option<Instant>>,
+    /// Whether the next decision is delayed without an answer.
+    delays_decision: Cell<bool>,
+    delayed_decision: RefCell<Option<Transaction>>,
+    /// How many times the collected counts were read. Each read returns one more request per window.
+    row_reads: Cell<u64>,
 }
 
 impl Store {
     fn apply(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
         let mut items = self.items.borrow_mut();
-        let holds = |compare: &Compare| match compare {
+        let is_satisfied = |compare: &Compare| match compare {
             Compare::Absent(key) => !items.contains_key(key),
             Compare::ModifiedAt(key, Revision(at)) => items
                 .get(key)
                 .is_some_and(|(item, _)| item.written.revision == *at),
         };
-        if !transaction.compare.iter().all(holds) {
+        if !transaction.compare.iter().all(is_satisfied) {
             return Ok(TransactionOutcome {
                 succeeded: false,
                 revision: Revision(0),
@@ -132,8 +133,8 @@
         })
     }
 
-    /// Every lease lapses, and their keys with them.
-    fn lapse(&self) {
+    /// Makes every lease lapse, and deletes the keys attached to them.
+    fn lapse_leases(&self) {
         self.leases.borrow_mut().clear();
         self.items
             .borrow_mut()
@@ -155,10 +156,10 @@
         String::from_utf8(item.value.clone()).ok()
     }
 
-    /// Windows before this one were reported long ago.
+    /// Records that all windows before this one were reported.
     fn close_before(&self, window: u64) {
         let closed = Operation::Put {
-            key: CLOSED.into(),
+            key: CLOSED_KEY.into(),
             value: (window - 1).to_string().into_bytes(),
             lease: None,
         };
@@ -169,18 +170,18 @@
         self.apply(&transaction).expect("an answer");
     }
 
-    fn closed(&self) -> Option<u64> {
-        self.value(CLOSED)?.parse().ok()
+    fn closed_window(&self) -> Option<u64> {
+        self.value(CLOSED_KEY)?.parse().ok()
     }
 
-    /// What was collected: of each window as many requests as it was read before.
-    fn rows(&self) -> Vec<u8> {
-        self.reads.set(self.reads.get() + 1);
+    /// Returns the collected rows, in which each window has as many requests as there were reads, including this one.
+    fn read_rows(&self) -> Vec<u8> {
+        self.row_reads.set(self.row_reads.get() + 1);
         let now = now_millis();
         let mut counts = TenantCounts::default();
-        counts.add(&TenantName::new("depot"), self.reads.get());
-        let around = now / WINDOW_MS;
-        let windows = around.saturating_sub(100)..around + 100;
+        counts.add(&TenantName::new("depot"), self.row_reads.get());
+        let current_window = now / WINDOW_MS;
+        let windows = current_window.saturating_sub(100)..current_window + 100;
         let mut collection = Collection::default();
         for gateway in ["gateway-0", "gateway-1"] {
             collection.merge(SourceUsage {
@@ -207,15 +208,15 @@
 fn is_decision(transaction: &Transaction) -> bool {
     let mut operations = transaction.operations.iter();
     operations.any(
-        |operation| matches!(operation, Operation::Put { key, .. } if key.starts_with(REPORTS)),
+        |operation| matches!(operation, Operation::Put { key, .. } if key.starts_with(REPORTS_PREFIX)),
     )
 }
 
-/// A gateway's calls to the store.
+/// A gateway's client of the store.
 struct StoreClient {
     store: Rc<Store>,
-    /// Whether the renewal that says that the lease is gone is answered between two looks at the claim.
-    answers_between_looks: bool,
+    /// Whether the renewal that reports the lapsed lease is answered between two checks of the claim.
+    answers_between_checks: bool,
 }
 
 #[async_trait(?Send)]
@@ -224,7 +225,7 @@
         assert_eq!(prefix, ROWS_PREFIX);
         let entry = KeyValue {
             key: format!("{ROWS_PREFIX}gateway-0-1"),
-            value: self.store.rows(),
+            value: self.store.read_rows(),
             created: Revision(1),
             modified: Revision(1),
         };
@@ -235,21 +236,21 @@
     }
 
     async fn transact(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
-        if is_decision(transaction) && self.store.holds_decision.take() {
-            *self.store.held.borrow_mut() = Some(transaction.clone());
-            return Err(StoreError::Unknown("held back".into()));
+        if is_decision(transaction) && self.store.delays_decision.take() {
+            *self.store.delayed_decision.borrow_mut() = Some(transaction.clone());
+            return Err(StoreError::Unknown("delayed".into()));
         }
-        let done = self.store.apply(transaction)?;
-        let claim = |compare: &Compare| *compare == Compare::Absent(authority_claim::KEY.into());
-        if done.succeeded && transaction.compare.iter().any(claim) {
-            self.store.claimed.set(Some(Instant::now()));
+        let outcome = self.store.apply(transaction)?;
+        let is_claim = |compare: &Compare| *compare == Compare::Absent(authority_claim::KEY.into());
+        if outcome.succeeded && transaction.compare.iter().any(is_claim) {
+            self.store.claimed_at.set(Some(Instant::now()));
         }
-        Ok(done)
+        Ok(outcome)
     }
 
     async fn grant_lease(&self, _: Duration) -> Result<LeaseId, StoreError> {
-        let lease = self.store.granted.get() + 1;
-        self.store.granted.set(lease);
+        let lease = self.store.last_lease.get() + 1;
+        self.store.last_lease.set(lease);
         self.store.leases.borrow_mut().insert(lease);
         Ok(LeaseId(lease))
     }
@@ -258,11 +259,12 @@
         if self.store.leases.borrow().contains(&lease) {
             return Ok(lease::AUTHORITY_TIMING.time_to_live);
         }
-        if let (true, Some(claimed)) = (self.answers_between_looks, self.store.claimed.get()) {
-            // The authority looked when it made the claim, and at each pace since.
-            let looks = claimed.elapsed().as_millis() / LOOKS.as_millis() + 1;
-            let next = LOOKS * looks as u32 + Duration::from_millis(50);
-            sleep(next.saturating_sub(claimed.elapsed())).await;
+        if let (true, Some(claimed_at)) = (self.answers_between_checks, self.store.claimed_at.get())
+        {
+            // The authority checked its claim when it created it, and at each interval since then.
+            let checks = claimed_at.elapsed().as_millis() / CLAIM_CHECK_INTERVAL.as_millis() + 1;
+            let answer_after = CLAIM_CHECK_INTERVAL * checks as u32 + Duration::from_millis(50);
+            sleep(answer_after.saturating_sub(claimed_at.elapsed())).await;
         }
         Err(StoreError::LeaseLapsed)
     }
@@ -273,22 +275,22 @@
     }
 
     async fn watch(&self, _: &str, _: Revision) -> Result<WatchStream, StoreError> {
-        Err(StoreError::NotApplied("nobody watches".into()))
+        Err(StoreError::NotApplied("watches are not supported".into()))
     }
 }
 
-/// The platform's operations, which take every report.
+/// The platform's operations, which accept every report.
 #[derive(Default)]
 struct Operations {
-    told: RefCell<BTreeMap<WindowNumber, BTreeSet<u64>>>,
+    reported_totals: RefCell<BTreeMap<WindowNumber, BTreeSet<u64>>>,
     holders: RefCell<BTreeSet<String>>,
 }
 
 #[async_trait(?Send)]
 impl DutyService for Operations {
     async fn report_usage(&self, holder: &DutyHolder, report: &UsageReport) -> DutyOutcome {
-        let mut told = self.told.borrow_mut();
-        let counts = told.entry(report.window).or_default();
+        let mut reported = self.reported_totals.borrow_mut();
+        let counts = reported.entry(report.window).or_default();
         counts.insert(report.counts.total());
         self.holders.borrow_mut().insert(holder.name.clone());
         DutyOutcome::Done
@@ -299,11 +301,11 @@
     }
 }
 
-/// The tasks of a gateway that bear on the authority.
+/// The tasks of a gateway that are related to the authority.
 struct Gateway {
     shared: Arc<Shared>,
     authority: Authority,
-    copies: Rc<Cell<bool>>,
+    updates_mirror: Rc<Cell<bool>>,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -320,13 +322,17 @@
             duties: None,
         };
         let shared = create_shared_state(settings, &adapter, log).expect("a gateway");
-        let kept = NodeLease::new(authority_claim::KEY, lease::AUTHORITY_TIMING, false);
-        let authority = Authority::new(kept.clone());
-        let copies = Rc::new(Cell::new(true));
+        let lease = NodeLease::new(authority_claim::KEY, lease::AUTHORITY_TIMING, false);
+        let authority = Authority::new(lease.clone());
+        let updates_mirror = Rc::new(Cell::new(true));
         let client = || Rc::clone(&adapter.store);
         let mut tasks = vec![
-            actix_rt::spawn(copy(Arc::clone(&shared), store, Rc::clone(&copies))),
-            actix_rt::spawn(kept.maintain(Arc::clone(&shared), client())),
+            actix_rt::spawn(update_mirror(
+                Arc::clone(&shared),
+                store,
+                Rc::clone(&updates_mirror),
+            )),
+            actix_rt::spawn(lease.maintain(Arc::clone(&shared), client())),
             actix_rt::spawn(
                 authority
                     .clone()
@@ -347,7 +353,7 @@
         Self {
             shared,
             authority,
-            copies,
+            updates_mirror,
             tasks,
         }
     }
@@ -356,7 +362,7 @@
         self.tasks.iter().for_each(JoinHandle::abort);
     }
 
-    async fn until_holding(&self) {
+    async fn wait_until_authority_held(&self) {
         eventually("the authority is held", || async {
             self.authority.fence(&self.shared)
         })
@@ -364,72 +370,79 @@
     }
 }
 
-async fn copy(shared: Arc<Shared>, store: Rc<Store>, copies: Rc<Cell<bool>>) {
+async fn update_mirror(shared: Arc<Shared>, store: Rc<Store>, is_enabled: Rc<Cell<bool>>) {
     loop {
-        if copies.get() {
+        if is_enabled.get() {
             shared.mirror.lock().replace(store.snapshot());
         }
-        sleep(COPY_PACE).await;
+        sleep(MIRROR_UPDATE_INTERVAL).await;
     }
 }
 
-/// Without NO_LEASE_OF_CLAIM's rule: a gateway that was cut from the store holds a new lease before it hears
-/// that its claim went with the old one.
+/// Without the rule that NO_LEASE_OF_CLAIM removes, a gateway that was disconnected from the store holds a new lease before
+/// it learns that its claim was deleted with the old lease.
 #[actix_rt::test]
-async fn a_new_lease_does_not_bear_the_claim_of_a_lapsed_one() {
+async fn a_new_lease_does_not_keep_the_claim_of_a_lapsed_lease_valid() {
     let store = Rc::new(Store::default());
     let client = StoreClient {
         store: Rc::clone(&store),
-        answers_between_looks: true,
+        answers_between_checks: true,
     };
     let gateway = Gateway::start("gateway-0", client, None);
     for round in 0..3 {
-        gateway.until_holding().await;
-        gateway.copies.set(false);
-        let lease = store.granted.get();
-        store.lapse();
+        gateway.wait_until_authority_held().await;
+        gateway.updates_mirror.set(false);
+        let last_lease = store.last_lease.get();
+        store.lapse_leases();
         eventually("another lease is granted", || async {
-            (store.granted.get() > lease).then_some(())
+            (store.last_lease.get() > last_lease).then_some(())
         })
         .await;
-        let granted = Instant::now();
-        while granted.elapsed() < LOOKS * 2 {
+        let granted_at = Instant::now();
+        while granted_at.elapsed() < CLAIM_CHECK_INTERVAL * 2 {
             let fence = gateway.authority.fence(&gateway.shared);
-            assert_eq!(fence, None, "round {round}, {:?} later", granted.elapsed());
+            assert_eq!(
+                fence,
+                None,
+                "round {round}, {:?} later",
+                granted_at.elapsed()
+            );
             sleep(Duration::from_millis(2)).await;
         }
-        gateway.copies.set(true);
+        gateway.updates_mirror.set(true);
     }
 }
 
-/// Without NO_CLOSED_COMPARE's rule: a decision that is carried out late finds its window undecided, as the
-/// one that was made meanwhile is told and deleted; the next holder tells the window again.
+/// Without the rule that NO_CLOSED_COMPARE removes, a decision that is carried out late finds its window undecided, because
+/// the decision made in the meantime has been reported and deleted. The next holder then reports the window again.
 #[actix_rt::test]
-async fn a_decision_that_is_late_does_not_return_after_its_window_is_closed() {
+async fn a_late_decision_is_not_carried_out_after_its_window_is_closed() {
     let store = Rc::new(Store::default());
     let operations = Rc::new(Operations::default());
     store.close_before(now_millis() / WINDOW_MS - 2);
-    store.holds_decision.set(true);
+    store.delays_decision.set(true);
     let client = || StoreClient {
         store: Rc::clone(&store),
-        answers_between_looks: false,
+        answers_between_checks: false,
     };
     let first = Gateway::start("gateway-0", client(), Some(Rc::clone(&operations)));
-    let late = eventually("a decision is held back", || async {
-        store.held.borrow().clone()
+    let late_decision = eventually("a decision is delayed", || async {
+        store.delayed_decision.borrow().clone()
     })
     .await;
-    let window = window_of(&late);
-    eventually("the window is told and closed", || async {
-        let told = operations.told.borrow().contains_key(&window);
-        let closed = store.closed().is_some_and(|closed| closed >= window.0);
-        (told && closed).then_some(())
+    let window = window_of(&late_decision);
+    eventually("the window is reported and closed", || async {
+        let is_reported = operations.reported_totals.borrow().contains_key(&window);
+        let is_closed = store
+            .closed_window()
+            .is_some_and(|closed| closed >= window.0);
+        (is_reported && is_closed).then_some(())
     })
     .await;
-    let closed = store.closed();
-    let done = store.apply(&late).expect("an answer");
+    let closed_before = store.closed_window();
+    let outcome = store.apply(&late_decision).expect("an answer");
     first.kill();
-    store.lapse();
+    store.lapse_leases();
     let second = Gateway::start("gateway-1", client(), Some(Rc::clone(&operations)));
     eventually("the next holder reports", || async {
         operations
@@ -441,20 +454,29 @@
     .await;
     sleep(Duration::from_millis(1_500)).await;
     second.kill();
-    for (window, counts) in &*operations.told.borrow() {
-        assert_eq!(counts.len(), 1, "window {} is told as {counts:?}", window.0);
+    for (window, counts) in &*operations.reported_totals.borrow() {
+        assert_eq!(
+            counts.len(),
+            1,
+            "window {} is reported with totals {counts:?}",
+            window.0
+        );
     }
-    assert!(!done.succeeded, "the late decision is carried out");
-    assert!(store.closed() >= closed, "closed windows are open again");
+    assert!(!outcome.succeeded, "the late decision is carried out");
+    assert!(
+        store.closed_window() >= closed_before,
+        "closed windows are open again"
+    );
 }
 
+/// Returns the window of the report that the transaction decides.
 fn window_of(transaction: &Transaction) -> WindowNumber {
-    let decided = transaction
+    let window = transaction
         .operations
         .iter()
         .find_map(|operation| match operation {
-            Operation::Put { key, .. } => key.strip_prefix(REPORTS)?.parse().ok(),
+            Operation::Put { key, .. } => key.strip_prefix(REPORTS_PREFIX)?.parse().ok(),
             Operation::Delete { .. } => None,
         });
-    WindowNumber(decided.expect("a decision"))
+    WindowNumber(window.expect("a decision"))
 }
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `tansyhall explain` merges the lines of several gateways and names the cause.
+//! `tansyhall explain` merges the log lines of several gateways and reports the cause of a request's end.
 
 use std::process::{Command, Output};
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn lines_of_all_gateways_stand_in_order_with_the_cause_last() {
+fn lines_of_all_gateways_are_printed_in_order_with_the_cause_last() {
     let output = explain(&["--request", "r-1", "first.log", "second.log"]);
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn programs_get_json() {
+fn json_output_contains_the_lines_and_the_cause() {
     let output = explain(&["--json", "--request", "r-2", "first.log", "second.log"]);
     let value: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     assert_eq!(value["lines"].as_array().map(Vec::len), Some(1));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_refusal_for_a_tenants_share_says_so() {
+fn a_refusal_because_of_a_tenants_share_is_reported_as_such() {
     let output = explain(&["--request", "r-4", "overloaded.log"]);
     let text = String::from_utf8_lossy(&output.stdout);
     let cause = text.lines().last().expect("a cause");
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_day_is_summed_up_by_ends_expectations_and_time() {
+fn logs_are_summarized_by_ends_work_times_and_intervals() {
     let output = explain(&["--summary", "--every", "1", "first.log", "second.log"]);
     assert!(output.status.success());
     let text = String::from_utf8_lossy(&output.stdout);
@@ -108,6 +108,6 @@
     ] {
         assert!(rows.iter().any(|row| row == expected), "{expected}: {text}");
     }
-    let nothing = explain(&["--summary", "--every", "0", "first.log"]);
-    assert_eq!(nothing.status.code(), Some(2));
+    let zero_interval = explain(&["--summary", "--every", "0", "first.log"]);
+    assert_eq!(zero_interval.status.code(), Some(2));
 }
--- a/crates/cli/tests/gateway_check.rs
+++ b/crates/cli/tests/gateway_check.rs
@@ -1,5 +1,5 @@
-//! `tansyhall check` takes the settings that the deployed template renders, and refuses damaged
-//! ones with the key, the value and what is allowed.
+//! `tansyhall check` accepts settings rendered from the deployed template, and refuses invalid settings with the key, the
+//! value and the allowed values.
 
 use std::process::Command;
 
@@ -8,7 +8,7 @@
 
 const TEMPLATE: &str = include_str!("../../../deploy/node.toml");
 
-fn rendered(ratio: f64) -> String {
+fn render_settings(ratio: f64) -> String {
     let fields = json!({
         "node": "gateway-1",
         "zone": "kalimati",
@@ -27,12 +27,12 @@
     render(TEMPLATE, &fields).expect("a template")
 }
 
-struct Checked {
+struct CheckResult {
     code: Option<i32>,
     errors: String,
 }
 
-fn check(settings: &str) -> Checked {
+fn check(settings: &str) -> CheckResult {
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("node.toml");
     std::fs::write(&file, settings).expect("the file is written");
@@ -41,7 +41,7 @@
         .arg(&file)
         .output()
         .expect("tansyhall runs");
-    Checked {
+    CheckResult {
         code: output.status.code(),
         errors: String::from_utf8_lossy(&output.stderr).into_owned(),
     }
@@ -49,17 +49,17 @@
 
 #[test]
 fn rendered_settings_are_accepted() {
-    let checked = check(&rendered(0.2));
-    assert_eq!(checked.code, Some(0), "{}", checked.errors);
+    let result = check(&render_settings(0.2));
+    assert_eq!(result.code, Some(0), "{}", result.errors);
 }
 
 #[test]
-fn damaged_settings_are_refused() {
-    let checked = check(&rendered(7.5));
-    assert_eq!(checked.code, Some(2));
+fn invalid_settings_are_refused() {
+    let result = check(&render_settings(7.5));
+    assert_eq!(result.code, Some(2));
     let expected = "retries.ratio = 7.5: must be 0 to 1";
-    assert!(checked.errors.contains(expected), "{}", checked.errors);
-    let checked = check(&rendered(0.2).replace("10.1.0.35:8144", "nowhere"));
-    assert_eq!(checked.code, Some(2));
-    assert!(checked.errors.contains("callers"), "{}", checked.errors);
+    assert!(result.errors.contains(expected), "{}", result.errors);
+    let result = check(&render_settings(0.2).replace("10.1.0.35:8144", "nowhere"));
+    assert_eq!(result.code, Some(2));
+    assert!(result.errors.contains("callers"), "{}", result.errors);
 }
--- a/crates/cli/tests/gateway_platform/crashing_requests.rs
+++ b/crates/cli/tests/gateway_platform/crashing_requests.rs
@@ -1,12 +1,12 @@
-//! Requests that end each worker that begins to run them.
+//! Requests that crash each worker that starts to run them.
 //!
-//! Seen: engines ended one after another, were back after some seconds and ended again within a second; most
-//! other requests found no engine meanwhile. How it came about: a request ended each engine that began to
-//! run it; the gateway sent it on to the next one, and its caller tried again, at any gateway. Cause: what a
-//! gateway knows of a request died with the try: attempts were counted by try, and a try has an id of its
-//! own, so that nothing tied three ended engines to one request. Proof: each test fails
-//! on gateways without the part that it is about: the bar, what they tell each other, the store's list, the
-//! clearing of what was only beside, the look after silent workers.
+//! The failure: engines crashed one after another, were back after some seconds and crashed again within a second.
+//! Most other requests found no engine in the meantime. One request crashed each engine that started to run it; the
+//! gateway then sent it to the next engine, and its caller repeated it at any gateway. Gateways counted attempts per
+//! try of the caller, and each try has its own id, so nothing connected three crashed engines with one request.
+//!
+//! Each test fails on gateways without the part that it covers: the quarantine, the updates between gateways, the list
+//! in the store, the clearing of requests that only ran at the same time, the detection of silent workers that crash later.
 
 use std::future::Future;
 use std::time::Duration;
@@ -19,254 +19,273 @@
 use tokio::time::sleep;
 
 use crate::support::{
-    ask, ask_model_with_body, CallerAnswer, Site, SiteGateway, AT_MOST_ONCE, REPEATABLE, SWIFT,
+    send_prompt_with_body, send_request, CallerAnswer, Site, SiteGateway, AT_MOST_ONCE, REPEATABLE,
+    SHORT_OBJECTIVE,
 };
 
 const ECHO: Behaviour = Behaviour::Serve { events: 0 };
-/// An answer that takes longer than a worker lives on with a deadly request: what runs beside it ends too.
-const LASTING: Behaviour = Behaviour::Paced {
+/// An answer that takes longer than the time from a crashing request to the worker's crash, so that requests which run at
+/// the same time fail too.
+const SLOW: Behaviour = Behaviour::Paced {
     events: 1,
     pause_ms: 100,
 };
-const DEADLY: &[u8] = b"deadly";
-pub const SILENT: CrashTrigger = CrashTrigger {
-    body_text: DEADLY,
+const CRASH_TEXT: &[u8] = b"deadly";
+pub const SILENT_CRASH: CrashTrigger = CrashTrigger {
+    body_text: CRASH_TEXT,
     partial_answer: PartialAnswer::None,
     delay: Duration::from_millis(10),
 };
-/// Workers that must end before a request counts as deadly.
-pub const ENOUGH_ENDS: u64 = 3;
-/// The time in which gateways that reach each other or the store have learnt of the third end.
-pub const CONTACT: Duration = Duration::from_secs(3);
-/// Sends after that which are allowed.
-const ALLOWED_SENDS: u64 = 3;
-/// Longer than a silent worker is waited for on a route of swift requests while another may try.
-const LATER_THAN_PATIENCE: Duration = Duration::from_millis(1_200);
-/// Tries in all.
+/// Number of workers that must crash before a request is barred.
+pub const CRASHES_TO_BAR: u64 = 3;
+/// Time within which gateways that reach each other or the store must have learned of the third crash.
+pub const UPDATE_TIME_LIMIT: Duration = Duration::from_secs(3);
+/// Number of sends that are allowed after that.
+const MAX_LATE_SENDS: u64 = 3;
+/// Longer than a gateway waits for a silent worker on a route with a short objective while another worker is available.
+const LONGER_THAN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Number of tries of the crashing request.
 const TRIES: usize = 15;
-/// Pause between two tries, so that some workers are back for the next.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Pause between two tries, so that some workers have restarted before the next one.
+const TRY_PAUSE: Duration = Duration::from_millis(200);
 const GATEWAYS: usize = 3;
-/// More gateways than tell each other everything.
+/// More gateways than exchange all updates directly.
 const GATEWAYS_WITH_SCHEDULERS: usize = 14;
-/// A request without a body that many callers send.
-const POPULAR: &str = "/repeat/popular";
+/// Path of a request without a body that many callers send.
+const POPULAR_PATH: &str = "/repeat/popular";
 const WORKERS: usize = 6;
 
-fn sends(workers: &[CrashingWorker]) -> u64 {
+fn total_crash_requests(workers: &[CrashingWorker]) -> u64 {
     workers
         .iter()
         .map(CrashingWorker::crash_requests_received)
         .sum()
 }
 
-pub fn ends(workers: &[CrashingWorker]) -> u64 {
+pub fn total_crashes(workers: &[CrashingWorker]) -> u64 {
     workers.iter().map(CrashingWorker::crash_count).sum()
 }
 
-/// Sends the deadly request at all gateways in turn until enough workers have ended, and waits until
-/// gateways must know.
-async fn end_enough_workers<F>(site: &Site, workers: &[CrashingWorker], ask: impl Fn(usize) -> F)
+/// Sends the crashing request to all gateways in turn until enough workers have crashed, and waits until all gateways
+/// must know it.
+async fn crash_enough_workers<F>(site: &Site, workers: &[CrashingWorker], send: impl Fn(usize) -> F)
 where
     F: Future<Output = CallerAnswer>,
 {
-    let before = ends(workers);
+    let before = total_crashes(workers);
     for number in 0..TRIES {
-        if ends(workers) - before >= ENOUGH_ENDS {
+        if total_crashes(workers) - before >= CRASHES_TO_BAR {
             break;
         }
-        ask(number % site.gateways.len()).await;
+        send(number % site.gateways.len()).await;
     }
-    let ended = ends(workers) - before;
-    assert!(ended >= ENOUGH_ENDS, "{ended} ended");
-    sleep(CONTACT).await;
+    let crashed = total_crashes(workers) - before;
+    assert!(crashed >= CRASHES_TO_BAR, "only {crashed} workers crashed");
+    sleep(UPDATE_TIME_LIMIT).await;
 }
 
-/// Sends the deadly request again, to each gateway a few times: workers get it no more, and its caller is
-/// told once and for all.
-pub async fn is_sent_no_more<F>(site: &Site, workers: &[CrashingWorker], ask: impl Fn(usize) -> F)
-where
+/// Sends the crashing request several times to each gateway, and asserts that workers no longer get it and that its
+/// caller receives a final error without `Retry-After`.
+pub async fn assert_no_longer_sent<F>(
+    site: &Site,
+    workers: &[CrashingWorker],
+    send: impl Fn(usize) -> F,
+) where
     F: Future<Output = CallerAnswer>,
 {
-    let before = sends(workers);
-    let mut last = Vec::new();
+    let before = total_crash_requests(workers);
+    let mut results = Vec::new();
     for number in 0..TRIES {
-        sleep(PAUSE).await;
-        let answer = ask(number % site.gateways.len()).await;
-        last.push((answer.status, answer.retry_after));
+        sleep(TRY_PAUSE).await;
+        let answer = send(number % site.gateways.len()).await;
+        results.push((answer.status, answer.retry_after));
     }
-    let after = sends(workers) - before;
-    assert!(after <= ALLOWED_SENDS, "{after} sends after {before}");
-    let last = &last[TRIES - site.gateways.len()..];
+    let new_sends = total_crash_requests(workers) - before;
+    assert!(
+        new_sends <= MAX_LATE_SENDS,
+        "{new_sends} sends after {before}"
+    );
+    let last_results = &results[TRIES - site.gateways.len()..];
     let is_final = |(status, retry_after): &(u16, Option<f64>)| {
         *status >= 500 && *status != 503 && retry_after.is_none()
     };
-    assert!(last.iter().all(is_final), "{last:?}");
+    assert!(last_results.iter().all(is_final), "{last_results:?}");
 }
 
-pub async fn ask_deadly(gateway: &SiteGateway, path: &str) -> CallerAnswer {
-    let id = format!("d-{:x}", rand_id());
-    ask(gateway, &id, path, DEADLY).await
+pub async fn send_crashing_request(gateway: &SiteGateway, path: &str) -> CallerAnswer {
+    let id = format!("d-{:x}", next_id());
+    send_request(gateway, &id, path, CRASH_TEXT).await
 }
 
-/// Each try of a caller has an id of its own.
-fn rand_id() -> u64 {
+/// Returns a new id for each try of a caller.
+fn next_id() -> u64 {
     use std::sync::atomic::{AtomicU64, Ordering};
     static LAST: AtomicU64 = AtomicU64::new(0);
     LAST.fetch_add(1, Ordering::Relaxed)
 }
 
 #[actix_rt::test]
-async fn a_request_that_ends_workers_is_sent_no_more() {
-    let (site, workers) = site_with_mortal_workers().await;
+async fn a_request_that_crashes_workers_is_no_longer_sent() {
+    let (site, workers) = start_site_with_crashing_workers().await;
     for path in [REPEATABLE, AT_MOST_ONCE] {
-        let ask = |index: usize| ask_deadly(&site.gateways[index], path);
-        end_enough_workers(&site, &workers, ask).await;
-        is_sent_no_more(&site, &workers, ask).await;
+        let send = |index: usize| send_crashing_request(&site.gateways[index], path);
+        crash_enough_workers(&site, &workers, send).await;
+        assert_no_longer_sent(&site, &workers, send).await;
     }
 }
 
 #[actix_rt::test]
-async fn a_request_that_ends_engines_is_neither_read_nor_run_any_more() {
+async fn a_request_that_crashes_engines_is_no_longer_read_or_run() {
     let reader = ("llm", Some("prefill"), ECHO);
     let site = Site::start(&[reader, ("app", None, ECHO)], GATEWAYS).await;
     let decoder = ("llm", Some("decode"), ECHO);
-    let workers = site.add_mortal_workers(WORKERS, decoder, SILENT).await;
-    site.until_gateways_know_each_other().await;
-    let ask = |index: usize| {
+    let workers = site
+        .add_crashing_workers(WORKERS, decoder, SILENT_CRASH)
+        .await;
+    site.wait_until_gateways_know_each_other().await;
+    let send = |index: usize| {
         let gateway = &site.gateways[index];
-        async move { ask_model_with_body(gateway, &format!("d-{:x}", rand_id()), DEADLY).await }
+        async move { send_prompt_with_body(gateway, &format!("d-{:x}", next_id()), CRASH_TEXT).await }
     };
-    end_enough_workers(&site, &workers, ask).await;
-    let read = site.workers[0].worker.prompts_read();
-    is_sent_no_more(&site, &workers, ask).await;
-    let read_again = site.workers[0].worker.prompts_read() - read;
-    assert!(read_again <= ALLOWED_SENDS, "read {read_again} times more");
+    crash_enough_workers(&site, &workers, send).await;
+    let prompts_before = site.workers[0].worker.prompts_read();
+    assert_no_longer_sent(&site, &workers, send).await;
+    let new_prompts = site.workers[0].worker.prompts_read() - prompts_before;
+    assert!(
+        new_prompts <= MAX_LATE_SENDS,
+        "prompt read {new_prompts} more times"
+    );
 }
 
-async fn site_with_mortal_workers() -> (Site, Vec<CrashingWorker>) {
-    site_of(GATEWAYS, ECHO, SILENT).await
+async fn start_site_with_crashing_workers() -> (Site, Vec<CrashingWorker>) {
+    start_site(GATEWAYS, ECHO, SILENT_CRASH).await
 }
 
-/// A site whose application workers end under such requests, and treat others like this.
-async fn site_of(
+/// Starts a site whose application workers crash while running such requests, and treat other requests as `behaviour` says.
+async fn start_site(
     gateways: usize,
     behaviour: Behaviour,
-    deadly: CrashTrigger,
+    trigger: CrashTrigger,
 ) -> (Site, Vec<CrashingWorker>) {
     let site = Site::start(&[("llm", Some("decode"), ECHO)], gateways).await;
     let workers = site
-        .add_mortal_workers(WORKERS, ("app", None, behaviour), deadly)
+        .add_crashing_workers(WORKERS, ("app", None, behaviour), trigger)
         .await;
-    site.until_gateways_know_each_other().await;
+    site.wait_until_gateways_know_each_other().await;
     (site, workers)
 }
 
-async fn until_all_workers_are_back(site: &Site) {
+async fn wait_until_all_workers_are_ready(site: &Site) {
     let all = (site.workers.len() + WORKERS) as f64;
     for index in 0..site.gateways.len() {
-        site.until_ready_workers(index, all).await;
+        site.wait_for_ready_workers(index, all).await;
     }
 }
 
 #[actix_rt::test]
-async fn a_gateway_that_starts_later_knows_it_from_the_store() {
-    let (mut site, workers) = site_with_mortal_workers().await;
-    let ask = |index: usize| ask_deadly(&site.gateways[index], REPEATABLE);
-    end_enough_workers(&site, &workers, ask).await;
+async fn a_gateway_that_starts_later_reads_the_barred_request_from_the_store() {
+    let (mut site, workers) = start_site_with_crashing_workers().await;
+    let send = |index: usize| send_crashing_request(&site.gateways[index], REPEATABLE);
+    crash_enough_workers(&site, &workers, send).await;
     site.add_gateway();
-    until_all_workers_are_back(&site).await;
-    let before = sends(&workers);
-    let answer = ask_deadly(&site.gateways[GATEWAYS], REPEATABLE).await;
-    assert_eq!((sends(&workers), answer.status), (before, 500));
+    wait_until_all_workers_are_ready(&site).await;
+    let before = total_crash_requests(&workers);
+    let answer = send_crashing_request(&site.gateways[GATEWAYS], REPEATABLE).await;
+    assert_eq!(
+        (total_crash_requests(&workers), answer.status),
+        (before, 500)
+    );
 }
 
 #[actix_rt::test]
-async fn it_is_known_after_the_loss_of_all_gateways() {
-    let (mut site, workers) = site_with_mortal_workers().await;
-    let ask = |index: usize| ask_deadly(&site.gateways[index], REPEATABLE);
-    end_enough_workers(&site, &workers, ask).await;
+async fn the_request_stays_barred_after_the_loss_of_all_gateways() {
+    let (mut site, workers) = start_site_with_crashing_workers().await;
+    let send = |index: usize| send_crashing_request(&site.gateways[index], REPEATABLE);
+    crash_enough_workers(&site, &workers, send).await;
     site.restart_all_gateways();
-    until_all_workers_are_back(&site).await;
-    let before = sends(&workers);
+    wait_until_all_workers_are_ready(&site).await;
+    let before = total_crash_requests(&workers);
     for gateway in &site.gateways {
-        assert_eq!(ask_deadly(gateway, REPEATABLE).await.status, 500);
+        assert_eq!(send_crashing_request(gateway, REPEATABLE).await.status, 500);
     }
-    assert_eq!(sends(&workers), before);
+    assert_eq!(total_crash_requests(&workers), before);
 }
 
 #[actix_rt::test]
-async fn gateways_tell_each_other_while_the_store_is_away() {
-    let (site, workers) = site_with_mortal_workers().await;
-    for door in &site.doors {
-        door.set_fault(StoreFault::Refuse);
+async fn gateways_inform_each_other_while_the_store_is_unreachable() {
+    let (site, workers) = start_site_with_crashing_workers().await;
+    for endpoint in &site.store_endpoints {
+        endpoint.set_fault(StoreFault::Refuse);
     }
-    let ask = |index: usize| ask_deadly(&site.gateways[index], REPEATABLE);
-    end_enough_workers(&site, &workers, ask).await;
-    is_sent_no_more(&site, &workers, ask).await;
+    let send = |index: usize| send_crashing_request(&site.gateways[index], REPEATABLE);
+    crash_enough_workers(&site, &workers, send).await;
+    assert_no_longer_sent(&site, &workers, send).await;
 }
 
 #[actix_rt::test]
-async fn requests_that_many_callers_send_alike_are_not_barred_for_being_beside_it() {
-    let (site, workers) = site_of(GATEWAYS, LASTING, SILENT).await;
-    let ask_popular = |index: usize| {
+async fn identical_requests_of_many_callers_are_not_barred_for_running_at_the_same_time() {
+    let (site, workers) = start_site(GATEWAYS, SLOW, SILENT_CRASH).await;
+    let send_popular = |index: usize| {
         let gateway = &site.gateways[index % GATEWAYS];
-        async move { ask(gateway, &format!("p-{:x}", rand_id()), POPULAR, b"").await }
+        async move { send_request(gateway, &format!("p-{:x}", next_id()), POPULAR_PATH, b"").await }
     };
-    let ask = |index: usize| {
-        let popular = join_all((0..4 * WORKERS).map(ask_popular));
-        let deadly = ask_deadly(&site.gateways[index], REPEATABLE);
-        async move { futures_util::join!(deadly, popular).0 }
+    let send = |index: usize| {
+        let popular_requests = join_all((0..4 * WORKERS).map(send_popular));
+        let crashing_request = send_crashing_request(&site.gateways[index], REPEATABLE);
+        async move { futures_util::join!(crashing_request, popular_requests).0 }
     };
-    end_enough_workers(&site, &workers, ask).await;
-    until_all_workers_are_back(&site).await;
-    is_sent_no_more(&site, &workers, ask).await;
+    crash_enough_workers(&site, &workers, send).await;
+    wait_until_all_workers_are_ready(&site).await;
+    assert_no_longer_sent(&site, &workers, send).await;
     for index in 0..TRIES {
-        assert_eq!(ask_popular(index).await.status, 200);
+        assert_eq!(send_popular(index).await.status, 200);
     }
 }
 
 #[actix_rt::test]
-async fn in_a_fleet_whose_schedulers_put_it_together_every_gateway_knows() {
-    let (site, workers) = site_of(GATEWAYS_WITH_SCHEDULERS, ECHO, SILENT).await;
-    let ask = |index: usize| ask_deadly(&site.gateways[index], AT_MOST_ONCE);
-    end_enough_workers(&site, &workers, ask).await;
-    until_all_workers_are_back(&site).await;
-    let before = sends(&workers);
+async fn every_gateway_of_a_fleet_with_schedulers_bars_the_request() {
+    let (site, workers) = start_site(GATEWAYS_WITH_SCHEDULERS, ECHO, SILENT_CRASH).await;
+    let send = |index: usize| send_crashing_request(&site.gateways[index], AT_MOST_ONCE);
+    crash_enough_workers(&site, &workers, send).await;
+    wait_until_all_workers_are_ready(&site).await;
+    let before = total_crash_requests(&workers);
     for gateway in &site.gateways {
-        assert_eq!(ask_deadly(gateway, AT_MOST_ONCE).await.status, 500);
+        assert_eq!(
+            send_crashing_request(gateway, AT_MOST_ONCE).await.status,
+            500
+        );
     }
-    assert_eq!(sends(&workers), before);
+    assert_eq!(total_crash_requests(&workers), before);
 }
 
-/// An answer that has no length ends with its connection, be it whole or not: that it came to an end does
-/// not clear its request.
+/// An answer without a length ends with its connection, whether it is complete or not. Its end must therefore not clear
+/// the request.
 #[actix_rt::test]
-async fn an_answer_without_a_length_clears_nobody() {
-    let deadly = CrashTrigger {
+async fn the_end_of_an_answer_without_a_length_does_not_clear_its_request() {
+    let trigger = CrashTrigger {
         partial_answer: PartialAnswer::WithoutLength,
-        ..SILENT
+        ..SILENT_CRASH
     };
-    let (site, workers) = site_of(GATEWAYS, ECHO, deadly).await;
-    let ask = |index: usize| ask_deadly(&site.gateways[index], AT_MOST_ONCE);
-    end_enough_workers(&site, &workers, ask).await;
-    is_sent_no_more(&site, &workers, ask).await;
+    let (site, workers) = start_site(GATEWAYS, ECHO, trigger).await;
+    let send = |index: usize| send_crashing_request(&site.gateways[index], AT_MOST_ONCE);
+    crash_enough_workers(&site, &workers, send).await;
+    assert_no_longer_sent(&site, &workers, send).await;
 }
 
-/// The first send is given up as its worker says nothing; the worker ends after that. The second is waited
-/// for, and broken.
+/// The gateway gives up the first send because its worker is silent, and the worker crashes afterwards. The gateway waits
+/// for the second send, which the crash of its worker breaks.
 #[actix_rt::test]
-async fn a_worker_that_ends_after_its_request_was_given_up_counts_too() {
-    let deadly = CrashTrigger {
-        delay: LATER_THAN_PATIENCE,
-        ..SILENT
+async fn a_worker_that_crashes_after_its_request_was_given_up_is_counted() {
+    let trigger = CrashTrigger {
+        delay: LONGER_THAN_ATTEMPT_TIMEOUT,
+        ..SILENT_CRASH
     };
-    let (site, workers) = site_of(1, ECHO, deadly).await;
+    let (site, workers) = start_site(1, ECHO, trigger).await;
     let gateway = &site.gateways[0];
-    ask_deadly(gateway, SWIFT).await;
-    eventually("both ends are seen", || async {
-        let seen = gateway.metric("gateway_worker_ends_total").await?;
-        (ends(&workers) == 2 && seen == 2.0).then_some(())
+    send_crashing_request(gateway, SHORT_OBJECTIVE).await;
+    eventually("both crashes are counted", || async {
+        let counted = gateway.metric("gateway_worker_ends_total").await?;
+        (total_crashes(&workers) == 2 && counted == 2.0).then_some(())
     })
     .await;
 }
--- a/crates/cli/tests/gateway_platform/logs.rs
+++ b/crates/cli/tests/gateway_platform/logs.rs
@@ -1,41 +1,45 @@
-//! What a gateway writes of its decisions: a line for each, and nothing that is not its own.
+//! The log of a gateway: one line for each decision, and no contents of callers' requests.
 
 use serde_json::Value;
 use tansyhall_platform_standin::Behaviour;
 use tansyhall_testing::eventually;
 
-use crate::support::{ask, Site, AT_MOST_ONCE, FINAL_STREAM, REPEATABLE};
+use crate::support::{send_request, Site, AT_MOST_ONCE, NON_RESUMABLE, REPEATABLE};
 
 const SECRET: &[u8] = b"the body of a ledger";
 
-/// Whether a line has these fields with these values.
-fn has(lines: &[Value], fields: &[(&str, &str)]) -> bool {
-    let fits = |line: &Value| fields.iter().all(|(name, value)| line[*name] == **value);
-    lines.iter().any(fits)
+/// Returns whether a line has these fields with these values.
+fn has_line(lines: &[Value], fields: &[(&str, &str)]) -> bool {
+    let matches = |line: &Value| fields.iter().all(|(name, value)| line[*name] == **value);
+    lines.iter().any(matches)
 }
 
 #[actix_rt::test]
-async fn each_decision_has_its_line_and_no_line_has_a_body() {
+async fn each_decision_is_logged_and_no_line_contains_a_body() {
     let mut site = Site::start(&[("app", None, Behaviour::Serve { events: 0 })], 1).await;
     let worker = site.workers[0].worker.clone();
     let gateway = &site.gateways[0];
-    ask(gateway, "delivered", REPEATABLE, SECRET).await;
-    ask(gateway, "no-route", "/nowhere/", SECRET).await;
-    ask(gateway, "too-long", AT_MOST_ONCE, &[b'x'; 100_000]).await;
+    send_request(gateway, "delivered", REPEATABLE, SECRET).await;
+    send_request(gateway, "no-route", "/nowhere/", SECRET).await;
+    send_request(gateway, "too-long", AT_MOST_ONCE, &[b'x'; 100_000]).await;
     for (id, path, behaviour) in [
         ("lost", AT_MOST_ONCE, Behaviour::MismatchedId),
-        ("broken", FINAL_STREAM, Behaviour::AbortAnswer { events: 1 }),
+        (
+            "broken",
+            NON_RESUMABLE,
+            Behaviour::AbortAnswer { events: 1 },
+        ),
         ("failed", AT_MOST_ONCE, Behaviour::Fail),
         ("refused", AT_MOST_ONCE, Behaviour::NotRun),
     ] {
         worker.set_behaviour(behaviour);
-        ask(gateway, id, path, SECRET).await;
+        send_request(gateway, id, path, SECRET).await;
     }
     std::fs::write(&gateway.settings, "not = 'settings'").expect("the file is written");
     gateway.process.signal("HUP");
     worker.write_entry("draining");
-    site.until_ready_workers(0, 0.0).await;
-    ask(gateway, "nobody", REPEATABLE, SECRET).await;
+    site.wait_for_ready_workers(0, 0.0).await;
+    send_request(gateway, "nobody", REPEATABLE, SECRET).await;
     eventually("it holds the authority over roles", || async {
         let holds = gateway.metric("gateway_holds_authority").await?;
         (holds == 1.0).then_some(())
@@ -107,7 +111,7 @@
         ],
     ] {
         assert!(
-            has(&lines, expected),
+            has_line(&lines, expected),
             "no line with {expected:?} in {lines:#?}"
         );
     }
--- a/crates/cli/tests/gateway_platform/main.rs
+++ b/crates/cli/tests/gateway_platform/main.rs
@@ -1,4 +1,4 @@
-//! Gateways as separate processes, with the settings that the deployed template renders, against
+//! Tests of gateways as separate processes, with settings rendered from the deployed template, against
 //! stand-ins of the users' platform.
 
 mod budget;
--- a/crates/cli/tests/gateway_platform/mismatched_answers.rs
+++ b/crates/cli/tests/gateway_platform/mismatched_answers.rs
@@ -1,81 +1,87 @@
-//! Workers that send an answer again, late, in the place of the next one on its connection.
+//! Workers that send an answer a second time, late, in place of the next answer on the connection.
 //!
-//! Seen: on real sockets a few callers got an answer that was not their own. How it came about: a
-//! gateway keeps its connections to workers, and the late second answer to one request was read as
-//! the answer to the next. Cause: an answer was taken for a request's because of its place on the
-//! connection. Where ids were compared, two sends under one id were not told apart; where a prompt
-//! was read apart, ids were not compared at all, and the request went on from another's KV cache.
-//! Proof: each test fails on a gateway without the comparison that it is about.
+//! The failure: on real sockets a few callers got the answer to another request. A gateway keeps its connections to
+//! workers open, and read the late second answer to one request as the answer to the next. It matched answers to requests
+//! only by their order on the connection. Where ids were compared, two sends with the same id were not distinguished.
+//! Where a prompt was read apart, ids were not compared at all, and the request continued from the KV cache of another
+//! request. Each test fails on a gateway without the comparison that it covers.
 
-use crate::support::{ask, ask_own_prompt, Site, REPEATABLE};
+use crate::support::{send_request, send_unique_prompt, Site, REPEATABLE};
 use tansyhall_platform_standin::{cache_handle_of, Behaviour};
 
 const ECHO: Behaviour = Behaviour::Serve { events: 0 };
 const REQUESTS: usize = 12;
 
 #[actix_rt::test]
-async fn no_request_goes_on_from_the_cache_of_another() {
+async fn no_request_continues_from_the_cache_of_another() {
     let site = Site::start(&[("llm", Some("decode"), ECHO)], 1).await;
     let reader = site
-        .add_stuttering_worker("llm", Some("prefill"), ECHO)
+        .add_duplicating_worker("llm", Some("prefill"), ECHO)
         .await;
     for number in 0..REQUESTS {
-        ask_own_prompt(&site.gateways[0], &format!("m-{number}"), number).await;
+        send_unique_prompt(&site.gateways[0], &format!("m-{number}"), number).await;
     }
     assert!(reader.worker.prompts_read() > 1, "no prompt was read apart");
-    let noticed = "gateway_foreign_answers_total{work=\"read_prompt\"}";
-    assert!(site.gateways[0].metric(noticed).await > Some(0.0));
+    let mismatched = "gateway_foreign_answers_total{work=\"read_prompt\"}";
+    assert!(site.gateways[0].metric(mismatched).await > Some(0.0));
     for run in site.workers[0].worker.runs() {
         let Some(source) = &run.cache_source else {
             continue;
         };
-        let own = cache_handle_of(&run.request_id);
-        assert!(source.ends_with(&own), "{} from {source}", run.request_id);
+        let own_handle = cache_handle_of(&run.request_id);
+        assert!(
+            source.ends_with(&own_handle),
+            "{} continued from {source}",
+            run.request_id
+        );
     }
 }
 
 #[actix_rt::test]
-async fn two_requests_under_one_id_get_an_answer_each() {
+async fn two_requests_with_the_same_id_each_get_their_own_answer() {
     let site = Site::start(&[("llm", Some("decode"), ECHO)], 1).await;
-    let worker = site.add_stuttering_worker("app", None, ECHO).await;
+    let worker = site.add_duplicating_worker("app", None, ECHO).await;
     for number in 0..REQUESTS {
         let body = format!("body {number}");
-        let answer = ask(&site.gateways[0], "same", REPEATABLE, body.as_bytes()).await;
+        let answer = send_request(&site.gateways[0], "same", REPEATABLE, body.as_bytes()).await;
         assert!(answer.status != 200 || answer.body == body.as_bytes());
     }
-    assert!(worker.worker.runs().len() > 1, "the worker was hardly used");
+    assert!(
+        worker.worker.runs().len() > 1,
+        "the worker ran at most one request"
+    );
 }
 
 #[actix_rt::test]
-async fn two_requests_under_one_id_are_both_served() {
+async fn two_requests_with_the_same_id_are_both_served() {
     let site = Site::start(&[("llm", Some("decode"), ECHO)], 1).await;
-    let _worker = site.add_stuttering_worker("app", None, ECHO).await;
+    let _worker = site.add_duplicating_worker("app", None, ECHO).await;
     let mut statuses = Vec::new();
     for number in 0..REQUESTS {
         let body = format!("body {number}");
-        let answer = ask(&site.gateways[0], "same", REPEATABLE, body.as_bytes()).await;
+        let answer = send_request(&site.gateways[0], "same", REPEATABLE, body.as_bytes()).await;
         statuses.push(answer.status);
     }
     assert_eq!(statuses, [200; REQUESTS]);
 }
 
 #[actix_rt::test]
-async fn some_request_goes_on_from_its_own_cache_and_all_are_answered() {
+async fn some_request_continues_from_its_own_cache_and_all_are_answered() {
     let site = Site::start(&[("llm", Some("decode"), ECHO)], 1).await;
-    site.add_stuttering_worker("llm", Some("prefill"), ECHO)
+    site.add_duplicating_worker("llm", Some("prefill"), ECHO)
         .await;
     for number in 0..REQUESTS {
-        ask_own_prompt(&site.gateways[0], &format!("m-{number}"), number).await;
+        send_unique_prompt(&site.gateways[0], &format!("m-{number}"), number).await;
     }
     let runs = site.workers[0].worker.runs();
     let with_source = runs.iter().filter(|run| run.cache_source.is_some()).count();
     assert_eq!(runs.len(), REQUESTS);
-    assert!(with_source > 0, "no run had a source");
+    assert!(with_source > 0, "no run continued from a cache");
 }
 
-/// A caller of HTTP/1.0 knows no chunks: a stream that breaks off would end like a whole one.
+/// HTTP/1.0 has no chunked encoding: a stream that breaks off would end like a complete one.
 #[actix_rt::test]
-async fn a_stream_that_breaks_off_does_not_look_whole_over_http_1_0() {
+async fn a_stream_that_breaks_off_does_not_look_complete_over_http_1_0() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let broken = Behaviour::AbortAnswer { events: 2 };
     let site = Site::start(&[("app", None, broken)], 1).await;
@@ -83,7 +89,7 @@
     let mut caller = tokio::net::TcpStream::connect(address)
         .await
         .expect("a gateway");
-    let path = crate::support::FINAL_STREAM;
+    let path = crate::support::NON_RESUMABLE;
     let host = crate::support::HOST;
     let request = format!(
         "POST {path} HTTP/1.0\r\nHost: {host}\r\nX-Request-Id: old\r\nX-Deadline-Ms: 5000\r\nContent-Length: 0\r\n\r\n"
@@ -99,7 +105,7 @@
     assert_eq!(status, Some("502"), "{text}");
 }
 
-/// Callers that send several requests at once, on several connections, get their answers in order.
+/// Callers that pipeline several requests, on several connections, get their answers in order.
 #[actix_rt::test]
 async fn callers_that_pipeline_get_their_own_answers_in_order() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/cli/tests/gateway_platform/rate_limits.rs
+++ b/crates/cli/tests/gateway_platform/rate_limits.rs
@@ -1,4 +1,4 @@
-//! Workers that name a rate limit in their answers: all gateways together keep to it, for as long as it is named.
+//! Workers that state a rate limit in their answers: all gateways together stay within it for as long as it is stated.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -8,79 +8,82 @@
 use tansyhall_testing::eventually;
 use tokio::time::sleep;
 
-use crate::leaving_and_backoff::{ask_app, preferred};
+use crate::leaving_and_backoff::{find_preferred, send_app_request};
 use crate::schedulers::GATEWAYS as GATEWAYS_WITH_SCHEDULERS;
-use crate::support::{ask_own_prompt, CallerAnswer, Site, SiteGateway, SiteWorker, WorkerSpec};
+use crate::support::{send_unique_prompt, CallerAnswer, Site, SiteGateway, SiteWorker, WorkerSpec};
 
 const ECHO: Behaviour = Behaviour::Serve { events: 0 };
 const APP: WorkerSpec = ("app", None, ECHO);
 const READER: WorkerSpec = ("llm", Some("prefill"), ECHO);
 const DECODER: WorkerSpec = ("llm", Some("decode"), ECHO);
 const GATEWAYS: usize = 3;
-/// Requests a second that a worker in need takes.
+/// Rate limit that a worker states, in requests per second.
 const LIMIT: f64 = 3.0;
-/// A limit under which each gateway is soon told.
+/// A rate limit, in requests per second, that is high enough for every gateway to receive it soon.
 const HIGH_LIMIT: f64 = 40.0;
-/// The span in which requests are counted, and how many may reach a worker in it.
-const SPAN: Duration = Duration::from_secs(4);
-const ALLOWED: usize = (LIMIT * 4.0 * 1.5) as usize + 5;
-/// A gateway keeps to a limit from so long after it was told on.
-const KEPT_WITHIN: Duration = Duration::from_millis(500);
-/// How long callers ask, the span and more.
-const LOAD: Duration = Duration::from_secs(6);
-/// Callers of each gateway, each with one request at a time, and their pause.
+/// Length of the window in which requests are counted.
+const COUNTING_WINDOW: Duration = Duration::from_secs(4);
+/// Number of requests that may reach a worker within [`COUNTING_WINDOW`].
+const MAX_REQUESTS_IN_WINDOW: usize = (LIMIT * 4.0 * 1.5) as usize + 5;
+/// Time after the receipt of a limit within which all gateways must apply it.
+const LIMIT_APPLIED_WITHIN: Duration = Duration::from_millis(500);
+/// Time for which callers send requests. It is longer than [`COUNTING_WINDOW`].
+const LOAD_DURATION: Duration = Duration::from_secs(6);
+/// Callers of each gateway, each with one request at a time.
 const CALLERS: usize = 4;
-const PAUSE: Duration = Duration::from_millis(40);
+/// Pause of a caller between two requests.
+const CALLER_PAUSE: Duration = Duration::from_millis(40);
 
-/// The most requests that reached a worker in any [`SPAN`] after a moment.
-fn most_in_span(worker: &Worker, after: Instant) -> usize {
+/// Returns the maximum number of requests that reached a worker in any [`COUNTING_WINDOW`] after `after`.
+fn max_requests_in_window(worker: &Worker, after: Instant) -> usize {
     let arrivals = worker.work_arrivals();
     let arrivals: Vec<Instant> = arrivals.into_iter().filter(|at| *at > after).collect();
-    let in_span = |first: &Instant| {
+    let count_in_window = |first: &Instant| {
         let later = arrivals.iter().filter(|at| *at >= first);
-        later.filter(|at| **at < *first + SPAN).count()
+        later.filter(|at| **at < *first + COUNTING_WINDOW).count()
     };
-    arrivals.iter().map(in_span).max().unwrap_or(0)
+    arrivals.iter().map(count_in_window).max().unwrap_or(0)
 }
 
-async fn is_told(gateway: &SiteGateway) -> bool {
-    let heard = gateway
+/// Returns whether a gateway has received a rate limit in an answer.
+async fn has_received_limit(gateway: &SiteGateway) -> bool {
+    let notices = gateway
         .metric("gateway_worker_notices_total{notice=\"rate_limit\"}")
         .await;
-    heard.is_some_and(|heard| heard > 0.0)
+    notices.is_some_and(|notices| notices > 0.0)
 }
 
-/// Asks gateways in turn, several requests at once, until one has passed on an answer that names a limit. The others
-/// may hear of it from that one.
-async fn until_told(site: &Site, ask: impl AsyncFn(&SiteGateway, usize) -> CallerAnswer) {
+/// Sends concurrent requests to the gateways in turn until one of them has received an answer with a rate limit. The
+/// other gateways may learn the limit from that one.
+async fn wait_for_limit(site: &Site, send: impl AsyncFn(&SiteGateway, usize) -> CallerAnswer) {
     let number = Cell::new(0);
     let mut gateways = site.gateways.iter().cycle();
-    let ask = &ask;
-    eventually("a gateway is told of the limit", || {
+    let send = &send;
+    eventually("a gateway receives the limit", || {
         let gateway = gateways.next().expect("a gateway");
         let first = number.replace(number.get() + CALLERS);
-        let asked = (0..CALLERS).map(move |one| ask(gateway, first + one));
+        let answers = (0..CALLERS).map(move |caller| send(gateway, first + caller));
         async move {
-            join_all(asked).await;
-            is_told(gateway).await.then_some(())
+            join_all(answers).await;
+            has_received_limit(gateway).await.then_some(())
         }
     })
     .await;
 }
 
-/// Callers at each gateway ask again and again for [`LOAD`]; returns what they got.
-async fn under_load(
+/// Lets callers of each gateway send requests for [`LOAD_DURATION`], and returns their answers.
+async fn run_load(
     site: &Site,
-    ask: impl AsyncFn(&SiteGateway, usize) -> CallerAnswer,
+    send: impl AsyncFn(&SiteGateway, usize) -> CallerAnswer,
 ) -> Vec<CallerAnswer> {
-    let began = Instant::now();
+    let started = Instant::now();
     let number = Cell::new(10_000);
     let caller = async |gateway: &SiteGateway| {
         let mut answers = Vec::new();
-        while began.elapsed() < LOAD {
+        while started.elapsed() < LOAD_DURATION {
             number.set(number.get() + 1);
-            answers.push(ask(gateway, number.get()).await);
-            sleep(PAUSE).await;
+            answers.push(send(gateway, number.get()).await);
+            sleep(CALLER_PAUSE).await;
         }
         answers
     };
@@ -91,91 +94,103 @@
     join_all(callers).await.into_iter().flatten().collect()
 }
 
-async fn ask_for_app(gateway: &SiteGateway, number: usize) -> CallerAnswer {
-    ask_app(gateway, "limited", number).await
+async fn send_numbered_app_request(gateway: &SiteGateway, number: usize) -> CallerAnswer {
+    send_app_request(gateway, "limited", number).await
 }
 
-async fn ask_for_prompt(gateway: &SiteGateway, number: usize) -> CallerAnswer {
-    ask_own_prompt(gateway, &format!("limited-{number}"), 1_000 + number).await
+async fn send_numbered_prompt(gateway: &SiteGateway, number: usize) -> CallerAnswer {
+    send_unique_prompt(gateway, &format!("limited-{number}"), 1_000 + number).await
 }
 
-/// The worker that gateways prefer names a limit: it gets no more than that, and all callers are served elsewhere.
-async fn is_kept_to_before(
+/// Asserts that the worker which gateways prefer gets no more requests than the rate limit that it states, and that other
+/// workers serve all callers.
+async fn assert_limit_is_kept(
     site: &Site,
-    alike: &[SiteWorker],
-    ask: impl AsyncFn(&SiteGateway, usize) -> CallerAnswer,
+    candidates: &[SiteWorker],
+    send: impl AsyncFn(&SiteGateway, usize) -> CallerAnswer,
 ) {
     let first = &site.gateways[0];
-    let limited = preferred(alike, async |number| ask(first, number).await).await;
-    let limited = &alike[limited].worker;
+    let limited = find_preferred(candidates, async |number| send(first, number).await).await;
+    let limited = &candidates[limited].worker;
     limited.announce_rate_limit(Some(LIMIT));
-    until_told(site, &ask).await;
-    let told = Instant::now();
-    sleep(KEPT_WITHIN).await;
-    let answers = under_load(site, &ask).await;
+    wait_for_limit(site, &send).await;
+    let limit_received = Instant::now();
+    sleep(LIMIT_APPLIED_WITHIN).await;
+    let answers = run_load(site, &send).await;
     let refused = answers.iter().filter(|answer| answer.status != 200).count();
-    assert_eq!(refused, 0, "callers that were not served elsewhere");
-    let most = most_in_span(limited, told + KEPT_WITHIN);
-    assert!(most <= ALLOWED, "{most} requests, {ALLOWED} allowed");
+    assert_eq!(refused, 0, "callers that no other worker served");
+    let count = max_requests_in_window(limited, limit_received + LIMIT_APPLIED_WITHIN);
+    assert!(
+        count <= MAX_REQUESTS_IN_WINDOW,
+        "{count} requests, {MAX_REQUESTS_IN_WINDOW} allowed"
+    );
 }
 
-// Guards against gateways that each send to a worker as if its rate limit were theirs alone, or not there.
+// Guards against gateways that ignore a worker's rate limit, or each use the whole limit instead of sharing it.
 #[actix_rt::test]
-async fn gateways_together_keep_to_the_rate_limit_of_a_worker() {
+async fn gateways_together_stay_within_the_rate_limit_of_a_worker() {
     let site = Site::start(&[APP, APP], GATEWAYS).await;
-    site.until_gateways_know_each_other().await;
-    is_kept_to_before(&site, &site.workers, ask_for_app).await;
+    site.wait_until_gateways_know_each_other().await;
+    assert_limit_is_kept(&site, &site.workers, send_numbered_app_request).await;
 }
 
-// Guards against limits that hold for runs but not for prompts read apart, or the other way round.
+// Guards against rate limits that apply to runs but not to prompts read apart, or the reverse.
 #[actix_rt::test]
-async fn gateways_together_keep_to_the_rate_limits_of_engines_that_read_and_decode() {
-    for alike in [0..2, 2..4] {
+async fn gateways_together_stay_within_the_rate_limits_of_prefill_and_decode_engines() {
+    for candidates in [0..2, 2..4] {
         let site = Site::start(&[READER, READER, DECODER, DECODER], GATEWAYS).await;
-        site.until_gateways_know_each_other().await;
-        is_kept_to_before(&site, &site.workers[alike], ask_for_prompt).await;
+        site.wait_until_gateways_know_each_other().await;
+        assert_limit_is_kept(&site, &site.workers[candidates], send_numbered_prompt).await;
     }
 }
 
-// Guards against requests that wait, or are tried in vain, while every worker of their service is at its limit.
+// Guards against requests that wait, or are sent without success, while every worker of their service is at its limit.
 #[actix_rt::test]
-async fn callers_beyond_the_limits_of_all_workers_are_refused_at_once_and_the_rest_is_served() {
+async fn callers_beyond_the_limits_of_all_workers_are_refused_at_once_and_the_others_are_served() {
     let site = Site::start(&[APP, APP], GATEWAYS).await;
-    site.until_gateways_know_each_other().await;
-    for one in &site.workers {
-        one.worker.announce_rate_limit(Some(LIMIT));
+    site.wait_until_gateways_know_each_other().await;
+    for site_worker in &site.workers {
+        site_worker.worker.announce_rate_limit(Some(LIMIT));
     }
-    until_told(&site, ask_for_app).await;
-    let told = Instant::now();
-    sleep(KEPT_WITHIN).await;
-    let answers = under_load(&site, ask_for_app).await;
+    wait_for_limit(&site, send_numbered_app_request).await;
+    let limit_received = Instant::now();
+    sleep(LIMIT_APPLIED_WITHIN).await;
+    let answers = run_load(&site, send_numbered_app_request).await;
     let served = answers.iter().filter(|answer| answer.status == 200).count();
     let refused = answers.iter().filter(|answer| answer.status == 503);
     assert!(refused.clone().count() + served == answers.len());
     for answer in refused {
-        let retry_after = answer.retry_after.expect("a time to come back");
+        let retry_after = answer.retry_after.expect("Retry-After");
         assert!(retry_after > 0.0);
     }
-    let both = 2.0 * LIMIT * LOAD.as_secs_f64();
-    assert!(served as f64 > both / 2.0, "{served} served in {LOAD:?}");
-    for one in &site.workers {
-        let most = most_in_span(&one.worker, told + KEPT_WITHIN);
-        assert!(most <= ALLOWED, "{most} requests, {ALLOWED} allowed");
+    let expected = 2.0 * LIMIT * LOAD_DURATION.as_secs_f64();
+    assert!(
+        served as f64 > expected / 2.0,
+        "{served} served in {LOAD_DURATION:?}"
+    );
+    for site_worker in &site.workers {
+        let count =
+            max_requests_in_window(&site_worker.worker, limit_received + LIMIT_APPLIED_WITHIN);
+        assert!(
+            count <= MAX_REQUESTS_IN_WINDOW,
+            "{count} requests, {MAX_REQUESTS_IN_WINDOW} allowed"
+        );
     }
 }
 
-/// The only worker names a limit to each gateway, and then none any more: soon all gateways use it as before.
-async fn is_used_as_before_once_it_names_no_limit(gateways: usize) {
+/// Asserts that all gateways soon use the only worker as before when it has stated a rate limit to each of them and then
+/// states none.
+async fn assert_limit_ends_when_no_longer_stated(gateways: usize) {
     let site = Site::start(&[APP], gateways).await;
-    site.until_gateways_know_each_other().await;
+    site.wait_until_gateways_know_each_other().await;
     let worker = &site.workers[0].worker;
     worker.announce_rate_limit(Some(HIGH_LIMIT));
     for gateway in &site.gateways {
         let number = Cell::new(0);
-        eventually("the gateway passes on an answer with the limit", || async {
+        eventually("the gateway receives an answer with the limit", || async {
             let before = worker.arrivals();
             number.set(number.get() + 1);
-            ask_for_app(gateway, number.get()).await;
+            send_numbered_app_request(gateway, number.get()).await;
             (worker.arrivals() > before).then_some(())
         })
         .await;
@@ -183,36 +198,37 @@
     worker.announce_rate_limit(None);
     let first = &site.gateways[0];
     let number = Cell::new(50_000);
-    eventually("all at once are served again", || async {
-        let from = number.replace(number.get() + CALLERS);
-        let asked = (0..CALLERS).map(|one| ask_for_app(first, from + one));
-        let answers = join_all(asked).await;
-        let all = answers.iter().all(|answer| answer.status == 200);
-        all.then_some(())
+    eventually("all concurrent requests are served again", || async {
+        let start = number.replace(number.get() + CALLERS);
+        let requests = (0..CALLERS).map(|caller| send_numbered_app_request(first, start + caller));
+        let answers = join_all(requests).await;
+        let all_served = answers.iter().all(|answer| answer.status == 200);
+        all_served.then_some(())
     })
     .await;
-    sleep(KEPT_WITHIN).await;
-    let answers = under_load(&site, ask_for_app).await;
+    sleep(LIMIT_APPLIED_WITHIN).await;
+    let answers = run_load(&site, send_numbered_app_request).await;
     let refused = answers.iter().filter(|answer| answer.status != 200).count();
     assert_eq!(refused, 0, "of {} after the limit has ended", answers.len());
 }
 
-// Guards against limits that outlive the worker's need.
+// Guards against rate limits that stay in force after the worker no longer states them.
 #[actix_rt::test]
-async fn a_worker_that_names_its_limit_no_more_is_used_as_before() {
-    is_used_as_before_once_it_names_no_limit(GATEWAYS).await;
+async fn a_worker_that_no_longer_states_its_limit_is_used_as_before() {
+    assert_limit_ends_when_no_longer_stated(GATEWAYS).await;
 }
 
-// Guards against gateways that go on by a limit whose end only their scheduler was told, and tell it as if it were new.
+// Guards against gateways that keep a rate limit whose end only their scheduler has received, and report it to other
+// gateways as if it were new.
 #[actix_rt::test]
-async fn gateways_with_schedulers_use_a_worker_as_before_once_it_names_its_limit_no_more() {
-    is_used_as_before_once_it_names_no_limit(GATEWAYS_WITH_SCHEDULERS).await;
+async fn gateways_with_schedulers_use_a_worker_as_before_when_it_no_longer_states_its_limit() {
+    assert_limit_ends_when_no_longer_stated(GATEWAYS_WITH_SCHEDULERS).await;
 }
 
-// Guards against schedulers that place requests of a gateway that was told, as if they need not know the limit.
+// Guards against schedulers that do not know a rate limit and place requests for a gateway that has received it.
 #[actix_rt::test]
-async fn schedulers_keep_to_the_rate_limit_of_a_worker_for_all_gateways() {
+async fn schedulers_apply_the_rate_limit_of_a_worker_for_all_gateways() {
     let site = Site::start(&[APP, APP], GATEWAYS_WITH_SCHEDULERS).await;
-    site.until_gateways_know_each_other().await;
-    is_kept_to_before(&site, &site.workers, ask_for_app).await;
+    site.wait_until_gateways_know_each_other().await;
+    assert_limit_is_kept(&site, &site.workers, send_numbered_app_request).await;
 }
--- a/crates/cli/tests/gateway_platform/relays.rs
+++ b/crates/cli/tests/gateway_platform/relays.rs
@@ -1,5 +1,5 @@
-//! One gateway of a zone follows the store and tells the others; another takes its place when it is
-//! killed, or when the store does not answer it any more.
+//! One gateway of a zone, the relay, follows the store and sends changes to the others. Another gateway replaces it when it
+//! is killed, or when the store no longer answers it.
 
 use tansyhall_platform_standin::{Behaviour, StoreFault};
 use tansyhall_testing::eventually;
@@ -8,11 +8,11 @@
 
 const APP: WorkerSpec = ("app", None, Behaviour::Serve { events: 0 });
 const GATEWAYS: usize = 4;
-/// Configurations in a row, each of which every gateway has to hear of.
+/// Number of consecutive configurations, each of which must come into force at every gateway.
 const CONFIGURATIONS: usize = 3;
 
-/// The gateways that ask the store itself for changes.
-async fn relays(site: &Site) -> Vec<usize> {
+/// Returns the gateways that request changes from the store itself.
+async fn find_relays(site: &Site) -> Vec<usize> {
     let mut relays = Vec::new();
     for (index, gateway) in site.gateways.iter().enumerate() {
         if gateway.metric("gateway_follows_store").await == Some(1.0) {
@@ -22,10 +22,10 @@
     relays
 }
 
-/// Waits until a single gateway, other than `former`, asks the store.
-async fn only_relay(site: &Site, former: Option<usize>) -> usize {
+/// Waits until exactly one gateway, other than `former`, requests changes from the store, and returns its index.
+async fn wait_for_single_relay(site: &Site, former: Option<usize>) -> usize {
     eventually("one gateway follows the store", || async {
-        match relays(site).await.as_slice() {
+        match find_relays(site).await.as_slice() {
             [relay] if Some(*relay) != former => Some(*relay),
             _ => None,
         }
@@ -33,7 +33,7 @@
     .await
 }
 
-async fn until_in_force(site: &Site, version: u64) {
+async fn wait_until_in_force(site: &Site, version: u64) {
     for gateway in &site.gateways {
         eventually("the configuration is in force", || async {
             let known = gateway.metric("gateway_configuration_version").await?;
@@ -43,90 +43,90 @@
     }
 }
 
-async fn site() -> Site {
+async fn start_site() -> Site {
     let site = Site::start(&[APP], GATEWAYS).await;
-    site.until_gateways_know_each_other().await;
+    site.wait_until_gateways_know_each_other().await;
     site
 }
 
 #[actix_rt::test]
 async fn the_next_gateway_follows_the_store_when_the_relay_is_killed() {
-    let mut site = site().await;
-    let relay = only_relay(&site, None).await;
-    until_in_force(&site, site.configure_next()).await;
+    let mut site = start_site().await;
+    let relay = wait_for_single_relay(&site, None).await;
+    wait_until_in_force(&site, site.configure_next()).await;
     drop(site.gateways.remove(relay));
-    until_in_force(&site, site.configure_next()).await;
-    only_relay(&site, None).await;
+    wait_until_in_force(&site, site.configure_next()).await;
+    wait_for_single_relay(&site, None).await;
 }
 
 #[actix_rt::test]
-async fn a_relay_that_the_store_does_not_answer_is_replaced_and_told() {
-    let site = site().await;
-    let relay = only_relay(&site, None).await;
+async fn a_relay_without_the_store_is_replaced_and_receives_changes() {
+    let site = start_site().await;
+    let relay = wait_for_single_relay(&site, None).await;
     for fault in [StoreFault::Silent, StoreFault::Refuse] {
-        site.doors[relay].set_fault(fault);
-        until_in_force(&site, site.configure_next()).await;
-        site.doors[relay].set_fault(StoreFault::None);
-        until_in_force(&site, site.configure_next()).await;
+        site.store_endpoints[relay].set_fault(fault);
+        wait_until_in_force(&site, site.configure_next()).await;
+        site.store_endpoints[relay].set_fault(StoreFault::None);
+        wait_until_in_force(&site, site.configure_next()).await;
     }
 }
 
 #[actix_rt::test]
-async fn what_a_subscriber_missed_during_an_outage_reaches_it_afterwards() {
-    let site = site().await;
-    only_relay(&site, None).await;
-    for door in &site.doors {
-        door.set_fault(StoreFault::Refuse);
+async fn changes_that_a_subscriber_missed_during_an_outage_reach_it_afterwards() {
+    let site = start_site().await;
+    wait_for_single_relay(&site, None).await;
+    for endpoint in &site.store_endpoints {
+        endpoint.set_fault(StoreFault::Refuse);
     }
     let version = site.configure_next();
-    for door in &site.doors {
-        door.set_fault(StoreFault::None);
+    for endpoint in &site.store_endpoints {
+        endpoint.set_fault(StoreFault::None);
     }
-    until_in_force(&site, version).await;
-    only_relay(&site, None).await;
+    wait_until_in_force(&site, version).await;
+    wait_for_single_relay(&site, None).await;
 }
 
-/// The store has forgotten the history that every gateway would go on from. Each must read everything anew,
-/// although others answer it: what they know is as old as its own.
+/// The store has compacted the history from which every gateway would continue. Each gateway must read a snapshot from the
+/// store, although other gateways answer it: their mirrors are as old as its own.
 #[actix_rt::test]
-async fn gateways_that_are_all_behind_do_not_keep_each_other_from_reading_anew() {
+async fn gateways_that_are_all_outdated_do_not_keep_each_other_from_reading_a_snapshot() {
     let site = Site::start(&[APP], GATEWAYS).await;
-    site.until_gateways_know_each_other().await;
-    for door in &site.doors {
-        door.set_fault(StoreFault::Compacted);
+    site.wait_until_gateways_know_each_other().await;
+    for endpoint in &site.store_endpoints {
+        endpoint.set_fault(StoreFault::Compacted);
     }
     for _ in 0..CONFIGURATIONS {
-        site.until_in_force(site.configure_next()).await;
+        site.wait_until_in_force(site.configure_next()).await;
     }
 }
 
-/// Entries of others that make the store many pages long.
-const LARGE_STORE: usize = 1_000;
-/// Pages that a gateway reads of the store as it starts before others that have a copy: the first, which tells that
-/// there are more, and the list of gateways.
-const PAGES_BEFORE_OTHERS: u64 = 2;
+/// Number of unrelated entries that make the store many pages long.
+const LARGE_STORE_ENTRIES: usize = 1_000;
+/// Pages that a starting gateway reads from the store before it requests a snapshot from another gateway: the first page,
+/// which shows that there are more, and the list of gateways.
+const PAGES_BEFORE_RELAY: u64 = 2;
 
 fn fill_store(site: &Site) {
-    for number in 0..LARGE_STORE {
+    for number in 0..LARGE_STORE_ENTRIES {
         let entry = format!("foreign/{number}");
         site.store.put_bytes(&entry, vec![b'x'; 100]);
     }
 }
 
 #[actix_rt::test]
-async fn a_gateway_that_starts_gets_a_large_store_from_a_relay() {
-    let mut site = site().await;
+async fn a_starting_gateway_gets_the_snapshot_of_a_large_store_from_a_relay() {
+    let mut site = start_site().await;
     fill_store(&site);
     site.add_gateway();
-    until_in_force(&site, site.configure_next()).await;
-    let pages = site.doors[GATEWAYS].pages_requested();
-    assert!(pages <= PAGES_BEFORE_OTHERS, "{pages} pages were read");
+    wait_until_in_force(&site, site.configure_next()).await;
+    let pages = site.store_endpoints[GATEWAYS].pages_requested();
+    assert!(pages <= PAGES_BEFORE_RELAY, "{pages} pages were read");
 }
 
 #[actix_rt::test]
-async fn gateways_that_are_all_lost_read_a_large_store_themselves_if_they_are_few() {
-    let mut site = site().await;
+async fn a_few_gateways_that_all_restart_read_a_large_store_themselves() {
+    let mut site = start_site().await;
     fill_store(&site);
     site.restart_all_gateways();
-    until_in_force(&site, site.configure_next()).await;
+    wait_until_in_force(&site, site.configure_next()).await;
 }
--- a/crates/cli/tests/gateway_platform/roles.rs
+++ b/crates/cli/tests/gateway_platform/roles.rs
@@ -1,5 +1,5 @@
-//! Engines' roles under one holder of the authority, by separate processes: the holder is killed
-//! between two orders, and another goes on with a higher fence.
+//! Engines' roles under one holder of the authority, with gateways as separate processes: the holder is killed
+//! between two orders, and another gateway continues with a higher fence.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,15 @@
 const ENGINES: usize = 10;
 const DECODER: WorkerSpec = ("llm", Some("decode"), Behaviour::Serve { events: 0 });
 
-/// Announces each engine with the stage that it was ordered to, as an engine does itself.
+/// Announces each engine with the stage that it was ordered to take, as a real engine does itself.
 fn announce_stages(site: &Site) {
     for worker in &site.workers {
         worker.worker.write_entry("ready");
     }
 }
 
-/// The gateway that holds the authority.
-async fn holder(site: &Site) -> Option<usize> {
+/// Returns the index of the gateway that holds the authority.
+async fn find_holder(site: &Site) -> Option<usize> {
     for (index, gateway) in site.gateways.iter().enumerate() {
         if gateway.metric("gateway_holds_authority").await == Some(1.0) {
             return Some(index);
@@ -28,7 +28,7 @@
 }
 
 #[actix_rt::test]
-async fn one_holder_orders_and_the_next_goes_on_with_a_higher_fence() {
+async fn one_holder_sends_orders_and_the_next_continues_with_a_higher_fence() {
     let mut site = Site::start(&[DECODER; ENGINES], 2).await;
     eventually("the first engines are ordered", || async {
         (!site.orders().is_empty()).then_some(())
@@ -37,7 +37,7 @@
     let before = site.orders();
     let holders: BTreeSet<&str> = before.iter().map(|order| order.holder.as_str()).collect();
     assert_eq!(holders.len(), 1, "{before:?}");
-    let first = holder(&site).await.expect("a holder");
+    let first = find_holder(&site).await.expect("a holder");
     let killed = site.gateways.remove(first);
     drop(killed);
     announce_stages(&site);
@@ -51,25 +51,25 @@
     let fences: BTreeSet<u64> = site.orders().iter().map(|order| order.fence).collect();
     assert_eq!(fences.len(), 2);
     for worker in &site.workers {
-        let taken = worker.worker.orders();
-        assert!(taken.windows(2).all(|pair| pair[0].fence <= pair[1].fence));
-        for (number, order) in taken.iter().enumerate() {
+        let orders = worker.worker.orders();
+        assert!(orders.windows(2).all(|pair| pair[0].fence <= pair[1].fence));
+        for (number, order) in orders.iter().enumerate() {
             assert_eq!(order.expected_count, number as u64);
         }
     }
-    eventually("as many engines decode as are needed", || async {
+    eventually("enough engines are ordered to prefill", || async {
         announce_stages(&site);
-        let prefill = |order: &&Order| order.stage == "prefill";
-        let readers = site.orders().iter().filter(prefill).count();
+        let is_prefill = |order: &&Order| order.stage == "prefill";
+        let readers = site.orders().iter().filter(is_prefill).count();
         (readers >= ENGINES - 4).then_some(())
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn the_first_holder_of_all_waits_for_nobody() {
+async fn the_first_holder_of_a_fleet_does_not_wait_for_a_predecessor() {
     const LONGEST_PAUSE_MS: u64 = 600_000;
-    let site = Site::start_with_pause(&[DECODER; ENGINES], 2, LONGEST_PAUSE_MS).await;
+    let site = Site::start_with_takeover_pause(&[DECODER; ENGINES], 2, LONGEST_PAUSE_MS).await;
     eventually("the first engines are ordered", || async {
         (!site.orders().is_empty()).then_some(())
     })
--- a/crates/cli/tests/gateway_platform/support/caller.rs
+++ b/crates/cli/tests/gateway_platform/support/caller.rs
@@ -1,4 +1,4 @@
-//! Asking a gateway, and what its caller gets.
+//! Sends callers' requests to a gateway and collects the answers.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -8,57 +8,69 @@
 
 use super::{SiteGateway, HOST, REPEATABLE};
 
-/// A prompt that is long enough to be read apart.
+/// Length of a prompt that is long enough to be read apart.
 const LONG_PROMPT_TOKENS: u64 = 8_000;
-const MODEL: &str = "/model/x";
+const MODEL_PATH: &str = "/model/x";
 
-/// What a caller got.
+/// The answer that a caller received.
 #[derive(Debug)]
 pub struct CallerAnswer {
     /// The status.
     pub status: u16,
-    /// The body, as far as it came.
+    /// The part of the body that was received.
     pub body: Vec<u8>,
-    /// Whether it ended as a whole body does.
-    pub whole: bool,
+    /// Whether the body was received completely.
+    pub is_complete: bool,
     /// The worker's signature.
     pub seal: Option<String>,
-    /// When to come back, in seconds.
+    /// The value of `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
 }
 
-/// Asks a gateway.
-pub async fn ask(gateway: &SiteGateway, id: &str, path: &str, body: &[u8]) -> CallerAnswer {
-    ask_with(gateway, id, path, body, &[]).await
+/// Sends a request to a gateway and returns the answer.
+pub async fn send_request(
+    gateway: &SiteGateway,
+    id: &str,
+    path: &str,
+    body: &[u8],
+) -> CallerAnswer {
+    send_with_headers(gateway, id, path, body, &[]).await
 }
 
-/// Asks a gateway with a key, and with a forged name of a tenant.
-pub async fn ask_with_key(gateway: &SiteGateway, id: &str, key: &str) -> CallerAnswer {
+/// Sends a request with an API key and a forged tenant name.
+pub async fn send_with_key(gateway: &SiteGateway, id: &str, key: &str) -> CallerAnswer {
     let headers = [(API_KEY, key.to_owned()), (TENANT, "forged".to_owned())];
-    ask_with(gateway, id, REPEATABLE, b"x", &headers).await
+    send_with_headers(gateway, id, REPEATABLE, b"x", &headers).await
 }
 
-/// Asks a gateway for the answer of a model to a long prompt with this body.
-pub async fn ask_model_with_body(gateway: &SiteGateway, id: &str, body: &[u8]) -> CallerAnswer {
+/// Sends a model request with a long prompt and this body.
+pub async fn send_prompt_with_body(gateway: &SiteGateway, id: &str, body: &[u8]) -> CallerAnswer {
     let prompt = format!("c3:{LONG_PROMPT_TOKENS},d4:100");
-    ask_with(gateway, id, MODEL, body, &[(PROMPT_PARTS, prompt)]).await
+    send_with_headers(gateway, id, MODEL_PATH, body, &[(PROMPT_PARTS, prompt)]).await
 }
 
-/// Asks a gateway for the answer of a model to a prompt of this length.
-pub async fn ask_model(gateway: &SiteGateway, id: &str, tokens: u64) -> CallerAnswer {
-    ask_with_prompt(gateway, id, format!("a1:{tokens},b2:100")).await
+/// Sends a model request with a prompt of this many tokens.
+pub async fn send_prompt(gateway: &SiteGateway, id: &str, tokens: u64) -> CallerAnswer {
+    send_with_prompt(gateway, id, format!("a1:{tokens},b2:100")).await
 }
 
-/// Asks a gateway for the answer of a model to a long prompt that no other request shares.
-pub async fn ask_own_prompt(gateway: &SiteGateway, id: &str, number: usize) -> CallerAnswer {
-    ask_with_prompt(gateway, id, format!("{number:x}:{LONG_PROMPT_TOKENS}")).await
+/// Sends a model request with a long prompt that no request with another number shares.
+pub async fn send_unique_prompt(gateway: &SiteGateway, id: &str, number: usize) -> CallerAnswer {
+    send_with_prompt(gateway, id, format!("{number:x}:{LONG_PROMPT_TOKENS}")).await
 }
 
-async fn ask_with_prompt(gateway: &SiteGateway, id: &str, prompt: String) -> CallerAnswer {
-    ask_with(gateway, id, MODEL, b"prompt", &[(PROMPT_PARTS, prompt)]).await
+async fn send_with_prompt(gateway: &SiteGateway, id: &str, prompt: String) -> CallerAnswer {
+    send_with_headers(
+        gateway,
+        id,
+        MODEL_PATH,
+        b"prompt",
+        &[(PROMPT_PARTS, prompt)],
+    )
+    .await
 }
 
-async fn ask_with(
+async fn send_with_headers(
     gateway: &SiteGateway,
     id: &str,
     path: &str,
@@ -81,18 +93,18 @@
     let request = request.body(Full::new(Bytes::copy_from_slice(body)));
     let response = sender.send_request(request.expect("a request")).await;
     let (head, mut incoming) = response.expect("an answer").into_parts();
-    let text = |name: &str| {
+    let header = |name: &str| {
         let value = head.headers.get(name)?.to_str().ok()?;
         Some(value.to_owned())
     };
     let mut received = Vec::new();
-    let mut whole = true;
+    let mut is_complete = true;
     while let Some(frame) = incoming.frame().await {
         match frame.map(|frame| frame.into_data()) {
             Ok(Ok(bytes)) => received.extend_from_slice(&bytes),
             Ok(Err(_)) => {}
             Err(_) => {
-                whole = false;
+                is_complete = false;
                 break;
             }
         }
@@ -100,8 +112,8 @@
     CallerAnswer {
         status: head.status.as_u16(),
         body: received,
-        whole,
-        seal: text(SEAL),
-        retry_after: text("Retry-After").and_then(|value| value.parse().ok()),
+        is_complete,
+        seal: header(SEAL),
+        retry_after: header("Retry-After").and_then(|value| value.parse().ok()),
     }
 }
--- a/crates/cli/tests/gateway_platform/support/mod.rs
+++ b/crates/cli/tests/gateway_platform/support/mod.rs
@@ -1,4 +1,4 @@
-//! A site of gateways, workers and a store.
+//! A site: gateways as processes, with stand-ins for workers, the store and the platform's operations.
 
 mod caller;
 mod observations;
@@ -17,45 +17,48 @@
     eventually, free_peer_address, gateway, get_metric, GatewayAddresses, GatewayProcess, Link,
 };
 
-pub use caller::{ask, ask_model, ask_model_with_body, ask_own_prompt, ask_with_key, CallerAnswer};
+pub use caller::{
+    send_prompt, send_prompt_with_body, send_request, send_unique_prompt, send_with_key,
+    CallerAnswer,
+};
 
-/// The template that is deployed.
+/// The deployed template of the gateway's settings.
 const TEMPLATE: &str = include_str!("../../../../../deploy/node.toml");
-/// When workers that tell it were started first, in milliseconds since 1970.
-const FIRST_BIRTH: u64 = 1_700_000_000_000;
-/// Keys of others in the store, so that it is read in several pages.
-const FOREIGN_KEYS: usize = 130;
-/// Milliseconds that a new holder of the authority waits.
+/// Time of the first start of workers that announce their start time, in milliseconds since the Unix epoch.
+const FIRST_START_UNIX_MS: u64 = 1_700_000_000_000;
+/// Number of unrelated keys in the store, so that it is read in several pages.
+const UNRELATED_KEYS: usize = 130;
+/// Time for which a new holder of the authority waits before it sends orders, in milliseconds.
 const TAKEOVER_PAUSE_MS: u64 = 300;
 /// The host of all routes.
 pub const HOST: &str = "site.example";
 const ZONE: &str = "kalimati";
 const OTHER_ZONE: &str = "balkhu";
-/// Paths of routes.
+/// Path of repeatable requests.
 pub const REPEATABLE: &str = "/repeat/x";
-/// A repeatable request whose answer is expected soon.
-pub const SWIFT: &str = "/swift/x";
-/// A request that runs at most once.
+/// Path of repeatable requests with a short latency objective.
+pub const SHORT_OBJECTIVE: &str = "/swift/x";
+/// Path of requests that run at most once.
 pub const AT_MOST_ONCE: &str = "/once/x";
-/// A stream that may be resumed.
+/// Path of streams that may be resumed.
 pub const RESUMABLE: &str = "/resume/x";
-/// A stream that may not.
-pub const FINAL_STREAM: &str = "/stream/x";
-/// Milliseconds in which most requests should be answered.
+/// Path of streams that may not be resumed.
+pub const NON_RESUMABLE: &str = "/stream/x";
+/// Latency objective of most routes, in milliseconds.
 const OBJECTIVE_MS: u64 = 5_000;
-/// The same for swift ones.
-const SWIFT_OBJECTIVE_MS: u64 = 300;
-/// Where gateways announce themselves.
+/// Latency objective of the route of [`SHORT_OBJECTIVE`], in milliseconds.
+const SHORT_OBJECTIVE_MS: u64 = 300;
+/// Prefix of the keys under which gateways announce themselves in the store.
 const GATEWAYS_PREFIX: &str = "tansyhall/gateways/";
 
-/// A worker with its signature.
+/// A worker of the site.
 pub struct SiteWorker {
-    /// The worker.
+    /// The stand-in.
     pub worker: Worker,
 }
 
 impl SiteWorker {
-    /// How it signs.
+    /// Returns the signature that the worker adds to its answers.
     pub fn seal(&self) -> String {
         format!("seal-of-{}", self.worker.id)
     }
@@ -65,7 +68,7 @@
 pub struct SiteGateway(GatewayProcess);
 
 impl SiteGateway {
-    /// Stops it as planned and returns the lines that it has written, its first line included.
+    /// Stops the gateway with SIGTERM and returns all lines that it has written, including the first line.
     pub fn stop_and_read(mut self) -> Vec<Value> {
         self.0.process.signal("TERM");
         let text = self.0.process.first_line.clone() + &self.0.process.output_to_end();
@@ -83,12 +86,12 @@
 }
 
 impl SiteGateway {
-    /// One of its metrics.
+    /// Reads one of the gateway's metrics.
     pub async fn metric(&self, name: &str) -> Option<f64> {
         get_metric(self.addresses.metrics, name).await
     }
 
-    /// Whether it says that it is ready.
+    /// Returns whether the gateway reports that it is ready.
     pub async fn is_ready(&self) -> bool {
         let url = format!("http://{}/ready", self.addresses.ready);
         let answer = awc::Client::default().get(url).send().await;
@@ -96,57 +99,57 @@
     }
 }
 
-/// The whole site.
+/// A site with its gateways, workers and store.
 pub struct Site {
-    /// Workers it started with.
+    /// The workers that the site started with.
     pub workers: Vec<SiteWorker>,
-    /// Gateways.
+    /// The gateways.
     pub gateways: Vec<SiteGateway>,
-    /// The store's door of each gateway.
-    pub doors: Vec<StoreEndpoint>,
+    /// The endpoint of the store that each gateway uses.
+    pub store_endpoints: Vec<StoreEndpoint>,
     /// The platform's operations.
     pub operations: Operations,
     pub store: Store,
     operator: Operator,
     version: Cell<u64>,
     takeover_pause_ms: u64,
-    /// The link of each gateway to the store, if there is one.
+    /// The link of each gateway to the store; empty if gateways connect to the store directly.
     pub store_links: Vec<Link>,
     has_store_links: bool,
     _directory: tempfile::TempDir,
 }
 
-/// Service, stage and behaviour of a worker.
+/// The service, stage and behaviour of a worker.
 pub type WorkerSpec = (&'static str, Option<&'static str>, Behaviour);
 
 impl Site {
     /// Starts a site and waits until every gateway is ready and knows every worker.
     pub async fn start(workers: &[WorkerSpec], gateways: usize) -> Self {
-        Self::start_with_pause(workers, gateways, TAKEOVER_PAUSE_MS).await
+        Self::start_with_takeover_pause(workers, gateways, TAKEOVER_PAUSE_MS).await
     }
 
-    /// The same, with so many milliseconds that a new holder of the authority waits.
-    pub async fn start_with_pause(
+    /// Starts a site like [`Site::start`], with this waiting time of a new holder of the authority, in milliseconds.
+    pub async fn start_with_takeover_pause(
         workers: &[WorkerSpec],
         gateways: usize,
         takeover_pause_ms: u64,
     ) -> Self {
-        Self::start_wired(workers, gateways, takeover_pause_ms, false).await
+        Self::start_with_options(workers, gateways, takeover_pause_ms, false).await
     }
 
-    /// Starts a site whose gateways reach the store through a link each.
+    /// Starts a site whose gateways each connect to the store through a link.
     pub async fn start_with_store_links(workers: &[WorkerSpec], gateways: usize) -> Self {
-        Self::start_wired(workers, gateways, TAKEOVER_PAUSE_MS, true).await
+        Self::start_with_options(workers, gateways, TAKEOVER_PAUSE_MS, true).await
     }
 
-    async fn start_wired(
+    async fn start_with_options(
         workers: &[WorkerSpec],
         gateways: usize,
         takeover_pause_ms: u64,
         has_store_links: bool,
     ) -> Self {
         let store = Store::default();
-        for number in 0..FOREIGN_KEYS {
+        for number in 0..UNRELATED_KEYS {
             store.put(&format!("other/{number:04}"), &json!(number));
         }
         let operator = Operator::new(&store, HOST);
@@ -159,7 +162,7 @@
         let mut site = Self {
             workers,
             gateways: Vec::new(),
-            doors: Vec::new(),
+            store_endpoints: Vec::new(),
             operations: Operations::start().expect("a free port"),
             store,
             operator,
@@ -174,7 +177,7 @@
         }
         for index in 0..gateways {
             let all = site.workers.len() as f64;
-            site.until_announced_workers(index, all).await;
+            site.wait_for_announced_workers(index, all).await;
             let gateway = &site.gateways[index];
             eventually("the gateway is ready", || async {
                 gateway.is_ready().await.then_some(())
@@ -189,44 +192,44 @@
         self.start_gateway(self.gateways.len());
     }
 
-    /// Starts one more gateway, whose door of the store has this fault from the start.
-    pub fn add_gateway_with(&mut self, fault: StoreFault) {
-        self.start_gateway_with(self.gateways.len(), fault);
+    /// Starts one more gateway, whose endpoint of the store has this fault from the start.
+    pub fn add_gateway_with_fault(&mut self, fault: StoreFault) {
+        self.start_gateway_with_fault(self.gateways.len(), fault);
     }
 
     fn start_gateway(&mut self, number: usize) {
-        self.start_gateway_with(number, StoreFault::None);
+        self.start_gateway_with_fault(number, StoreFault::None);
     }
 
-    fn start_gateway_with(&mut self, number: usize, fault: StoreFault) {
-        let door = self.store.open_endpoint().expect("a free port");
-        door.set_fault(fault);
+    fn start_gateway_with_fault(&mut self, number: usize, fault: StoreFault) {
+        let endpoint = self.store.open_endpoint().expect("a free port");
+        endpoint.set_fault(fault);
         let addresses = GatewayAddresses::free();
         let name = format!("gateway-{number}");
-        let store = self.way_to_store(&door);
+        let store = self.store_address(&endpoint);
         let settings = self.settings(&name, &addresses, store);
         let process = gateway(self._directory.path(), &name, &settings, addresses);
         self.gateways.push(SiteGateway(process));
-        self.doors.push(door);
+        self.store_endpoints.push(endpoint);
     }
 
-    /// One more door of the store.
-    pub fn open_door(&self) -> StoreEndpoint {
+    /// Opens one more endpoint of the store.
+    pub fn open_store_endpoint(&self) -> StoreEndpoint {
         self.store.open_endpoint().expect("a free port")
     }
 
-    /// Where a gateway reaches its door of the store.
-    fn way_to_store(&mut self, door: &StoreEndpoint) -> SocketAddr {
+    /// Returns the address at which a gateway reaches this endpoint of the store.
+    fn store_address(&mut self, endpoint: &StoreEndpoint) -> SocketAddr {
         if !self.has_store_links {
-            return door.address;
+            return endpoint.address;
         }
-        let link = Link::open(door.address);
+        let link = Link::open(endpoint.address);
         let entrance = link.entrance;
         self.store_links.push(link);
         entrance
     }
 
-    /// Puts a link before each worker, and waits until the first gateway knows.
+    /// Puts a link in front of each worker, and waits until the gateways know the links' addresses.
     pub async fn link_workers(&self) -> Vec<Link> {
         let link = |worker: &SiteWorker| {
             let link = Link::open(worker.worker.address);
@@ -238,12 +241,12 @@
             link
         };
         let links = self.workers.iter().map(link).collect();
-        self.until_in_force(self.configure_next()).await;
+        self.wait_until_in_force(self.configure_next()).await;
         links
     }
 
-    /// Puts a link before the address at which each gateway hands out its copy of the store, and
-    /// waits until all know.
+    /// Puts a link in front of the address at which each gateway serves its mirror of the store, and
+    /// waits until all gateways know the links' addresses.
     pub async fn link_gateways(&self) -> Vec<Link> {
         let link = |gateway: &SiteGateway| {
             let peers = gateway.addresses.peers.to_string();
@@ -260,21 +263,22 @@
             link
         };
         let links = self.gateways.iter().map(link).collect();
-        self.until_in_force(self.configure_next()).await;
+        self.wait_until_in_force(self.configure_next()).await;
         links
     }
 
-    /// Kills every gateway at once, and starts as many anew.
+    /// Kills all gateways, and starts the same number of new ones.
     pub fn restart_all_gateways(&mut self) {
         let count = self.gateways.len();
         self.gateways.clear();
-        self.doors.clear();
+        self.store_endpoints.clear();
         for number in 0..count {
             self.start_gateway(number);
         }
     }
 
-    /// Adds a worker in another zone, which is chosen after equal ones here, and waits until the first gateway knows it.
+    /// Adds a worker in another zone, and waits until the first gateway knows it. Gateways prefer equal workers of their
+    /// own zone.
     pub async fn add_worker(
         &self,
         service: &'static str,
@@ -282,67 +286,69 @@
         behaviour: Behaviour,
     ) -> SiteWorker {
         let worker = start_worker(&self.store, OTHER_ZONE, &(service, stage, behaviour));
-        self.until_announced_workers(0, self.workers.len() as f64 + 1.0)
+        self.wait_for_announced_workers(0, self.workers.len() as f64 + 1.0)
             .await;
         worker
     }
 
-    /// Starts workers of a service that end under such requests, and waits until all gateways know them. They have
-    /// another name in each life.
-    pub async fn add_mortal_workers(
+    /// Starts workers of a service that crash while running such requests, and waits until all gateways know them. They
+    /// have another name in each incarnation.
+    pub async fn add_crashing_workers(
         &self,
         count: usize,
         spec: WorkerSpec,
-        deadly: CrashTrigger,
+        trigger: CrashTrigger,
     ) -> Vec<CrashingWorker> {
-        let lives = vec![None; count];
-        self.start_mortal_workers(lives, spec, deadly).await
+        let incarnations = vec![None; count];
+        self.start_crashing_workers(incarnations, spec, trigger)
+            .await
     }
 
-    /// The same for workers that keep their names.
-    pub async fn add_reborn_workers(
+    /// Starts workers like [`Site::add_crashing_workers`], but with names that they keep when they restart.
+    pub async fn add_named_crashing_workers(
         &self,
         names: &[&str],
         spec: WorkerSpec,
-        deadly: CrashTrigger,
+        trigger: CrashTrigger,
     ) -> Vec<CrashingWorker> {
-        let life = |name: &&str| {
+        let incarnation = |name: &&str| {
             Some(WorkerIncarnation {
                 name: (*name).to_owned(),
-                started_at_ms: FIRST_BIRTH,
+                started_at_ms: FIRST_START_UNIX_MS,
             })
         };
-        let lives = names.iter().map(life).collect();
-        self.start_mortal_workers(lives, spec, deadly).await
+        let incarnations = names.iter().map(incarnation).collect();
+        self.start_crashing_workers(incarnations, spec, trigger)
+            .await
     }
 
-    async fn start_mortal_workers(
+    async fn start_crashing_workers(
         &self,
-        lives: Vec<Option<WorkerIncarnation>>,
+        incarnations: Vec<Option<WorkerIncarnation>>,
         (service, stage, behaviour): WorkerSpec,
-        deadly: CrashTrigger,
+        trigger: CrashTrigger,
     ) -> Vec<CrashingWorker> {
-        let count = lives.len();
+        let count = incarnations.len();
         let plan = worker_plan(service, ZONE, stage);
         let mut workers = Vec::new();
-        for life in lives {
+        for incarnation in incarnations {
             let address = free_peer_address();
             let plan = WorkerPlan {
-                incarnation: life,
+                incarnation,
                 ..plan.clone()
             };
-            let started = CrashingWorker::start(&self.store, address, plan, behaviour, deadly);
+            let started = CrashingWorker::start(&self.store, address, plan, behaviour, trigger);
             workers.push(started.expect("a free port"));
         }
         for index in 0..self.gateways.len() {
             let all = self.workers.len() + count;
-            self.until_announced_workers(index, all as f64).await;
+            self.wait_for_announced_workers(index, all as f64).await;
         }
         workers
     }
 
-    /// Starts a worker that sends each answer again, late, and waits until the first gateway knows it.
-    pub async fn add_stuttering_worker(
+    /// Starts a worker that sends each answer a second time, late, and waits until the first gateway knows it.
+    pub async fn add_duplicating_worker(
         &self,
         service: &'static str,
         stage: Option<&'static str>,
@@ -353,12 +359,12 @@
             ..worker_plan(service, ZONE, stage)
         };
         let worker = Worker::start(&self.store, plan, behaviour).expect("a free port");
-        self.until_announced_workers(0, self.workers.len() as f64 + 1.0)
+        self.wait_for_announced_workers(0, self.workers.len() as f64 + 1.0)
             .await;
         SiteWorker { worker }
     }
 
-    /// Puts the next configuration in force and returns its version.
+    /// Writes the next configuration to the store and returns its version.
     pub fn configure_next(&self) -> u64 {
         let version = self.version.get() + 3;
         self.version.set(version);
@@ -366,22 +372,22 @@
         version
     }
 
-    /// Puts the next configuration in force, with these tenants, and waits until all gateways have it.
+    /// Writes the next configuration, with these tenants, and waits until it is in force at all gateways.
     pub async fn configure_tenants(&self, tenants: &[TenantPlan]) {
         let version = self.version.get() + 3;
         self.version.set(version);
         self.operator.configure_for(version, &routes(), tenants);
-        self.until_in_force(version).await;
+        self.wait_until_in_force(version).await;
     }
 
-    /// Puts the next configuration in force, with which workers of a service may be ordered.
+    /// Writes the next configuration, which allows gateways to order workers of a service.
     pub fn configure_scaling(&self, scaling: &ScalingPlan) {
         let version = self.version.get() + 3;
         self.version.set(version);
         self.operator.configure_scaling(version, &routes(), scaling);
     }
 
-    /// Starts a worker that may be withdrawn, as it was ordered.
+    /// Starts a spot worker, as if it had been ordered.
     pub fn start_spot_worker(&self, service: &'static str, zone: &'static str) -> Worker {
         let plan = WorkerPlan {
             spot: true,
@@ -392,7 +398,7 @@
     }
 }
 
-/// A worker that has another name in each life, is not to be withdrawn and answers once.
+/// Returns the plan of a reserved worker that has another name in each incarnation and sends each answer once.
 fn worker_plan(
     service: &'static str,
     zone: &'static str,
@@ -428,12 +434,12 @@
         service,
         objective_ms: OBJECTIVE_MS,
     };
-    let swift = RoutePlan {
-        objective_ms: SWIFT_OBJECTIVE_MS,
+    let short_objective = RoutePlan {
+        objective_ms: SHORT_OBJECTIVE_MS,
         ..route("swift", "/swift/", "idempotent", false, 2, "app")
     };
     vec![
-        swift,
+        short_objective,
         route("repeat", "/repeat/", "idempotent", false, 2, "app"),
         route("once", "/once/", "non_idempotent", false, 1, "app"),
         route("resume", "/resume/", "streaming", true, 2, "app"),
