--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -55,7 +55,7 @@
             Err(rejection(node, "body", StatusCode::BAD_REQUEST, message))
         }
         Ok(Err(_)) => {
-            let message = format!("the body exceeds {} bytes", limits.max_body_bytes);
+            let message = format!("the body passes {} bytes", limits.max_body_bytes);
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             Err(rejection(node, "too-large", status, message))
         }
--- a/crates/node/src/callers/application.rs
+++ b/crates/node/src/callers/application.rs
@@ -100,7 +100,7 @@
     let max_bytes = node.settings.limits.max_forwarded_body_bytes;
     let length = content_length(http);
     if length.is_some_and(|length| length > max_bytes) {
-        let message = format!("the body exceeds {max_bytes} bytes");
+        let message = format!("the body passes {max_bytes} bytes");
         let status = StatusCode::PAYLOAD_TOO_LARGE;
         return Err(rejection(node, "too-large", status, message));
     }
@@ -210,7 +210,7 @@
         earlier_verdict: Verdict,
     ) -> Failure {
         if self.body.is_too_large() {
-            let message = "the body exceeds the limit".to_owned();
+            let message = "the body passes the limit".to_owned();
             let mut failure = rejection(
                 self.node,
                 "too-large",
@@ -371,7 +371,7 @@
                 Some((Ok(bytes), Some(body)))
             }
             Some(Err(error)) => {
-                let message = format!("the worker's answer was interrupted: {error}");
+                let message = format!("the worker's answer broke off: {error}");
                 let failure = Failure::may_have_run(StatusCode::BAD_GATEWAY, message.clone());
                 body.in_progress.end(RequestOutcome::Failed(failure));
                 Some((Err(std::io::Error::other(message)), None))
--- a/crates/node/src/callers/at_most_once.rs
+++ b/crates/node/src/callers/at_most_once.rs
@@ -72,7 +72,7 @@
             }
             Err(_) => Err(Failure::not_run(
                 StatusCode::SERVICE_UNAVAILABLE,
-                "the table of idempotency keys is full",
+                "no more idempotency keys can be recorded now",
                 TABLE_FULL_RETRY_AFTER,
             )),
         }
@@ -153,8 +153,8 @@
     match denied {
         Denied::NoQuorum => Failure::may_have_run(
             StatusCode::SERVICE_UNAVAILABLE,
-            "too few replicas can record this request: this attempt did not run it, but an \
-             earlier attempt with the same key may have run",
+            "too few replicas can record this request: it was not run by this try, and an earlier \
+             try with the same key may have run",
         ),
         Denied::Duplicate { holder: None } => Failure::may_have_run(
             StatusCode::CONFLICT,
@@ -175,7 +175,7 @@
     };
     let Some(status) = known else {
         let message = format!(
-            "{earlier}, and may have run; the node that serves it is unknown or cannot be reached"
+            "{earlier}, and may have run; the node that serves it is not known or cannot be reached"
         );
         return Failure::may_have_run(StatusCode::CONFLICT, message);
     };
--- a/crates/node/src/callers/completion.rs
+++ b/crates/node/src/callers/completion.rs
@@ -296,7 +296,7 @@
             StreamEvent::Interrupted => {
                 // An error closes the connection, so that the caller cannot mistake the partial
                 // answer for the complete one.
-                let error = std::io::Error::other("the answer was interrupted");
+                let error = std::io::Error::other("the answer broke off");
                 return Some((Err(error), None));
             }
         };
--- a/crates/node/src/callers/driver.rs
+++ b/crates/node/src/callers/driver.rs
@@ -187,7 +187,7 @@
             Delivery::Failed(failure) => return Err(failure),
         };
         if text.len() + chunk.text.len() > max_bytes {
-            let message = format!("the answer exceeds {max_bytes} bytes; request a stream");
+            let message = format!("the answer passes {max_bytes} bytes; ask for a stream");
             return Err(Failure::may_have_run(StatusCode::BAD_GATEWAY, message));
         }
         text.push_str(&chunk.text);
@@ -195,6 +195,6 @@
             return Ok((text, chunk));
         }
     }
-    let message = "the answer was interrupted";
+    let message = "the answer broke off";
     Err(Failure::may_have_run(StatusCode::BAD_GATEWAY, message))
 }
--- a/crates/node/src/callers/status.rs
+++ b/crates/node/src/callers/status.rs
@@ -59,6 +59,6 @@
 }
 
 fn unknown_request(id: RequestId) -> HttpResponse {
-    let message = "no node that can be reached knows this request; its record may have expired";
+    let message = "no node that can be reached knows such a request, or no longer";
     Failure::invalid(StatusCode::NOT_FOUND, message).response(id)
 }
--- a/crates/node/src/callers/watch.rs
+++ b/crates/node/src/callers/watch.rs
@@ -25,7 +25,7 @@
             biased;
             result = answer.as_mut() => return result,
             state = client.state(address) => {
-                state.map_err(|error| EngineError::Broken(format!("the engine stopped answering and a state query failed: {error}")))?;
+                state.map_err(|error| EngineError::Broken(format!("a silent engine: {error}")))?;
             }
         }
     }
