--- a/crates/node/src/authority/mod.rs
+++ b/crates/node/src/authority/mod.rs
@@ -4,10 +4,10 @@
 mod claim_records;
 mod claims;
 mod engine;
-mod keeper;
+mod manager;
 mod loads;
 mod observer;
 mod pool;
 mod shared;
 
-pub use keeper::{AuthorityKeeper, Release};
+pub use manager::{AuthorityKeeper, Release};
