--- a/crates/node/src/admin/access.rs
+++ b/crates/node/src/admin/access.rs
@@ -1,5 +1,5 @@
-//! Who may use the administration API. Tokens are known by their hashes only, which are compared
-//! in constant time.
+//! Access control of the administration API. The settings hold only the hashes of tokens, which are
+//! compared in constant time.
 
 use actix_web::http::header;
 use actix_web::HttpRequest;
@@ -10,19 +10,19 @@
 
 use crate::configuration::Author;
 
-/// Why access was refused.
+/// Why access to the administration API was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AccessError {
-    /// No token, or an unknown one.
+    /// The request has no token or an unknown one.
     #[error("a valid bearer token is needed")]
     Unauthenticated,
-    /// The account may not do this.
+    /// The account's role does not allow the request.
     #[error("this account may only read")]
     Forbidden,
 }
 
-/// Finds the account of a request and checks that it has at least the role `needed`.
-pub fn check<'a>(
+/// Returns the account of a request if it has at least the role `needed`.
+pub fn authorize<'a>(
     accounts: &'a [OperatorAccount],
     request: &HttpRequest,
     needed: OperatorRole,
@@ -47,15 +47,20 @@
     Ok(account)
 }
 
-/// Whether an account may see a resource: all of them, or those of its tenant.
-pub fn sees(account: &OperatorAccount, configuration: &Configuration, resource: &Resource) -> bool {
+/// Returns whether an account may see a resource: an account without a tenant sees all of them, any
+/// other one those of its tenant.
+pub fn can_see(
+    account: &OperatorAccount,
+    configuration: &Configuration,
+    resource: &Resource,
+) -> bool {
     match &account.tenant {
         None => true,
         Some(tenant) => configuration.owner(resource).as_ref() == Some(tenant),
     }
 }
 
-/// The account as the author of a change.
+/// Returns the account as the author of a change.
 pub fn author(account: &OperatorAccount) -> Author {
     Author {
         account: account.name.clone(),
--- a/crates/node/src/admin/changes.rs
+++ b/crates/node/src/admin/changes.rs
@@ -1,5 +1,4 @@
-//! Changes through the administration API: whole files, dry runs, and the trail of who changed
-//! what.
+//! Changes through the administration API: whole files, dry runs, and the audit trail.
 
 use actix_web::{web, HttpRequest, HttpResponse};
 use serde::{Deserialize, Serialize};
@@ -17,11 +16,11 @@
 
 /// The configuration in the platform's store.
 pub type Store = web::Data<ConfigurationStore<EtcdStore>>;
-/// The answer of a handler.
+/// The answer of a handler of the administration API.
 pub type Answer = Result<HttpResponse, ApiError>;
 
-/// Name of a resource file in errors.
-const BODY: &str = "body";
+/// File name that error messages give for the request body.
+const BODY_FILE_NAME: &str = "body";
 
 /// How a change is made.
 #[derive(Debug, Clone, Default, Deserialize, IntoParams)]
@@ -106,20 +105,20 @@
     query: web::Query<ChangeQuery>,
     body: String,
 ) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Operator)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Operator)?;
     let file = ResourceFile::parse(&body)
-        .map_err(|fault| ApiError::Malformed(fault.render(BODY, &body)))?;
+        .map_err(|error| ApiError::Malformed(error.render(BODY_FILE_NAME, &body)))?;
     let expected = query.expected_revision.map(Revision);
     let changes = file.into_resources().into_iter().map(|resource| Change {
         key: resource.key(),
         resource: Some(resource),
         precondition: expected.map_or(Precondition::None, Precondition::NotAfter),
     });
-    make(&node, &store, account, &query, changes.collect()).await
+    make_changes(&node, &store, account, &query, changes.collect()).await
 }
 
-/// Makes changes, or tries them only.
-pub(super) async fn make(
+/// Makes changes, or only checks them if the query asks for a dry run.
+pub(super) async fn make_changes(
     node: &Node,
     store: &Store,
     account: &OperatorAccount,
@@ -141,13 +140,13 @@
             effects: effects.collect(),
         }));
     }
-    let held_revision = node.held.lock().revision();
+    let held_revision = node.held_configuration.lock().revision();
     let outcome = store.change(&author, &changes, held_revision).await;
-    count(node, outcome.as_ref().map(|_| ()));
+    count_change(node, outcome.as_ref().map(|_| ()));
     let committed = outcome?;
     if committed.changed > 0 {
         log::info!(
-            "{} changed {} resources at revision {:?}",
+            "account {} changed {} resources at revision {:?}",
             account.name,
             committed.changed,
             committed.revision.map(|revision| revision.0)
@@ -164,7 +163,7 @@
     }))
 }
 
-fn count(node: &Node, outcome: Result<(), &ChangeError>) {
+fn count_change(node: &Node, outcome: Result<(), &ChangeError>) {
     let label = match outcome {
         Ok(()) => "accepted",
         Err(ChangeError::Conflict { .. }) => "conflict",
@@ -182,13 +181,13 @@
     security(("bearer" = []))
 )]
 pub async fn configuration(node: web::Data<Node>, store: Store, request: HttpRequest) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Viewer)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Viewer)?;
     let snapshot = store.read().await?;
     let configuration = &snapshot.configuration;
     let resources = configuration.keys().filter_map(|key| {
         let resource = configuration.get(&key)?;
         let revision = snapshot.revisions.get(&key)?.0;
-        let visible = access::sees(account, configuration, &resource);
+        let visible = access::can_see(account, configuration, &resource);
         visible.then_some(VersionedResource { revision, resource })
     });
     Ok(HttpResponse::Ok().json(ConfigurationAnswer {
@@ -204,7 +203,7 @@
     security(("bearer" = []))
 )]
 pub async fn audit(node: web::Data<Node>, store: Store, request: HttpRequest) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Viewer)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Viewer)?;
     let snapshot = store.read().await?;
     let visible =
         |record: &&ChangeRecord| account.tenant.is_none() || record.tenant == account.tenant;
--- a/crates/node/src/admin/error.rs
+++ b/crates/node/src/admin/error.rs
@@ -13,7 +13,7 @@
 /// Why a call of the administration API failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ApiError {
-    /// The account may not do this.
+    /// The request is not authorized.
     #[error("{0}")]
     Access(#[from] AccessError),
     /// The change was refused, or its outcome is unknown.
@@ -22,10 +22,10 @@
     /// The store could not be read.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// The request does not parse.
+    /// The request cannot be parsed.
     #[error("{0}")]
     Malformed(String),
-    /// No kind of resource has this name.
+    /// There is no kind of resource with this name.
     #[error("no kind of resource is named {0}")]
     UnknownKind(String),
     /// No such resource exists, or the account may not see it.
@@ -61,13 +61,13 @@
     pub referrers: Vec<ResourceKey>,
 }
 
-/// The entity tag of a resource last changed at `revision`.
+/// Returns the ETag header of a resource last changed at `revision`.
 pub fn entity_tag(revision: Revision) -> (header::HeaderName, String) {
     (header::ETAG, format!("\"{}\"", revision.0))
 }
 
 impl ApiError {
-    /// The revision of what is there, if the caller should see it.
+    /// Returns the resource's present revision for errors that report it to the caller.
     fn present_revision(&self) -> Option<Revision> {
         match self {
             ApiError::Change(ChangeError::Conflict { present, .. }) => *present,
--- a/crates/node/src/admin/explain.rs
+++ b/crates/node/src/admin/explain.rs
@@ -89,36 +89,40 @@
     security(("bearer" = []))
 )]
 pub async fn explain(node: web::Data<Node>, request: HttpRequest, body: web::Bytes) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Viewer)?;
-    let asked: ExplainRequest =
-        serde_json::from_slice(&body).map_err(|fault| ApiError::Malformed(fault.to_string()))?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Viewer)?;
+    let explain_request: ExplainRequest =
+        serde_json::from_slice(&body).map_err(|error| ApiError::Malformed(error.to_string()))?;
     let in_force = node.in_force.load();
     let configuration = &in_force.configuration;
-    let name = asked.service.as_str().into();
+    let name = explain_request.service.as_str().into();
     let service = configuration.services.get(&name).filter(|service| {
         let resource = Resource::Service((*service).clone());
-        access::sees(account, configuration, &resource)
+        access::can_see(account, configuration, &resource)
     });
     let Some(service) = service else {
-        let key = ResourceKey::new(ResourceKind::Service, &asked.service);
+        let key = ResourceKey::new(ResourceKind::Service, &explain_request.service);
         return Err(ApiError::NotFound(key));
     };
-    let headers: Vec<(String, String)> = asked.headers.clone().into_iter().collect();
+    let headers: Vec<(String, String)> = explain_request.headers.clone().into_iter().collect();
     let facts = RequestFacts {
-        output_tokens: asked.output_tokens,
-        body_bytes: asked.body_bytes,
-        service: &asked.service,
-        tenant: &asked.tenant,
-        model: &asked.model,
+        output_tokens: explain_request.output_tokens,
+        body_bytes: explain_request.body_bytes,
+        service: &explain_request.service,
+        tenant: &explain_request.tenant,
+        model: &explain_request.model,
         headers: &headers,
-        ..RequestFacts::new(&asked.path, asked.prompt_tokens)
+        ..RequestFacts::new(&explain_request.path, explain_request.prompt_tokens)
     };
     let explanation = in_force.program(&name).explain(&facts);
     let policy = service.policy.as_ref().map(ToString::to_string);
-    Ok(HttpResponse::Ok().json(answer(configuration.revision, policy, explanation)))
+    Ok(HttpResponse::Ok().json(explain_answer(configuration.revision, policy, explanation)))
 }
 
-fn answer(revision: u64, policy: Option<String>, explanation: Explanation) -> ExplainAnswer {
+fn explain_answer(
+    revision: u64,
+    policy: Option<String>,
+    explanation: Explanation,
+) -> ExplainAnswer {
     let Explanation { class, tests } = explanation;
     let tests = tests.into_iter().map(|test| TestAnswer {
         class: test.class.to_string(),
@@ -133,14 +137,14 @@
         priority: class.priority.name(),
         repeatable: class.repeatable,
         prefer: class.route.prefer.iter().map(ToString::to_string).collect(),
-        fallback: fallback(&class),
-        versions: shares(&class.versions),
-        adapters: shares(&class.adapters),
+        fallback: fallback_text(&class),
+        versions: share_texts(&class.versions),
+        adapters: share_texts(&class.adapters),
         tests: tests.collect(),
     }
 }
 
-fn fallback(class: &Class) -> String {
+fn fallback_text(class: &Class) -> String {
     match &class.route.fallback {
         Fallback::Any => "any".into(),
         Fallback::None => "none".into(),
@@ -151,7 +155,7 @@
     }
 }
 
-fn shares(shares: &[Share]) -> Vec<String> {
-    let shown = |share: &Share| format!("{} {}%", share.name, share.percent);
-    shares.iter().map(shown).collect()
+fn share_texts(shares: &[Share]) -> Vec<String> {
+    let share_text = |share: &Share| format!("{} {}%", share.name, share.percent);
+    shares.iter().map(share_text).collect()
 }
--- a/crates/node/src/admin/health.rs
+++ b/crates/node/src/admin/health.rs
@@ -1,10 +1,10 @@
-//! Health and metrics.
+//! Health checks and metrics.
 
 use actix_web::{web, HttpResponse};
 
 use crate::state::Node;
 
-/// Answers as long as the process runs.
+/// Answers 200 as long as the process runs.
 pub async fn live() -> HttpResponse {
     HttpResponse::Ok().body("live\n")
 }
@@ -20,7 +20,7 @@
     HttpResponse::Ok().body("ready\n")
 }
 
-/// Metrics in Prometheus text form.
+/// Answers with all metrics in the Prometheus text format.
 pub async fn metrics(node: web::Data<Node>) -> HttpResponse {
     match node.metrics.render() {
         Ok(text) => HttpResponse::Ok()
--- a/crates/node/src/admin/openapi.rs
+++ b/crates/node/src/admin/openapi.rs
@@ -6,7 +6,7 @@
 
 use super::{changes, explain, resources, status};
 
-/// The document.
+/// The OpenAPI document.
 #[derive(OpenApi)]
 #[openapi(
     info(title = "tansyhall administration API", description = "Resources, status and audit."),
@@ -35,7 +35,8 @@
     }
 }
 
-/// `GET /admin/v1/openapi.json`; needs no token, since it says nothing about the fleet.
+/// Serves `GET /admin/v1/openapi.json`, which needs no token because the document contains nothing
+/// about the fleet.
 pub async fn document() -> HttpResponse {
     HttpResponse::Ok().json(AdminApi::openapi())
 }
--- a/crates/node/src/admin/resources.rs
+++ b/crates/node/src/admin/resources.rs
@@ -1,6 +1,6 @@
-//! Create, read, list, change and delete single resources. The entity tag of a resource is the
-//! store's revision of its last change; a change that names an older one is answered with what is
-//! there.
+//! Creation, reads, lists, changes and deletion of single resources. The entity tag of a resource is
+//! the store's revision of its last change; a change that names an older one is answered with the
+//! present resource.
 
 use actix_web::http::header;
 use actix_web::{web, HttpRequest, HttpResponse};
@@ -11,7 +11,7 @@
 use utoipa::{IntoParams, ToSchema};
 
 use super::access;
-use super::changes::{make, Answer, ChangeQuery, Store};
+use super::changes::{make_changes, Answer, ChangeQuery, Store};
 use super::error::{entity_tag, ApiError};
 use crate::configuration::{Change, Precondition};
 use crate::state::Node;
@@ -73,7 +73,7 @@
     value.to_str().ok()
 }
 
-fn precondition(request: &HttpRequest) -> Result<Precondition, ApiError> {
+fn parse_precondition(request: &HttpRequest) -> Result<Precondition, ApiError> {
     let if_none_match = header_text(request, header::IF_NONE_MATCH);
     let if_match = header_text(request, header::IF_MATCH);
     match (if_none_match, if_match) {
@@ -104,7 +104,7 @@
     kind: web::Path<String>,
     filter: web::Query<ListFilter>,
 ) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Viewer)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Viewer)?;
     let kind = parse_kind(&kind)?;
     let in_force = node.in_force.load();
     let configuration = &in_force.configuration;
@@ -112,7 +112,7 @@
     items.retain(|resource| {
         let owner = configuration.owner(resource);
         let owner = owner.as_ref().map(|tenant| tenant.as_str());
-        access::sees(account, configuration, resource) && filter.matches(resource, owner)
+        access::can_see(account, configuration, resource) && filter.matches(resource, owner)
     });
     Ok(HttpResponse::Ok().json(ResourceList {
         revision: configuration.revision,
@@ -133,12 +133,12 @@
     request: HttpRequest,
     path: web::Path<(String, String)>,
 ) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Viewer)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Viewer)?;
     let key = parse_key(&path)?;
     let snapshot = store.read().await?;
     let resource = snapshot.configuration.get(&key);
     let visible =
-        resource.filter(|resource| access::sees(account, &snapshot.configuration, resource));
+        resource.filter(|resource| access::can_see(account, &snapshot.configuration, resource));
     match (visible, snapshot.revisions.get(&key)) {
         (Some(resource), Some(revision)) => Ok(HttpResponse::Ok()
             .insert_header(entity_tag(*revision))
@@ -168,10 +168,10 @@
     query: web::Query<ChangeQuery>,
     body: web::Bytes,
 ) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Operator)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Operator)?;
     let key = parse_key(&path)?;
     let resource = Resource::from_json(key.kind, &body)
-        .map_err(|fault| ApiError::Malformed(fault.to_string()))?;
+        .map_err(|error| ApiError::Malformed(error.to_string()))?;
     if resource.key() != key {
         let message = format!("the body names {}, the path {key}", resource.key());
         return Err(ApiError::Malformed(message));
@@ -179,9 +179,9 @@
     let change = Change {
         key,
         resource: Some(resource),
-        precondition: precondition(&request)?,
+        precondition: parse_precondition(&request)?,
     };
-    make(&node, &store, account, &query, vec![change]).await
+    make_changes(&node, &store, account, &query, vec![change]).await
 }
 
 /// Deletes a resource; refused while another one refers to it.
@@ -203,12 +203,12 @@
     path: web::Path<(String, String)>,
     query: web::Query<ChangeQuery>,
 ) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Operator)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Operator)?;
     let key = parse_key(&path)?;
     let change = Change {
         key,
         resource: None,
-        precondition: precondition(&request)?,
+        precondition: parse_precondition(&request)?,
     };
-    make(&node, &store, account, &query, vec![change]).await
+    make_changes(&node, &store, account, &query, vec![change]).await
 }
--- a/crates/node/src/admin/status.rs
+++ b/crates/node/src/admin/status.rs
@@ -1,4 +1,5 @@
-//! Status: what is desired, what is observed, and which revision is in force where.
+//! The status of a node: desired and observed state of its pools, and the revisions in force here and
+//! at other nodes.
 
 use std::collections::BTreeMap;
 
@@ -74,15 +75,15 @@
     fn new(pool: &Pool, engines: &[&EngineState]) -> Self {
         let count = |role: Role| engines.iter().filter(|state| state.role == role).count();
         let roles = Role::ALL.map(|role| (role.name(), count(role)));
-        let is_other = |state: &&&EngineState| Some(&state.model) != pool.model.as_ref();
+        let has_other_model = |state: &&&EngineState| Some(&state.model) != pool.model.as_ref();
         let draining = engines.iter().filter(|state| state.draining).count();
-        let other_model = engines.iter().filter(is_other).count();
-        let within = |bounds: &RoleBounds| {
+        let other_model = engines.iter().filter(has_other_model).count();
+        let is_within = |bounds: &RoleBounds| {
             let found = count(bounds.role) as u64;
-            let most = bounds.most.map_or(u64::MAX, u64::from);
-            (u64::from(bounds.least)..=most).contains(&found)
+            let max_engines = bounds.most.map_or(u64::MAX, u64::from);
+            (u64::from(bounds.least)..=max_engines).contains(&found)
         };
-        let is_settled = pool.roles.iter().all(within) && draining == 0 && other_model == 0;
+        let is_settled = pool.roles.iter().all(is_within) && draining == 0 && other_model == 0;
         Self {
             pool: pool.name.to_string(),
             service: pool.service.to_string(),
@@ -106,7 +107,7 @@
     security(("bearer" = []))
 )]
 pub async fn status(node: web::Data<Node>, request: HttpRequest) -> Answer {
-    let account = access::check(&node.settings.operators, &request, OperatorRole::Viewer)?;
+    let account = access::authorize(&node.settings.operators, &request, OperatorRole::Viewer)?;
     let in_force = node.in_force.load();
     let pools = visible_pools(account, &in_force);
     let (pools, engines) = node.with_engines(|engines| {
@@ -144,9 +145,9 @@
 fn visible_pools<'a>(account: &OperatorAccount, in_force: &'a InForce) -> Vec<&'a Pool> {
     let configuration = &in_force.configuration;
     let pools = configuration.pools.values();
-    let visible = |pool: &&Pool| {
+    let is_visible = |pool: &&Pool| {
         let resource = Resource::Pool((*pool).clone());
-        account.tenant.is_none() || access::sees(account, configuration, &resource)
+        account.tenant.is_none() || access::can_see(account, configuration, &resource)
     };
-    pools.filter(visible).collect()
+    pools.filter(is_visible).collect()
 }
--- a/crates/node/src/authority/claims.rs
+++ b/crates/node/src/authority/claims.rs
@@ -1,5 +1,5 @@
-//! Keeps the node's claims on the pools of its zone: one look at what is known of the zone's claims
-//! a period, and one task for each pool that is held.
+//! Maintains the node's claims on the pools of its zone: compares them with the zone's claims once
+//! per planning period and runs one task for each pool that the node holds.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,11 +17,12 @@
 use super::shared::SharedAuthority;
 use crate::state::Node;
 
-/// Longest wait of a node before it claims a free pool; the wait spreads pools over nodes.
-const CLAIM_SPREAD: Duration = Duration::from_millis(1_000);
+/// Longest delay before a node claims a free pool; delays differ by node, which spreads the pools
+/// over the nodes.
+const MAX_CLAIM_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Follows the zone's claims and claims what is free, until the node ends.
-pub async fn keep_claims(node: Arc<Node>, store: EtcdStore, authority: SharedAuthority) {
+/// Follows the claims of the zone and claims free pools, until the node stops.
+pub async fn maintain_claims(node: Arc<Node>, store: EtcdStore, authority: SharedAuthority) {
     let mut records = ClaimRecords::new(store.clone(), &node.settings.zone);
     loop {
         let pools = pools_of_zone(&node);
@@ -29,12 +30,15 @@
             actix_rt::time::sleep(node.settings.authority.plan_period).await;
             continue;
         }
-        if let Err(error) = records.wait(node.settings.authority.plan_period).await {
-            log::debug!("the claims are not known to be the newest: {error}");
+        if let Err(error) = records
+            .wait_for_change(node.settings.authority.plan_period)
+            .await
+        {
+            log::debug!("the claims on the zone's pools may be out of date: {error}");
             node.metrics.platform_errors.inc();
             continue;
         }
-        if keep_once(&node, &store, &authority, &pools, &mut records)
+        if update_claims(&node, &store, &authority, &pools, &mut records)
             .await
             .is_err()
         {
@@ -52,29 +56,29 @@
         .collect()
 }
 
-async fn keep_once(
+async fn update_claims(
     node: &Arc<Node>,
     store: &EtcdStore,
     authority: &SharedAuthority,
     pools: &[PoolName],
     records: &mut ClaimRecords,
 ) -> Result<(), StoreError> {
-    let to_create = observe(node, authority, pools, records.known());
+    let to_create = step_claims(node, authority, pools, records.records());
     if to_create.is_empty() {
         return Ok(());
     }
     let creations = to_create
         .iter()
-        .map(|(pool, lease)| create(node, store, pool, *lease));
+        .map(|(pool, lease)| create_claim(node, store, pool, *lease));
     join_all(creations).await;
-    // Whatever was answered, the keys themselves tell who holds the pools and in which epoch.
+    // Whatever the store answered, the keys themselves show who holds the pools and in which epoch.
     records.read().await?;
-    observe(node, authority, pools, records.known());
+    step_claims(node, authority, pools, records.records());
     Ok(())
 }
 
-/// Steps every claim with what was read, and returns those to create.
-fn observe(
+/// Advances every claim by the records that were read, and returns the claims to create.
+fn step_claims(
     node: &Arc<Node>,
     authority: &SharedAuthority,
     pools: &[PoolName],
@@ -85,7 +89,7 @@
     let actions: Vec<(PoolName, ClaimAction)> = authority.with_claims(|claims| {
         claims.retain(|pool, _| pools.contains(pool));
         let step = |pool: &PoolName| {
-            let delay = || claim_delay(pool, &node.settings.name, CLAIM_SPREAD);
+            let delay = || claim_delay(pool, &node.settings.name, MAX_CLAIM_DELAY);
             let claim = claims
                 .entry(pool.clone())
                 .or_insert_with(|| PoolClaim::new(delay()));
@@ -100,22 +104,23 @@
         match action {
             ClaimAction::Wait => {}
             ClaimAction::Create(lease) => to_create.push((pool, lease)),
-            ClaimAction::Lost => log::warn!("authority over pool {pool} is lost"),
-            ClaimAction::Acquired(epoch) => acquired(node, authority, pool, epoch),
+            ClaimAction::Lost => log::warn!("lost authority over pool {pool}"),
+            ClaimAction::Acquired(epoch) => start_holding(node, authority, pool, epoch),
         }
     }
     to_create
 }
 
-fn acquired(node: &Arc<Node>, authority: &SharedAuthority, pool: PoolName, epoch: Epoch) {
-    log::info!("authority over pool {pool} in epoch {}", epoch.0);
+fn start_holding(node: &Arc<Node>, authority: &SharedAuthority, pool: PoolName, epoch: Epoch) {
+    log::info!("acquired authority over pool {pool} in epoch {}", epoch.0);
     node.metrics.pools_acquired.inc();
-    let task = pool::hold(Arc::clone(node), authority.clone(), pool, epoch);
+    let task = pool::hold_pool(Arc::clone(node), authority.clone(), pool, epoch);
     actix_rt::spawn(task);
 }
 
-/// The least epoch of a claim that the engines of a pool obey, as far as this node has read their states.
-fn least_epoch(node: &Node, pool: &PoolName) -> Epoch {
+/// Returns the lowest epoch in which the engines of a pool obey a new claim, as far as this node has
+/// read their states.
+fn lowest_obeyed_epoch(node: &Node, pool: &PoolName) -> Epoch {
     let in_force = node.in_force.load();
     let pool = in_force.configuration.pools.get(pool);
     let backends = pool.map_or(&[][..], |pool| &pool.backends);
@@ -128,19 +133,19 @@
     })
 }
 
-async fn create(
+async fn create_claim(
     node: &Node,
     store: &EtcdStore,
     pool: &PoolName,
     lease: Lease,
 ) -> Result<(), StoreError> {
     let key = claim_key(&node.settings.zone, pool);
-    let claim = ClaimValue {
+    let value = ClaimValue {
         node: node.settings.name.clone(),
         lease: lease.0,
-        least_epoch: least_epoch(node, pool).0,
+        least_epoch: lowest_obeyed_epoch(node, pool).0,
     };
-    let value = serde_json::to_vec(&claim);
+    let value = serde_json::to_vec(&value);
     let value = value.map_err(|error| StoreError::NotApplied(error.to_string()))?;
     let transaction = Transaction {
         compare: vec![Compare::Absent(key.clone())],
--- a/crates/node/src/authority/engine.rs
+++ b/crates/node/src/authority/engine.rs
@@ -1,4 +1,4 @@
-//! Performs the steps of one engine's orders.
+//! Carries out the steps of one engine's orders.
 
 use tansyhall_authority::{EngineOrders, OrderEvent, OrderStep, Outcome};
 use tansyhall_config::Backend;
@@ -9,22 +9,22 @@
 use super::shared::SharedAuthority;
 use crate::state::Node;
 
-/// Where an engine stands after its orders have been advanced as far as they go for now.
+/// The state of an engine's orders after they have been advanced as far as possible for now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// An order is under way, or requests are still to end.
+    /// An order is in progress, or requests have yet to end.
     Busy,
-    /// Nothing is to be done.
+    /// No order is left to send.
     Settled(Outcome),
     /// The engine does not answer.
     Unreachable,
-    /// The lease is not valid at the moment.
+    /// The node's lease is not valid now.
     LeaseInvalid,
-    /// Another node is in charge.
+    /// Another node holds the authority over the engine.
     Superseded,
 }
 
-/// Advances an engine's orders until they must wait.
+/// Advances an engine's orders until they have to wait.
 pub async fn advance(
     node: &Node,
     client: &EngineClient,
@@ -32,18 +32,18 @@
     backend: &Backend,
     orders: &mut EngineOrders,
 ) -> Progress {
-    let Some(state) = observer::observe(node, client, backend).await else {
+    let Some(state) = observer::observe_engine(node, client, backend).await else {
         return Progress::Unreachable;
     };
     let mut event = OrderEvent::State(state);
     loop {
-        let lease = authority.clock();
-        event = match orders.step(node.clock.now(), &lease, event) {
+        let lease_validity = authority.lease_validity();
+        event = match orders.step(node.clock.now(), &lease_validity, event) {
             OrderStep::Seal(token) => match client.seal(backend.address, token).await {
                 Ok(state) => OrderEvent::Sealed(state),
                 Err(_) => return Progress::Unreachable,
             },
-            OrderStep::Send(order) => send(node, client, backend, &order).await,
+            OrderStep::Send(order) => send_order(node, client, backend, &order).await,
             OrderStep::ReadState => return Progress::Busy,
             OrderStep::Settled(outcome) => return Progress::Settled(outcome),
             OrderStep::LeaseInvalid => return Progress::LeaseInvalid,
@@ -52,7 +52,12 @@
     }
 }
 
-async fn send(node: &Node, client: &EngineClient, backend: &Backend, order: &Order) -> OrderEvent {
+async fn send_order(
+    node: &Node,
+    client: &EngineClient,
+    backend: &Backend,
+    order: &Order,
+) -> OrderEvent {
     if order.action == OrderAction::Drain {
         stop_routing_to(node, backend);
     }
@@ -62,7 +67,7 @@
     reply.map_or(OrderEvent::NoReply, OrderEvent::Reply)
 }
 
-/// Routing learns of the drain before the engine does.
+/// Marks the engine as draining for routing before the engine receives the order to drain.
 fn stop_routing_to(node: &Node, backend: &Backend) {
     node.with_engines(|engines| {
         let status = engines.entry(backend.name.clone()).or_default();
--- a/crates/node/src/authority/loads.rs
+++ b/crates/node/src/authority/loads.rs
@@ -1,5 +1,5 @@
-//! Models, versions and adapters of a pool's engines: the planner's rollout, fed with what was
-//! observed, and stopped when an engine crashes on the same load again.
+//! Rollout of models, versions and adapters to a pool's engines: carries out the planner's loads by
+//! the observed engine states, and stops when an engine crashes on the same load again.
 
 use tansyhall_authority::Goal;
 use tansyhall_config::Pool;
@@ -11,50 +11,50 @@
 
 /// The rollout of one pool.
 #[derive(Debug, Default)]
-pub struct Loads {
+pub struct PoolRollout {
     desired: Option<DesiredLoads>,
     guard: RolloutGuard,
 }
 
-impl Loads {
-    /// The next load, as an engine and its goal. Called when no change is under way.
-    pub fn next(&mut self, node: &Node, pool: &Pool) -> Option<(EngineName, Goal)> {
+impl PoolRollout {
+    /// Starts the next load and returns its engine and goal. Called when no change is in progress.
+    pub fn start_next_load(&mut self, node: &Node, pool: &Pool) -> Option<(EngineName, Goal)> {
         let desired = desired_loads(pool)?;
         if self.desired.as_ref() != Some(&desired) {
             self.guard.reset();
             self.desired = Some(desired.clone());
         }
         self.guard.finish();
-        let observed = observe(node, pool);
+        let observed = observed_states(node, pool);
         if observed.len() < pool.backends.len() {
             return None;
         }
-        let engines: Vec<LoadedEngine> = observed.iter().map(loaded).collect();
+        let engines: Vec<LoadedEngine> = observed.iter().map(loaded_engine).collect();
         let planned = plan_loads(&engines, &desired)?;
         if !self.guard.allows(&planned.load) {
             return None;
         }
         log::info!(
-            "engine {} is to load {}",
+            "engine {} will load {}",
             planned.engine,
-            name(&planned.load)
+            load_text(&planned.load)
         );
         let incarnation = incarnation_of(&observed, &planned.engine)?;
-        let next = (planned.engine.clone(), goal(&planned.load));
+        let next = (planned.engine.clone(), goal_of(&planned.load));
         self.guard.begin(planned, incarnation);
         Some(next)
     }
 
-    /// The engine whose load has just failed once too often.
-    pub fn failed_for_good(&mut self, node: &Node, pool: &Pool) -> Option<EngineName> {
-        let observed = observe(node, pool);
+    /// Returns the engine whose load has just failed again; the rollout stops.
+    pub fn stop_if_failed_again(&mut self, node: &Node, pool: &Pool) -> Option<EngineName> {
+        let observed = observed_states(node, pool);
         let guard = &mut self.guard;
         let failed = |state: &EngineState| guard.observe(&state.engine, state.incarnation);
         let planned = observed.iter().find_map(failed)?;
         log::warn!(
             "pool {}: loading {} failed again; the rollout stops",
             pool.name,
-            name(&planned.load)
+            load_text(&planned.load)
         );
         node.metrics.rollouts_stopped.inc();
         Some(planned.engine)
@@ -69,11 +69,11 @@
     })
 }
 
-fn observe(node: &Node, pool: &Pool) -> Vec<EngineState> {
+fn observed_states(node: &Node, pool: &Pool) -> Vec<EngineState> {
     node.with_engines(|engines| {
         let states = pool.backends.iter().filter_map(|backend| {
             let state = engines.get(&backend.name)?.state.as_ref()?;
-            // Its own name for itself may differ; the pool's counts.
+            // The engine may report another name for itself; the pool's name for it is used.
             Some(EngineState {
                 engine: backend.name.clone(),
                 ..state.clone()
@@ -83,7 +83,7 @@
     })
 }
 
-fn loaded(state: &EngineState) -> LoadedEngine {
+fn loaded_engine(state: &EngineState) -> LoadedEngine {
     LoadedEngine {
         name: state.engine.clone(),
         model: state.model.clone(),
@@ -101,7 +101,7 @@
     state.map(|state| state.incarnation)
 }
 
-fn goal(load: &Load) -> Goal {
+fn goal_of(load: &Load) -> Goal {
     match load {
         Load::Model { model, version } => Goal::Model {
             model: model.clone(),
@@ -111,7 +111,7 @@
     }
 }
 
-fn name(load: &Load) -> String {
+fn load_text(load: &Load) -> String {
     match load {
         Load::Model { model, version } => format!("model {model} version {version}"),
         Load::Adapter(adapter) => format!("adapter {adapter}"),
--- a/crates/node/src/authority/manager.rs
+++ b/crates/node/src/authority/manager.rs
@@ -1,4 +1,4 @@
-//! The actor that keeps the node's lease and starts the authority's other tasks.
+//! The actor that maintains the node's lease and starts the other tasks of the authority.
 
 use std::sync::Arc;
 
@@ -11,26 +11,26 @@
 use super::{claims, observer};
 use crate::state::Node;
 
-/// Time between looks at whether a renewal is due.
-const LEASE_TICK: Duration = Duration::from_millis(100);
+/// Interval at which the lease is checked for a due grant or renewal.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Gives the lease up, and every pool with it, so that others need not wait until it lapses. Sent
-/// at a planned stop; answered once the store has answered or given up.
+/// Revokes the lease and releases every pool, so that other nodes need not wait until the lease
+/// lapses. Sent at a planned stop; answered once the store has answered or the call has failed.
 pub struct Release;
 
 impl Message for Release {
     type Result = ();
 }
 
-/// The actor that keeps the lease.
-pub struct AuthorityKeeper {
+/// The actor that maintains the lease.
+pub struct AuthorityManager {
     node: Arc<Node>,
     store: EtcdStore,
     authority: SharedAuthority,
 }
 
-impl AuthorityKeeper {
-    /// A keeper for a node.
+impl AuthorityManager {
+    /// Creates the manager of a node's authority.
     pub fn new(node: Arc<Node>, store: EtcdStore) -> Self {
         let authority = SharedAuthority::new(Arc::clone(&node));
         Self {
@@ -41,57 +41,59 @@
     }
 }
 
-impl Actor for AuthorityKeeper {
+impl Actor for AuthorityManager {
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
         let node = || Arc::clone(&self.node);
         let authority = || self.authority.clone();
-        let keep = keep_lease(node(), self.store.clone(), authority());
-        let claim = claims::keep_claims(node(), self.store.clone(), authority());
-        let observe = observer::observe_engines(node());
-        context.spawn(keep.into_actor(self));
-        context.spawn(claim.into_actor(self));
-        context.spawn(observe.into_actor(self));
+        let maintain_lease = maintain_lease(node(), self.store.clone(), authority());
+        let maintain_claims = claims::maintain_claims(node(), self.store.clone(), authority());
+        let observe_engines = observer::observe_engines(node());
+        context.spawn(maintain_lease.into_actor(self));
+        context.spawn(maintain_claims.into_actor(self));
+        context.spawn(observe_engines.into_actor(self));
     }
 }
 
-impl Handler<Release> for AuthorityKeeper {
+impl Handler<Release> for AuthorityManager {
     type Result = ResponseFuture<()>;
 
     fn handle(&mut self, _: Release, _: &mut Self::Context) -> Self::Result {
         let store = self.store.clone();
-        let action = self.authority.lease_step(LeaseEvent::Stop);
+        let action = self.authority.step_lease(LeaseEvent::Stop);
         Box::pin(async move {
             if let LeaseAction::Revoke(lease) = action {
                 if let Err(error) = store.revoke_lease(LeaseId(lease.0)).await {
-                    log::warn!("the lease is not revoked and will lapse: {error}");
+                    log::warn!(
+                        "cannot revoke the authority lease, which will lapse instead: {error}"
+                    );
                 }
             }
         })
     }
 }
 
-async fn keep_lease(node: Arc<Node>, store: EtcdStore, authority: SharedAuthority) {
+async fn maintain_lease(node: Arc<Node>, store: EtcdStore, authority: SharedAuthority) {
     loop {
-        let event = match authority.lease_step(LeaseEvent::Tick) {
+        let event = match authority.step_lease(LeaseEvent::Tick) {
             LeaseAction::Wait | LeaseAction::Revoke(_) => {
-                actix_rt::time::sleep(LEASE_TICK).await;
+                actix_rt::time::sleep(LEASE_CHECK_INTERVAL).await;
                 continue;
             }
-            LeaseAction::Grant(time_to_live) => grant(&store, time_to_live).await,
-            LeaseAction::Renew(lease) => renew(&store, lease).await,
+            LeaseAction::Grant(time_to_live) => request_grant(&store, time_to_live).await,
+            LeaseAction::Renew(lease) => request_renewal(&store, lease).await,
         };
         match event {
             LeaseEvent::NoAnswer => node.metrics.platform_errors.inc(),
-            LeaseEvent::Lapsed => log::warn!("the lease has lapsed"),
+            LeaseEvent::Lapsed => log::warn!("the authority lease has lapsed"),
             _ => {}
         }
-        authority.lease_step(event);
+        authority.step_lease(event);
     }
 }
 
-async fn grant(store: &EtcdStore, time_to_live: Duration) -> LeaseEvent {
+async fn request_grant(store: &EtcdStore, time_to_live: Duration) -> LeaseEvent {
     match store.grant_lease(time_to_live).await {
         Ok(lease) => LeaseEvent::Granted {
             lease: Lease(lease.0),
@@ -101,7 +103,7 @@
     }
 }
 
-async fn renew(store: &EtcdStore, lease: Lease) -> LeaseEvent {
+async fn request_renewal(store: &EtcdStore, lease: Lease) -> LeaseEvent {
     match store.keep_alive(LeaseId(lease.0)).await {
         Ok(time_to_live) => LeaseEvent::Renewed { time_to_live },
         Err(StoreError::LeaseLapsed) => LeaseEvent::Lapsed,
--- a/crates/node/src/authority/mod.rs
+++ b/crates/node/src/authority/mod.rs
@@ -1,13 +1,13 @@
-//! Authority over pools, wired: the lease, the claims made with it, and for each pool held one task
-//! that gives its engines their orders.
+//! Authority over pools: the lease, the claims made with it, and for each held pool one task that
+//! sends orders to its engines.
 
 mod claim_records;
 mod claims;
 mod engine;
-mod manager;
 mod loads;
+mod manager;
 mod observer;
 mod pool;
 mod shared;
 
-pub use manager::{AuthorityKeeper, Release};
+pub use manager::{AuthorityManager, Release};
--- a/crates/node/src/authority/pool.rs
+++ b/crates/node/src/authority/pool.rs
@@ -1,5 +1,5 @@
-//! What the holder of one pool does, as a task of its own: seals every reachable engine, undoes
-//! what an earlier holder left halfway, and carries the planner's changes out, one at a time.
+//! The task of the holder of one pool: seals every reachable engine, reverts changes that an earlier
+//! holder left incomplete, and carries out the planner's changes one at a time.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,23 +12,24 @@
 use tansyhall_planner::{plan_change_for_limits, EngineView, PlannedChange, RoleLimit};
 
 use super::engine::{advance, Progress};
-use super::loads::Loads;
+use super::loads::PoolRollout;
 use super::shared::SharedAuthority;
 use crate::state::Node;
 
-/// Time between looks at a pool in which an engine is draining or changing.
-const CHANGE_POLL: Duration = Duration::from_millis(50);
-/// Longest wait for the requests of a draining engine; then it resumes and the change is given up.
-const DRAIN_PATIENCE: Duration = Duration::from_secs(120);
-/// Time after a change was given up before the pool is planned again.
-const GIVEN_UP_PAUSE: Duration = Duration::from_secs(30);
+/// Interval between rounds of a pool in which an engine is draining or changing.
+const CHANGE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest wait for the requests of a draining engine to end; after it the engine resumes service
+/// and the change is given up.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(120);
+/// Delay before a pool is planned again after a change was given up.
+const REPLAN_DELAY: Duration = Duration::from_secs(30);
 
-/// Holds a pool in one epoch, until it is lost.
-pub async fn hold(node: Arc<Node>, authority: SharedAuthority, pool: PoolName, epoch: Epoch) {
+/// Runs the task of a pool that is held in one epoch, until the pool is lost.
+pub async fn hold_pool(node: Arc<Node>, authority: SharedAuthority, pool: PoolName, epoch: Epoch) {
     let mut holder = PoolHolder::new(node, authority, pool, epoch);
-    while holder.is_in_charge() {
-        let pause = holder.round().await;
-        actix_rt::time::sleep(pause).await;
+    while holder.holds_pool() {
+        let delay = holder.run_round().await;
+        actix_rt::time::sleep(delay).await;
     }
 }
 
@@ -39,8 +40,8 @@
     pool: PoolName,
     epoch: Epoch,
     orders: HashMap<EngineName, EngineOrders>,
-    loads: Loads,
-    plan_after: Timestamp,
+    rollout: PoolRollout,
+    next_plan_at: Timestamp,
 }
 
 impl PoolHolder {
@@ -53,24 +54,24 @@
             pool,
             epoch,
             orders: HashMap::new(),
-            loads: Loads::default(),
-            plan_after: Timestamp::default(),
+            rollout: PoolRollout::default(),
+            next_plan_at: Timestamp::default(),
         }
     }
 
-    fn is_in_charge(&self) -> bool {
-        self.authority.held(&self.pool) == Some(self.epoch)
+    fn holds_pool(&self) -> bool {
+        self.authority.held_epoch(&self.pool) == Some(self.epoch)
     }
 
-    /// Advances every engine as far as it goes, plans if all are settled, and returns the time to
-    /// the next round.
-    async fn round(&mut self) -> Duration {
+    /// Advances every engine as far as possible, starts a planned change if all engines are settled,
+    /// and returns the delay before the next round.
+    async fn run_round(&mut self) -> Duration {
         let period = self.node.settings.authority.plan_period;
         let in_force = self.node.in_force.load_full();
         let Some(pool) = in_force.configuration.pools.get(&self.pool) else {
             return period;
         };
-        if !self.authority.is_valid() {
+        if !self.authority.is_lease_valid() {
             self.node.metrics.orders_withheld.inc();
             return period;
         }
@@ -79,18 +80,19 @@
             self.node.metrics.orders_withheld.inc();
         }
         if progress.contains(&Progress::Settled(Outcome::GivenUp)) {
-            self.give_up();
+            self.give_up_change();
         }
-        if let Some(engine) = self.loads.failed_for_good(&self.node, pool) {
-            self.pursue(&engine, Goal::InService);
+        if let Some(engine) = self.rollout.stop_if_failed_again(&self.node, pool) {
+            self.set_engine_goal(&engine, Goal::InService);
         }
-        let settled = |progress: &Progress| matches!(progress, Progress::Settled(_));
-        let settled = progress.iter().all(settled);
-        if settled && self.node.clock.now() >= self.plan_after && self.plan(pool) {
+        let is_settled = |progress: &Progress| matches!(progress, Progress::Settled(_));
+        let all_settled = progress.iter().all(is_settled);
+        if all_settled && self.node.clock.now() >= self.next_plan_at && self.start_next_change(pool)
+        {
             return Duration::ZERO;
         }
         if progress.contains(&Progress::Busy) {
-            return CHANGE_POLL;
+            return CHANGE_POLL_INTERVAL;
         }
         period
     }
@@ -100,7 +102,7 @@
         for backend in backends {
             self.orders
                 .entry(backend.name.clone())
-                .or_insert_with(|| EngineOrders::new(epoch, DRAIN_PATIENCE));
+                .or_insert_with(|| EngineOrders::new(epoch, DRAIN_TIMEOUT));
         }
         let (node, client, authority) = (&self.node, &self.client, &self.authority);
         let engines = self.orders.iter_mut().filter_map(|(name, orders)| {
@@ -110,34 +112,35 @@
         join_all(engines).await
     }
 
-    fn give_up(&mut self) {
+    fn give_up_change(&mut self) {
         log::warn!(
-            "pool {}: requests did not end in time; the change is given up",
+            "pool {}: giving up the change because requests of a draining engine did not end in time",
             self.pool
         );
         self.node.metrics.changes_given_up.inc();
-        self.plan_after = self.node.clock.now() + GIVEN_UP_PAUSE;
+        self.next_plan_at = self.node.clock.now() + REPLAN_DELAY;
         for orders in self.orders.values_mut() {
             orders.set_goal(Goal::InService);
         }
     }
 
-    fn pursue(&mut self, engine: &EngineName, goal: Goal) -> bool {
+    fn set_engine_goal(&mut self, engine: &EngineName, goal: Goal) -> bool {
         let orders = self.orders.get_mut(engine);
         orders.map(|orders| orders.set_goal(goal)).is_some()
     }
 
-    /// Begins the next change that the pool calls for, if any: loads first, then roles.
-    fn plan(&mut self, pool: &Pool) -> bool {
-        if let Some((engine, goal)) = self.loads.next(&self.node, pool) {
-            return self.pursue(&engine, goal);
+    /// Starts the next change that the pool needs, if any: loads first, then roles. Returns whether
+    /// one was started.
+    fn start_next_change(&mut self, pool: &Pool) -> bool {
+        if let Some((engine, goal)) = self.rollout.start_next_load(&self.node, pool) {
+            return self.set_engine_goal(&engine, goal);
         }
         let Some(change) = next_change(&self.node, pool) else {
             return false;
         };
         let role = change.role.name();
-        log::info!("engine {} is to play the role {role}", change.engine);
-        self.pursue(&change.engine, Goal::Role(change.role))
+        log::info!("engine {} will change to role {role}", change.engine);
+        self.set_engine_goal(&change.engine, Goal::Role(change.role))
     }
 }
 
--- a/crates/node/src/authority/shared.rs
+++ b/crates/node/src/authority/shared.rs
@@ -1,4 +1,5 @@
-//! What the authority's tasks share. All run on one thread; nothing is borrowed across an await.
+//! State shared by the authority's tasks. All of them run on one thread, and no borrow is held across
+//! an await.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,8 +14,8 @@
 
 use crate::state::Node;
 
-struct State {
-    keeper: LeaseHolder,
+struct AuthorityState {
+    lease_holder: LeaseHolder,
     claims: HashMap<PoolName, PoolClaim>,
 }
 
@@ -22,70 +23,77 @@
 #[derive(Clone)]
 pub struct SharedAuthority {
     node: Arc<Node>,
-    state: Rc<RefCell<State>>,
+    state: Rc<RefCell<AuthorityState>>,
 }
 
 impl SharedAuthority {
-    /// No lease and no claim.
+    /// Creates the state of a node without a lease or claims.
     pub fn new(node: Arc<Node>) -> Self {
-        let keeper = LeaseHolder::new(lease_timing(&node));
+        let lease_holder = LeaseHolder::new(lease_timing(&node));
         let claims = HashMap::new();
-        let state = Rc::new(RefCell::new(State { keeper, claims }));
+        let state = Rc::new(RefCell::new(AuthorityState {
+            lease_holder,
+            claims,
+        }));
         Self { node, state }
     }
 
-    /// The lease's next action after an event. When the lease is gone, so is every claim.
-    pub fn lease_step(&self, event: LeaseEvent) -> LeaseAction {
+    /// Passes an event to the lease and returns its next action. When the lease is lost or given up,
+    /// so is every claim.
+    pub fn step_lease(&self, event: LeaseEvent) -> LeaseAction {
         let now = self.node.clock.now();
         let mut state = self.state.borrow_mut();
-        let action = state.keeper.step(now, event);
+        let action = state.lease_holder.step(now, event);
         if matches!(event, LeaseEvent::Lapsed | LeaseEvent::Stop) {
             for claim in state.claims.values_mut() {
                 claim.step(now, ClaimEvent::LeaseLost);
             }
         }
         drop(state);
-        self.report();
+        self.update_gauges();
         action
     }
 
-    /// The lease that claims are made with.
+    /// Returns the lease that claims are made with.
     pub fn lease(&self) -> Option<Lease> {
-        self.state.borrow().keeper.lease()
+        self.state.borrow().lease_holder.lease()
     }
 
-    /// The validity of the lease.
-    pub fn clock(&self) -> LeaseValidity {
-        self.state.borrow().keeper.validity()
+    /// Returns the validity of the lease.
+    pub fn lease_validity(&self) -> LeaseValidity {
+        self.state.borrow().lease_holder.validity()
     }
 
-    /// Whether the node believes in its lease at this moment.
-    pub fn is_valid(&self) -> bool {
-        self.clock().is_valid(self.node.clock.now())
+    /// Returns whether the node considers its lease valid now.
+    pub fn is_lease_valid(&self) -> bool {
+        self.lease_validity().is_valid(self.node.clock.now())
     }
 
-    /// The epoch under which a pool is held.
-    pub fn held(&self, pool: &PoolName) -> Option<Epoch> {
+    /// Returns the epoch in which a pool is held, or `None` if it is not held.
+    pub fn held_epoch(&self, pool: &PoolName) -> Option<Epoch> {
         self.state.borrow().claims.get(pool)?.held_epoch()
     }
 
     /// Reads or changes the claims.
     pub fn with_claims<R>(&self, access: impl FnOnce(&mut HashMap<PoolName, PoolClaim>) -> R) -> R {
         let result = access(&mut self.state.borrow_mut().claims);
-        self.report();
+        self.update_gauges();
         result
     }
 
-    fn report(&self) {
+    fn update_gauges(&self) {
         let state = self.state.borrow();
-        let held = state
+        let held_claims = state
             .claims
             .values()
             .filter(|claim| claim.held_epoch().is_some());
-        let held = i64::try_from(held.count()).unwrap_or(i64::MAX);
-        self.node.metrics.pools_held.set(held);
-        let valid = state.keeper.validity().is_valid(self.node.clock.now());
-        self.node.metrics.lease_valid.set(i64::from(valid));
+        let held_pools = i64::try_from(held_claims.count()).unwrap_or(i64::MAX);
+        self.node.metrics.pools_held.set(held_pools);
+        let is_valid = state
+            .lease_holder
+            .validity()
+            .is_valid(self.node.clock.now());
+        self.node.metrics.lease_valid.set(i64::from(is_valid));
     }
 }
 
--- a/crates/node/src/configuration/change.rs
+++ b/crates/node/src/configuration/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, and the rules that decide whether they are accepted.
+//! Changes of the configuration, and the rules by which they are accepted.
 
 use tansyhall_config::{Configuration, ConfigurationError, Resource, ResourceKey, ResourceKind};
 use tansyhall_core::TenantName;
@@ -6,24 +6,24 @@
 
 use super::store::Snapshot;
 
-/// Most resources changed at one revision; the key-value service takes 128 operations in a
-/// transaction, and one of them writes the head.
+/// Maximum number of resources changed at one revision: the key-value service accepts 128 operations
+/// in a transaction, and one of them writes the head.
 pub const MAX_CHANGES: usize = 127;
 
-/// Why a change did not take effect, or may not have.
+/// Why a change did not take effect, or may not have taken effect.
 #[derive(Debug, thiserror::Error)]
 pub enum ChangeError {
-    /// The resource is not as the operator saw it.
-    #[error("{key} was changed by somebody else; it is at revision {}", shown(.present))]
+    /// The resource does not meet the operator's precondition.
+    #[error("{key} was changed by somebody else; it is at revision {}", revision_text(.present))]
     Conflict {
         /// The resource.
         key: ResourceKey,
-        /// Its revision now; absent if it does not exist.
+        /// Its present revision; `None` if it does not exist.
         present: Option<Revision>,
-        /// What is there now.
+        /// Its present content; `None` if it does not exist.
         resource: Option<Box<Resource>>,
     },
-    /// The resource exists and the operator did not say what they saw of it.
+    /// The resource exists and the operator stated no precondition.
     #[error("{key} exists: its entity tag is needed in If-Match")]
     PreconditionRequired {
         /// The resource.
@@ -34,56 +34,56 @@
     /// The resource to delete does not exist.
     #[error("{0} does not exist")]
     NotFound(ResourceKey),
-    /// The resource to delete is referred to.
-    #[error("{key} is in use by {}", list(.referrers))]
+    /// Other resources refer to the resource to delete.
+    #[error("{key} is in use by {}", join_keys(.referrers))]
     InUse {
         /// The resource.
         key: ResourceKey,
-        /// Who refers to it.
+        /// The resources that refer to it.
         referrers: Vec<ResourceKey>,
     },
-    /// The resource is not of the account's tenant.
+    /// The resource does not belong to the account's tenant.
     #[error("this account may not change {0}")]
     OutOfScope(ResourceKey),
     /// The changes do not fit into one transaction.
     #[error("{0} resources would change at once; at most {MAX_CHANGES} may")]
     TooMany(usize),
-    /// The configuration would not hold together.
+    /// The configuration would be invalid after the change.
     #[error("{0}")]
     Invalid(#[from] ConfigurationError),
-    /// The store did not take the change.
+    /// The store did not apply the change.
     #[error("the change was not made: {0}")]
     NotApplied(StoreError),
-    /// The store's answer was lost and could not be read back.
+    /// The store's answer was lost, and whether the change took effect could not be read back.
     #[error("the change may have been made: {0}")]
     Unknown(StoreError),
-    /// Other changes kept coming in between.
+    /// Changes by others came in between at every attempt.
     #[error("other changes kept coming in between; try again")]
     Contended,
 }
 
-fn shown(revision: &Option<Revision>) -> String {
+fn revision_text(revision: &Option<Revision>) -> String {
     revision.map_or_else(|| "none".into(), |revision| revision.0.to_string())
 }
 
-fn list(keys: &[ResourceKey]) -> String {
+fn join_keys(keys: &[ResourceKey]) -> String {
     let names: Vec<String> = keys.iter().map(ToString::to_string).collect();
     names.join(", ")
 }
 
-/// What an operator saw of a resource before changing it.
+/// The state that an operator expects a resource to have before it is changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precondition {
-    /// Nothing is asked, and content that is there already is left alone.
+    /// Any state. A resource that has the new content already is not written.
     None,
-    /// Nothing was said; enough only if the resource does not exist.
+    /// The operator stated no precondition, which is accepted only if the resource does not exist.
     Unstated,
     /// The resource does not exist.
     Absent,
     /// The resource was last changed at this revision.
     At(Revision),
-    /// The resource was not changed after this revision; content that is there already is left
-    /// alone.
+    /// The resource was not changed after this revision. A resource that has the new content already
+    /// is not written.
     NotAfter(Revision),
 }
 
@@ -94,12 +94,12 @@
     pub key: ResourceKey,
     /// Its new content; `None` deletes it.
     pub resource: Option<Resource>,
-    /// What the operator saw.
+    /// The state that the operator expects the resource to have.
     pub precondition: Precondition,
 }
 
 impl Change {
-    /// What the change does to a configuration.
+    /// Returns the effect of the change on a configuration.
     pub fn effect(&self, configuration: &Configuration) -> Effect {
         match (&self.resource, configuration.get(&self.key)) {
             (None, _) => Effect::Delete,
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Whether the change has nothing to write.
-    pub(super) fn is_idle(&self, configuration: &Configuration) -> bool {
-        let may_idle = matches!(
+    /// Returns whether the change writes nothing.
+    pub(super) fn is_no_op(&self, configuration: &Configuration) -> bool {
+        let skips_unchanged = matches!(
             self.precondition,
             Precondition::None | Precondition::NotAfter(_)
         );
-        may_idle && self.effect(configuration) == Effect::Unchanged
+        skips_unchanged && self.effect(configuration) == Effect::Unchanged
     }
 }
 
@@ -133,7 +133,7 @@
     Unchanged,
 }
 
-/// The configuration after the changes, if every rule allows them.
+/// Returns the configuration after the changes, if every rule allows them.
 pub(super) fn apply(
     snapshot: &Snapshot,
     changes: &[Change],
@@ -151,7 +151,7 @@
     for change in changes {
         check_scope(snapshot, &configuration, change, tenant)?;
         check_precondition(snapshot, change)?;
-        check_unused(&configuration, change)?;
+        check_not_referenced(&configuration, change)?;
     }
     configuration.validate()?;
     Ok(configuration)
@@ -186,7 +186,7 @@
     })
 }
 
-fn check_unused(after: &Configuration, change: &Change) -> Result<(), ChangeError> {
+fn check_not_referenced(after: &Configuration, change: &Change) -> Result<(), ChangeError> {
     if change.resource.is_some() {
         return Ok(());
     }
@@ -198,8 +198,8 @@
     Err(ChangeError::InUse { key, referrers })
 }
 
-/// A tenant's account changes only what is and stays its tenant's, and never limits or the pools
-/// of others through a policy.
+/// Checks that a tenant's account changes only resources that belong to its tenant before and after
+/// the change, and that it changes neither limits nor other tenants' pools through a policy.
 fn check_scope(
     snapshot: &Snapshot,
     after: &Configuration,
@@ -220,14 +220,14 @@
     let is_allowed = change.key.kind != ResourceKind::Tenant
         && owned_before
         && owned_after
-        && policy_stays_inside(after, change, tenant);
+        && policy_affects_only(after, change, tenant);
     if is_allowed {
         return Ok(());
     }
     Err(ChangeError::OutOfScope(change.key.clone()))
 }
 
-fn policy_stays_inside(after: &Configuration, change: &Change, tenant: &TenantName) -> bool {
+fn policy_affects_only(after: &Configuration, change: &Change, tenant: &TenantName) -> bool {
     let Some(Resource::Policy(policy)) = &change.resource else {
         return true;
     };
--- a/crates/node/src/configuration/head.rs
+++ b/crates/node/src/configuration/head.rs
@@ -1,4 +1,4 @@
-//! The head of the configuration: which changes were made last, by whom and when.
+//! The head of the configuration: the most recent changes, with their authors and times.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -8,13 +8,13 @@
 
 use super::change::Change;
 
-/// Changes that the head remembers; the audit trail and the way to find out whether a write whose
+/// Number of changes that the head lists. They are the audit trail, and show whether a write whose
 /// answer was lost took effect.
-const RECENT_CHANGES: usize = 64;
-/// Resources that a record lists by name.
-const MAX_LISTED: usize = 16;
+const MAX_RECENT_CHANGES: usize = 64;
+/// Maximum number of resources that a record lists by name.
+const MAX_LISTED_RESOURCES: usize = 16;
 
-/// Who makes a change.
+/// The author of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Author {
     /// The account.
@@ -43,18 +43,18 @@
 }
 
 impl ChangeRecord {
-    /// A record of changes that begin now, with a new identifier.
+    /// Creates a record of changes made now, with a new identifier.
     pub fn new(author: &Author, changes: &[Change]) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let millis = now.map_or(0, |elapsed| elapsed.as_millis());
-        let listed = changes.iter().take(MAX_LISTED);
+        let listed = changes.iter().take(MAX_LISTED_RESOURCES);
         Self {
             id: format!("{:032x}", rand::random::<u128>()),
             account: author.account.clone(),
             tenant: author.tenant.clone(),
             at_unix_millis: u64::try_from(millis).unwrap_or(u64::MAX),
             resources: listed.map(|change| change.key.to_string()).collect(),
-            more: changes.len().saturating_sub(MAX_LISTED),
+            more: changes.len().saturating_sub(MAX_LISTED_RESOURCES),
         }
     }
 }
@@ -62,18 +62,19 @@
 /// The value of the head key.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct Head {
-    /// The least revision that the configuration counts as; a restored store gives out lower ones again.
+    /// Lower bound of the configuration's revision; a restored store assigns lower revisions again.
     #[serde(default)]
     pub(super) least_revision: u64,
     recent_changes: Vec<ChangeRecord>,
 }
 
 impl Head {
-    /// The head with one more change, of a configuration that counts as `least_revision` at least.
-    pub(super) fn with(&self, record: &ChangeRecord, least_revision: u64) -> Self {
+    /// Returns the head with one more change; the configuration's revision is then at least
+    /// `least_revision`.
+    pub(super) fn with_change(&self, record: &ChangeRecord, least_revision: u64) -> Self {
         let mut recent_changes = self.recent_changes.clone();
         recent_changes.push(record.clone());
-        let excess = recent_changes.len().saturating_sub(RECENT_CHANGES);
+        let excess = recent_changes.len().saturating_sub(MAX_RECENT_CHANGES);
         recent_changes.drain(..excess);
         Self {
             least_revision,
@@ -81,12 +82,12 @@
         }
     }
 
-    pub(super) fn contains(&self, id: &str) -> bool {
+    pub(super) fn contains_change(&self, id: &str) -> bool {
         self.recent_changes.iter().any(|record| record.id == id)
     }
 
-    /// Whether this is the last change that was made.
-    pub(super) fn ends_with(&self, id: &str) -> bool {
+    /// Returns whether the last change in the list has this identifier.
+    pub(super) fn is_last_change(&self, id: &str) -> bool {
         self.recent_changes
             .last()
             .is_some_and(|record| record.id == id)
--- a/crates/node/src/configuration/headers.rs
+++ b/crates/node/src/configuration/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of an HTTP request, as policies ask for them.
+//! The headers of an HTTP request, as policies read them.
 
 use actix_web::http::header::HeaderMap;
 use tansyhall_policy::Headers;
@@ -8,7 +8,7 @@
 pub struct RequestHeaders<'a>(pub &'a HeaderMap);
 
 impl Headers for RequestHeaders<'_> {
-    /// Compares names instead of asking the map, which would allocate a name for each lookup.
+    /// Compares the names one by one, because a lookup in the map would allocate a name.
     fn get(&self, name: &str) -> Option<&str> {
         let mut headers = self.0.iter();
         let (_, value) = headers.find(|(key, _)| key.as_str() == name)?;
--- a/crates/node/src/configuration/held.rs
+++ b/crates/node/src/configuration/held.rs
@@ -1,5 +1,5 @@
-//! The newest configuration that this node holds: validated, ready to be put in force and to be
-//! pulled by peers.
+//! The newest configuration that this node holds: validated, and ready to be put in force and pulled
+//! by peers.
 
 use std::sync::Arc;
 
@@ -11,51 +11,54 @@
 use super::in_force::InForce;
 use crate::state::Node;
 
-/// The newest configuration, as it travels and ready to route by.
-pub struct Held {
+/// The newest configuration, both encoded for peers and compiled for routing.
+pub struct HeldConfiguration {
     history: History,
-    ready: Arc<InForce>,
+    compiled: Arc<InForce>,
 }
 
-/// A configuration that was refused as a whole; the last good one stays.
+/// A configuration was refused as a whole; the last valid one is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused;
+pub struct ConfigurationRefused;
 
-impl Default for Held {
+impl Default for HeldConfiguration {
     fn default() -> Self {
         Self {
             history: History::new(SpreadSettings::default().max_deltas),
-            ready: Arc::default(),
+            compiled: Arc::default(),
         }
     }
 }
 
-impl Held {
-    /// What a peer that holds `held_revision` is given.
+impl HeldConfiguration {
+    /// Returns the answer to a pull of a peer that holds `held_revision`.
     pub fn answer(&self, held_revision: u64) -> PullBody {
         self.history.answer(held_revision)
     }
 
-    /// The revision held; zero for none.
+    /// Returns the revision held, or zero if there is none.
     pub fn revision(&self) -> u64 {
         self.history.newest().revision
     }
 }
 
-/// Holds a configuration if it is newer than the one held and validates.
-pub fn hold(node: &Node, configuration: Configuration) -> Result<(), Refused> {
-    if configuration.revision <= node.held.lock().revision() {
+/// Replaces the configuration held if the new one is newer. Fails if the new one is invalid.
+pub fn hold_if_newer(
+    node: &Node,
+    configuration: Configuration,
+) -> Result<(), ConfigurationRefused> {
+    if configuration.revision <= node.held_configuration.lock().revision() {
         return Ok(());
     }
     let revision = configuration.revision;
-    let Some(document) = encode(&configuration) else {
-        return refuse(node, revision, "it does not encode");
+    let Some(document) = encode_document(&configuration) else {
+        return refuse(node, revision, "it cannot be encoded");
     };
     match InForce::new(configuration) {
-        Ok(ready) => {
-            let mut held = node.held.lock();
+        Ok(compiled) => {
+            let mut held = node.held_configuration.lock();
             if held.history.push(document) {
-                held.ready = Arc::new(ready);
+                held.compiled = Arc::new(compiled);
             }
             Ok(())
         }
@@ -63,31 +66,31 @@
     }
 }
 
-fn refuse(node: &Node, revision: u64, reason: &str) -> Result<(), Refused> {
+fn refuse(node: &Node, revision: u64, reason: &str) -> Result<(), ConfigurationRefused> {
     node.metrics.configuration_refused.inc();
-    log::error!("configuration revision {revision} is refused: {reason}");
-    Err(Refused)
+    log::error!("refused configuration revision {revision}: {reason}");
+    Err(ConfigurationRefused)
 }
 
-/// Puts the configuration held in force, unless it is older than the one in force; returns the
-/// revision in force afterwards.
+/// Puts the configuration held in force if it is newer than the one in force, and returns the revision
+/// in force afterwards.
 pub fn put_held_in_force(node: &Node) -> u64 {
-    let ready = Arc::clone(&node.held.lock().ready);
-    let present = node.in_force.load().configuration.revision;
-    let revision = ready.configuration.revision;
-    if revision <= present {
-        return present;
+    let compiled = Arc::clone(&node.held_configuration.lock().compiled);
+    let revision_in_force = node.in_force.load().configuration.revision;
+    let revision = compiled.configuration.revision;
+    if revision <= revision_in_force {
+        return revision_in_force;
     }
-    node.in_force.store(ready);
+    node.in_force.store(compiled);
     let gauge = &node.metrics.configuration_revision;
     gauge.set(i64::try_from(revision).unwrap_or(i64::MAX));
     log::info!("configuration revision {revision} is in force");
     revision
 }
 
-/// Takes what a peer answered to a pull.
-pub fn take_answer(node: &Node, answer: PullAnswer) -> PullOutcome {
-    let held_revision = node.held.lock().revision();
+/// Holds the configuration of a peer's answer to a pull, if it is valid.
+pub fn apply_pull_answer(node: &Node, answer: PullAnswer) -> PullOutcome {
+    let held_revision = node.held_configuration.lock().revision();
     let document = match answer.body {
         PullBody::Current { revision } if revision <= held_revision => {
             return PullOutcome::Held(Mark {
@@ -96,26 +99,32 @@
             });
         }
         PullBody::Current { .. } => return PullOutcome::Failed,
-        PullBody::Delta(delta) => node.held.lock().history.newest().apply(&delta).ok(),
+        PullBody::Delta(delta) => node
+            .held_configuration
+            .lock()
+            .history
+            .newest()
+            .apply(&delta)
+            .ok(),
         PullBody::Snapshot(document) => Some(document),
     };
     let Some(document) = document else {
         return PullOutcome::Failed;
     };
     let revision = document.revision;
-    let Some(configuration) = decode(&document) else {
+    let Some(configuration) = decode_document(&document) else {
         return PullOutcome::Refused { revision };
     };
-    match hold(node, configuration) {
+    match hold_if_newer(node, configuration) {
         Ok(()) => PullOutcome::Held(Mark {
             revision,
             confirmation_age: answer.confirmation_age,
         }),
-        Err(Refused) => PullOutcome::Refused { revision },
+        Err(ConfigurationRefused) => PullOutcome::Refused { revision },
     }
 }
 
-fn encode(configuration: &Configuration) -> Option<Document> {
+fn encode_document(configuration: &Configuration) -> Option<Document> {
     let mut document = Document {
         revision: configuration.revision,
         ..Document::default()
@@ -130,7 +139,7 @@
     Some(document)
 }
 
-fn decode(document: &Document) -> Option<Configuration> {
+fn decode_document(document: &Document) -> Option<Configuration> {
     let mut configuration = Configuration {
         revision: document.revision,
         ..Configuration::default()
--- a/crates/node/src/configuration/in_force.rs
+++ b/crates/node/src/configuration/in_force.rs
@@ -6,13 +6,13 @@
 use tansyhall_core::{ModelName, ServiceName, TenantName};
 use tansyhall_policy::{PoolBounds, Program, TenantLimits};
 
-/// A validated configuration, ready to route by.
+/// A validated configuration with its compiled policies, by which requests are routed.
 #[derive(Debug, Clone, Default)]
 pub struct InForce {
     /// The resources.
     pub configuration: Configuration,
     programs: Programs,
-    fallback: Arc<Program>,
+    default_program: Arc<Program>,
 }
 
 impl InForce {
@@ -22,20 +22,20 @@
         Ok(Self {
             configuration,
             programs,
-            fallback: Arc::default(),
+            default_program: Arc::default(),
         })
     }
 
-    /// The program that classifies a service's requests.
+    /// Returns the program that classifies a service's requests.
     pub fn program(&self, service: &ServiceName) -> Arc<Program> {
         let service = self.configuration.services.get(service);
         let policy = service.and_then(|service| service.policy.as_ref());
         let program = policy.and_then(|policy| self.programs.get(policy));
-        Arc::clone(program.unwrap_or(&self.fallback))
+        Arc::clone(program.unwrap_or(&self.default_program))
     }
 
-    /// Limits of a tenant for requests of a service: each one from the service's policy, or else
-    /// from the tenant's resource.
+    /// Returns the limits of a tenant for requests of a service. Each limit comes from the service's
+    /// policy, or else from the tenant's resource.
     pub fn tenant_limits(&self, service: &ServiceName, tenant: &TenantName) -> TenantLimits {
         let own = self.configuration.tenants.get(tenant);
         let own = own.map(|tenant| tenant.limits).unwrap_or_default();
@@ -48,13 +48,14 @@
         }
     }
 
-    /// Bounds of a pool that the policy of its service sets, beside those of its resource.
+    /// Returns the bounds that the policy of a pool's service sets for the pool, in addition to those
+    /// of the pool's resource.
     pub fn pool_bounds(&self, pool: &Pool) -> PoolBounds {
         let program = self.program(&pool.service);
         program.pools().get(&pool.name).cloned().unwrap_or_default()
     }
 
-    /// Pools that load a model.
+    /// Returns the pools that load a model.
     pub fn pools_of_model<'a>(&'a self, model: &'a ModelName) -> impl Iterator<Item = &'a Pool> {
         self.configuration
             .pools
@@ -62,7 +63,7 @@
             .filter(move |pool| pool.model.as_ref() == Some(model))
     }
 
-    /// Pools of a service.
+    /// Returns the pools of a service.
     pub fn pools_of_service<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -73,7 +74,7 @@
             .filter(move |pool| pool.service == *service)
     }
 
-    /// The application whose path prefix is the longest that `path` starts with.
+    /// Returns the application with the longest path prefix that `path` starts with.
     pub fn application(&self, path: &str) -> Option<&Service> {
         let matches = |service: &&Service| {
             service.kind == ServiceKind::Application
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration: how it is changed in the platform's store, how a node follows it there or
-//! takes it from its peers, and the tables that requests are routed by.
+//! The configuration: changes in the platform's store, following it there or pulling it from peers,
+//! and the tables by which requests are routed.
 
 pub mod change;
 pub mod head;
@@ -12,7 +12,9 @@
 pub use change::{Change, ChangeError, Effect, Precondition};
 pub use head::{Author, ChangeRecord};
 pub use headers::RequestHeaders;
-pub use held::{hold, put_held_in_force, take_answer, Held, Refused};
+pub use held::{
+    apply_pull_answer, hold_if_newer, put_held_in_force, ConfigurationRefused, HeldConfiguration,
+};
 pub use in_force::InForce;
-pub use store::{Committed, ConfigurationStore, Snapshot};
+pub use store::{CommittedChange, ConfigurationStore, Snapshot};
 pub use watcher::ConfigurationWatcher;
--- a/crates/node/src/configuration/store.rs
+++ b/crates/node/src/configuration/store.rs
@@ -1,15 +1,15 @@
 //! Changes of the configuration in the platform's store.
 //!
 //! Each resource is a key. Every change also rewrites one head key and is conditional on the
-//! head's revision, so that the whole configuration is validated against exactly what it will be
-//! in force with. The head lists the recent
-//! changes with account and time: a writer whose answer was lost
-//! reads it back, and when its identifier is missing rewrites the head, after which the lost write
-//! can never take effect.
+//! head's revision, so that the whole configuration is validated in exactly the state in which it
+//! will be in force. The head lists the recent changes with account and time. A writer whose answer
+//! was lost reads the head back. If the identifier of its change is missing there, it rewrites the
+//! head, after which the lost write can never take effect.
 //!
-//! The configuration's revision is that of the head, unless the store was restored from an older copy and
-//! gives out revisions again that nodes have heard of: the head then says what it counts as instead, so that a change
-//! is newer than all that the node which makes it has held.
+//! The configuration's revision is that of the head, unless the store was restored from an older
+//! copy and assigns revisions again that nodes have already received. The head then states a higher
+//! revision for the configuration, so that a change is newer than every configuration that the node
+//! making the change has held.
 
 use std::collections::HashMap;
 
@@ -24,15 +24,15 @@
 pub const CONFIGURATION_PREFIX: &str = "/tansyhall/config/";
 const HEAD_KEY: &str = "/tansyhall/config/head";
 const RESOURCE_PREFIX: &str = "/tansyhall/config/resources/";
-/// Tries when other operators' changes come in between.
-const MAX_TRIES: usize = 8;
+/// Attempts to write to the store while other operators' changes come in between.
+const MAX_ATTEMPTS: usize = 8;
 
 /// The configuration with the revision of each resource.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
     /// The resources.
     pub configuration: Configuration,
-    /// Revision of each resource's last change.
+    /// The revision of each resource's last change.
     pub revisions: HashMap<ResourceKey, Revision>,
     head: Head,
     head_revision: Option<Revision>,
@@ -40,13 +40,13 @@
 
 /// A change that took effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Committed {
-    /// The revision at which it did. Absent if the store's answer was lost and another change came
-    /// after it, so that no entity tag can be given that speaks for this change alone.
+pub struct CommittedChange {
+    /// The revision at which it took effect. `None` if the store's answer was lost and another change
+    /// came after it, so that there is no entity tag that identifies this change alone.
     pub revision: Option<Revision>,
-    /// Resources written or deleted.
+    /// Number of resources written or deleted.
     pub changed: usize,
-    /// Whether the store's answer was lost and the change was found by reading it back.
+    /// Whether the store's answer was lost and the change was found by reading the head back.
     pub read_back: bool,
 }
 
@@ -74,12 +74,12 @@
         Ok(snapshot)
     }
 
-    /// The last changes, the oldest first.
+    /// Returns the recent changes, the oldest first.
     pub fn records(&self) -> &[ChangeRecord] {
         self.head.records()
     }
 
-    /// The store's revision of the last change; zero if there was none.
+    /// Returns the store's revision of the last change, or zero if there was none.
     pub fn store_revision(&self) -> Revision {
         self.head_revision.unwrap_or_default()
     }
@@ -110,14 +110,15 @@
         Snapshot::decode(&self.store.range(CONFIGURATION_PREFIX).await?)
     }
 
-    /// Reads the store's revision of the last change alone; zero if there was none.
+    /// Reads only the store's revision of the last change; zero if there was none.
     pub async fn read_revision(&self) -> Result<Revision, StoreError> {
         let range = self.store.range(HEAD_KEY).await?;
         let head = range.entries.iter().find(|entry| entry.key == HEAD_KEY);
         Ok(head.map_or(Revision::default(), |entry| entry.modified))
     }
 
-    /// Checks changes against the configuration without making them; returns what each would do.
+    /// Checks changes against the configuration without making them, and returns the effect that each
+    /// would have.
     pub async fn dry_run(
         &self,
         author: &Author,
@@ -131,21 +132,21 @@
         Ok(effects.collect())
     }
 
-    /// Makes all changes at one revision, or none. The configuration is newer then than the one with
-    /// `held_revision`, the newest that the node holds.
+    /// Makes all changes at one revision, or none. The changed configuration is newer than the one
+    /// with `held_revision`, the newest that the node holds.
     pub async fn change(
         &self,
         author: &Author,
         changes: &[Change],
         held_revision: u64,
-    ) -> Result<Committed, ChangeError> {
+    ) -> Result<CommittedChange, ChangeError> {
         let record = ChangeRecord::new(author, changes);
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let snapshot = self.read().await.map_err(ChangeError::NotApplied)?;
             change::apply(&snapshot, changes, author.tenant.as_ref())?;
-            let is_effective = |change: &&Change| !change.is_idle(&snapshot.configuration);
+            let is_effective = |change: &&Change| !change.is_no_op(&snapshot.configuration);
             let effective: Vec<&Change> = changes.iter().filter(is_effective).collect();
-            let committed = |revision, read_back| Committed {
+            let committed = |revision, read_back| CommittedChange {
                 revision,
                 changed: effective.len(),
                 read_back,
@@ -156,8 +157,8 @@
             }
             let least_revision = snapshot.configuration.revision.max(held_revision);
             let least_revision = least_revision.saturating_add(1);
-            let head = snapshot.head.with(&record, least_revision);
-            let transaction = commit(&snapshot, &head, &effective)?;
+            let head = snapshot.head.with_change(&record, least_revision);
+            let transaction = change_transaction(&snapshot, &head, &effective)?;
             match self.store.transact(&transaction).await {
                 Ok(outcome) if outcome.succeeded => {
                     return Ok(committed(Some(outcome.revision), false))
@@ -165,9 +166,9 @@
                 Ok(_) => continue,
                 Err(StoreError::Unknown(cause)) => {
                     let key = &effective.first().copied().unwrap_or(&changes[0]).key;
-                    match self.resolve(&record.id, key, &cause).await? {
-                        Resolution::Made(revision) => return Ok(committed(revision, true)),
-                        Resolution::NeverMade => continue,
+                    match self.resolve_lost_answer(&record.id, key, &cause).await? {
+                        Resolution::Applied(revision) => return Ok(committed(revision, true)),
+                        Resolution::NeverApplied => continue,
                     }
                 }
                 Err(error) => return Err(ChangeError::NotApplied(error)),
@@ -176,9 +177,9 @@
         Err(ChangeError::Contended)
     }
 
-    /// Finds out whether a change whose answer was lost took effect; if not, makes sure that it
+    /// Determines whether a change whose answer was lost took effect. If it did not, ensures that it
     /// never will.
-    async fn resolve(
+    async fn resolve_lost_answer(
         &self,
         id: &str,
         key: &ResourceKey,
@@ -187,14 +188,14 @@
         let unknown = |error: StoreError| {
             ChangeError::Unknown(StoreError::Unknown(format!("{cause}; then {error}")))
         };
-        for _ in 0..MAX_TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let snapshot = self.read().await.map_err(unknown)?;
-            if snapshot.head.contains(id) {
-                return Ok(Resolution::Made(revision_of(&snapshot, id, key)));
+            if snapshot.head.contains_change(id) {
+                return Ok(Resolution::Applied(revision_of(&snapshot, id, key)));
             }
-            let seal = seal(&snapshot).map_err(unknown)?;
-            match self.store.transact(&seal).await {
-                Ok(outcome) if outcome.succeeded => return Ok(Resolution::NeverMade),
+            let head_rewrite = rewrite_head(&snapshot).map_err(unknown)?;
+            match self.store.transact(&head_rewrite).await {
+                Ok(outcome) if outcome.succeeded => return Ok(Resolution::NeverApplied),
                 Ok(_) | Err(StoreError::Unknown(_)) => continue,
                 Err(error) => return Err(unknown(error)),
             }
@@ -205,16 +206,16 @@
     }
 }
 
-/// What became of a change whose answer was lost.
+/// The outcome of a change whose answer was lost.
 enum Resolution {
-    Made(Option<Revision>),
-    NeverMade,
+    Applied(Option<Revision>),
+    NeverApplied,
 }
 
-/// The revision of a change that is in the head. The key's own revision speaks for the change only
-/// while no other change came after it.
+/// Returns the revision of a change that the head lists. The key's own revision is the change's only
+/// if no other change came after it.
 fn revision_of(snapshot: &Snapshot, id: &str, key: &ResourceKey) -> Option<Revision> {
-    if !snapshot.head.ends_with(id) {
+    if !snapshot.head.is_last_change(id) {
         return None;
     }
     let written = snapshot.revisions.get(key).copied();
@@ -237,7 +238,7 @@
     })
 }
 
-fn seal(snapshot: &Snapshot) -> Result<Transaction, StoreError> {
+fn rewrite_head(snapshot: &Snapshot) -> Result<Transaction, StoreError> {
     let operations = vec![put_head(&snapshot.head)?];
     Ok(Transaction {
         compare: vec![head_condition(snapshot)],
@@ -245,7 +246,7 @@
     })
 }
 
-fn commit(
+fn change_transaction(
     snapshot: &Snapshot,
     head: &Head,
     changes: &[&Change],
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
-//! The node process: wiring only. It serves callers and operators over HTTP, keeps the
-//! configuration in force, and holds the authority over some pools; every decision is taken by a
-//! crate without sockets, clocks or threads.
+//! The node process. It serves callers and operators over HTTP, keeps the newest configuration in
+//! force, and holds the authority over some pools. This crate only connects the parts: decisions are
+//! made by crates without sockets, clocks or threads.
 
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a node, in Prometheus text form.
+//! Counters and gauges of a node, rendered in the Prometheus text format.
 
 use crate::at_most_once::JournalMetrics;
 use crate::peers::PeerMetrics;
@@ -9,25 +9,25 @@
 /// Every counter and gauge of a node.
 pub struct Metrics {
     registry: Registry,
-    /// Requests answered, by verdict.
+    /// Answered requests, by verdict.
     pub requests: IntCounterVec,
     /// Attempts at back ends, by outcome.
     pub attempts: IntCounterVec,
-    /// Chunks that did not match their request; each ended an attempt.
+    /// Chunks that belonged to another request; each one ended an attempt.
     pub mismatches: IntCounter,
     /// Requests resumed at another engine.
     pub resumed: IntCounter,
-    /// Retries asked of the retry budget, by its answer.
+    /// Retries requested from the retry budget, by its decision.
     pub retries: IntCounterVec,
     /// Circuit breakers opened.
     pub breakers_opened: IntCounter,
     /// Requests answered with an error before any attempt, by reason.
     pub refused: IntCounterVec,
-    /// Callers that went away before their answers were whole.
+    /// Callers that disconnected before their answers were complete.
     pub callers_gone: IntCounter,
-    /// Callers that stopped reading their answers and were cut off.
+    /// Callers that were disconnected because they stopped reading their answers.
     pub callers_stalled: IntCounter,
-    /// Requests that passed their deadlines before they ended.
+    /// Requests that had not ended by their deadlines.
     pub late: IntCounter,
     /// Requests in progress.
     pub in_progress: IntGauge,
@@ -35,31 +35,31 @@
     pub configuration_revision: IntGauge,
     /// Configurations refused because they do not validate.
     pub configuration_refused: IntCounter,
-    /// Changes that operators asked for through this node, by outcome.
+    /// Changes that operators requested through this node, by outcome.
     pub changes: IntCounterVec,
     /// Orders sent to engines, by reply.
     pub orders: IntCounterVec,
-    /// Pools this node has authority over.
+    /// Pools over which this node has authority.
     pub pools_held: IntGauge,
-    /// Whether this node believes in its lease: 1 or 0.
+    /// Whether this node considers its lease valid: 1 or 0.
     pub lease_valid: IntGauge,
-    /// Pools this node has acquired, counted each time.
+    /// Pools that this node has acquired; a pool counts each time it is acquired.
     pub pools_acquired: IntCounter,
     /// Rounds of a held pool in which no order was sent because the lease was not valid.
     pub orders_withheld: IntCounter,
-    /// Changes given up because requests did not end in time.
+    /// Changes given up because requests of a draining engine did not end in time.
     pub changes_given_up: IntCounter,
     /// Rollouts that stopped because an engine crashed on the same load again.
     pub rollouts_stopped: IntCounter,
     /// Failed calls to the platform.
     pub platform_errors: IntCounter,
-    /// What passes between nodes.
+    /// Traffic between nodes.
     pub peers: PeerMetrics,
-    /// Choices of engines for completions, by placement or refusal.
+    /// Choices of engines for completions, by placement or reason of refusal.
     pub choices: IntCounterVec,
     /// Actual over predicted time of answers that were not interrupted.
     pub prediction_ratio: Histogram,
-    /// KV caches handed from prefill to decode engines, by outcome.
+    /// KV caches transferred from prefill to decode engines, by outcome.
     pub kv_transfers: IntCounterVec,
     /// Load reports of engines, by outcome.
     pub load_reports: IntCounterVec,
@@ -67,7 +67,7 @@
     pub journal: JournalMetrics,
 }
 
-/// Upper ends of the buckets of [`Metrics::prediction_ratio`].
+/// Upper bounds of the buckets of [`Metrics::prediction_ratio`].
 const RATIO_BUCKETS: [f64; 10] = [0.25, 0.5, 0.75, 0.9, 1.0, 1.1, 1.33, 2.0, 4.0, 8.0];
 
 impl Metrics {
@@ -166,7 +166,7 @@
         })
     }
 
-    /// The metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn render(&self) -> Result<String, prometheus::Error> {
         TextEncoder::new().encode_to_string(&self.registry.gather())
     }
--- a/crates/node/src/peers/actor.rs
+++ b/crates/node/src/peers/actor.rs
@@ -1,5 +1,5 @@
-//! The actor that runs membership and the spread of configurations: it hands them datagrams,
-//! pulls and the time, and carries out what they decide.
+//! The actor that runs membership and the distribution of configurations: it passes datagrams,
+//! answers to pulls and the time to them, and carries out the actions that they return.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,21 +26,22 @@
 use crate::configuration;
 use crate::state::Node;
 
-/// The timer runs this many times in a probe period.
-const TICKS_PER_PROBE: u32 = 20;
-/// A probe is tried through others after this fraction of its period.
+/// Ticks of the actor's timer in one probe period.
+const TICKS_PER_PROBE_PERIOD: u32 = 20;
+/// Fraction of the probe period after which an unanswered probe is sent through other members.
 const PROBE_TIMEOUT_FRACTION: f64 = 0.3;
-/// Longest age of the snapshot and the gauges; a change of a member's state renews them at once.
-const PUBLISH_PERIOD: Duration = Duration::from_millis(250);
-/// Every state a member can be in, for the gauges.
-const STATES: [MemberState; 4] = [
+/// Interval at which the snapshot and the gauges are updated; a change of a member's state updates
+/// them at the next tick.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
+/// Every state of a member, for the gauges.
+const ALL_STATES: [MemberState; 4] = [
     MemberState::Alive,
     MemberState::Suspect,
     MemberState::Leaving,
     MemberState::Dead,
 ];
 
-/// The actor.
+/// The actor that runs membership and the distribution of configurations.
 pub struct PeersActor {
     pub(super) node: Arc<Node>,
     pub(super) membership: Membership,
@@ -48,13 +49,13 @@
     spread_settings: dissemination::SpreadSettings,
     transport: Option<PeerTransport>,
     socket: Option<Rc<UdpSocket>>,
-    list: MachineList,
-    schedule: MachineSchedule,
-    publish_at: Timestamp,
+    machine_list: MachineList,
+    machine_schedule: MachineSchedule,
+    next_publish_at: Timestamp,
 }
 
 impl PeersActor {
-    /// An actor that speaks for a node which is reached at these addresses.
+    /// Creates the actor of a node that other nodes reach at `addresses`.
     pub fn new(node: Arc<Node>, transport: PeerTransport, addresses: MemberAddresses) -> Self {
         let settings = &node.settings;
         let own = MemberRecord {
@@ -70,9 +71,9 @@
             membership.add_contact(*seed);
         }
         let spread_settings = dissemination::SpreadSettings::default();
-        let schedule = MachineSchedule {
-            period: settings.peer_limits.machines_period,
-            next: Timestamp::default(),
+        let machine_schedule = MachineSchedule {
+            interval: settings.peer_limits.machines_period,
+            next_read_at: Timestamp::default(),
             in_progress: false,
         };
         Self {
@@ -81,9 +82,9 @@
             spread_settings,
             transport: Some(transport),
             socket: None,
-            list: MachineList::new(settings.platform, settings.limits.platform_timeout),
-            schedule,
-            publish_at: Timestamp::default(),
+            machine_list: MachineList::new(settings.platform, settings.limits.platform_timeout),
+            machine_schedule,
+            next_publish_at: Timestamp::default(),
             node,
         }
     }
@@ -92,17 +93,20 @@
         let now = self.node.clock.now();
         let actions = self.membership.tick(now);
         self.carry_out_membership(now, actions, context);
-        self.hear_of_other_zones();
-        let view = self.view(now);
+        self.record_revisions_of_other_zones();
+        let view = self.membership_view(now);
         let actions = self.spread.tick(now, view);
         self.carry_out_spread(now, actions, context);
         self.read_machines(now, context);
         self.publish(now);
     }
 
-    fn view(&self, now: Timestamp) -> View {
+    fn membership_view(&self, now: Timestamp) -> View {
         let own = &self.node.settings.name;
-        let neighbours = self.membership.reachable().filter(|it| it.name != *own);
+        let neighbours = self
+            .membership
+            .reachable()
+            .filter(|record| record.name != *own);
         View {
             is_watcher: self.membership.is_watcher(now),
             is_settled: self.membership.is_settled(now),
@@ -110,8 +114,9 @@
         }
     }
 
-    /// The members that speak for the zone also pull from other zones, should those be ahead.
-    fn hear_of_other_zones(&mut self) {
+    /// On a relay of the zone, records which revisions other zones have, so that newer ones are
+    /// pulled from there.
+    fn record_revisions_of_other_zones(&mut self) {
         if !self.membership.relays().contains(&self.node.settings.name) {
             return;
         }
@@ -134,11 +139,11 @@
     ) {
         for action in actions {
             match action {
-                membership::Action::Send { to, message } => self.send(to, &message),
+                membership::Action::Send { to, message } => self.send_message(to, &message),
                 membership::Action::StateChanged { record, before } => {
-                    self.count_change(record.state);
-                    log_change(&record, before);
-                    self.publish_at = now;
+                    self.count_member_change(record.state);
+                    log_member_change(&record, before);
+                    self.next_publish_at = now;
                 }
                 membership::Action::Heard { sender, from } => {
                     let peer = Peer {
@@ -152,13 +157,15 @@
                     let actions = self.spread.heard(now, &peer, mark);
                     self.carry_out_spread(now, actions, context);
                 }
-                membership::Action::ForeignSender { from } => foreign::note(&self.node, from),
+                membership::Action::ForeignSender { from } => {
+                    foreign::record_foreign_message(&self.node, from)
+                }
                 membership::Action::BackendChanged(mark) => {
-                    log::info!("back end {}: leaving {}", mark.name, mark.is_leaving);
-                    self.publish_at = now;
+                    log::info!("back end {}: leaving = {}", mark.name, mark.is_leaving);
+                    self.next_publish_at = now;
                 }
                 membership::Action::AskedToLeave => {
-                    log::info!("this machine is listed as leaving; other nodes send no new work");
+                    log::info!("the platform lists this machine as leaving; other nodes send it no new work");
                 }
             }
         }
@@ -175,7 +182,7 @@
                 dissemination::Action::Pull {
                     peer,
                     held_revision,
-                } => self.pull(peer, held_revision, context),
+                } => self.start_pull(peer, held_revision, context),
                 dissemination::Action::PutInForce => {
                     let revision = configuration::put_held_in_force(&self.node);
                     let actions = self.spread.in_force(revision);
@@ -185,22 +192,25 @@
                 dissemination::Action::Announce { peers } => {
                     let message = self.membership.notice(now);
                     for peer in peers {
-                        self.send(peer.address, &message);
+                        self.send_message(peer.address, &message);
                     }
                 }
             }
         }
     }
 
-    fn count_change(&self, state: MemberState) {
+    fn count_member_change(&self, state: MemberState) {
         let changes = &self.node.metrics.peers.member_changes;
         changes.with_label_values(&[state_name(state)]).inc();
     }
 
-    fn send(&self, to: SocketAddr, message: &membership::Message) {
+    fn send_message(&self, to: SocketAddr, message: &membership::Message) {
         let metrics = &self.node.metrics.peers;
         let bytes = encode_datagram(message);
-        let sent = self.socket.as_ref().map(|it| it.try_send_to(&bytes, to));
+        let sent = self
+            .socket
+            .as_ref()
+            .map(|socket| socket.try_send_to(&bytes, to));
         if matches!(sent, Some(Ok(_))) {
             let sent_bytes = metrics.datagram_bytes.with_label_values(&["sent"]);
             sent_bytes.inc_by(bytes.len() as u64);
@@ -209,26 +219,26 @@
         }
     }
 
-    fn pull(&self, peer: Peer, held_revision: u64, context: &mut Context<Self>) {
+    fn start_pull(&self, peer: Peer, held_revision: u64, context: &mut Context<Self>) {
         let timeout = self.spread_settings.pull_timeout;
         let node = Arc::clone(&self.node);
-        let pull = pull::pull(node, peer.address, held_revision, timeout);
+        let pull = pull::pull_configuration(node, peer.address, held_revision, timeout);
         let pull = pull.into_actor(self);
         context.spawn(pull.map(move |answer, actor, context| {
-            actor.pull_ended(peer, answer, context);
+            actor.complete_pull(peer, answer, context);
         }));
     }
 
-    fn pull_ended(
+    fn complete_pull(
         &mut self,
         peer: Peer,
         answer: anyhow::Result<PullAnswer>,
         context: &mut Context<Self>,
     ) {
         let outcome = match answer {
-            Ok(answer) => configuration::take_answer(&self.node, answer),
+            Ok(answer) => configuration::apply_pull_answer(&self.node, answer),
             Err(error) => {
-                log::debug!("pull from {}: {error:#}", peer.name);
+                log::debug!("configuration pull from {} failed: {error:#}", peer.name);
                 PullOutcome::Failed
             }
         };
@@ -251,15 +261,18 @@
     fn read_machines(&mut self, now: Timestamp, context: &mut Context<Self>) {
         let is_settled = self.membership.is_settled(now);
         let is_needed = !is_settled || self.membership.is_watcher(now);
-        if self.schedule.in_progress || now < self.schedule.next || !is_needed {
+        if self.machine_schedule.in_progress
+            || now < self.machine_schedule.next_read_at
+            || !is_needed
+        {
             return;
         }
-        self.schedule.in_progress = true;
-        self.schedule.next = now + self.schedule.period;
+        self.machine_schedule.in_progress = true;
+        self.machine_schedule.next_read_at = now + self.machine_schedule.interval;
         let zone = self.node.settings.zone.clone();
-        let fetch = machines::fetch(self.list.clone(), zone).into_actor(self);
+        let fetch = machines::fetch_machines(self.machine_list.clone(), zone).into_actor(self);
         context.spawn(fetch.map(|listed, actor, context| {
-            actor.schedule.in_progress = false;
+            actor.machine_schedule.in_progress = false;
             let Some(listed) = listed else {
                 actor.node.metrics.platform_errors.inc();
                 return;
@@ -271,7 +284,7 @@
         }));
     }
 
-    /// Tells membership what is in force, so that every message says so.
+    /// Passes the revision in force to membership, which states it in every message.
     fn update_mark(&mut self, now: Timestamp) {
         let mark = self.spread.mark(now);
         let mark = ConfigurationMark {
@@ -285,10 +298,10 @@
         self.update_mark(now);
         let follows_store = self.spread.follows_store();
         self.node.peers.set_follows_store(follows_store);
-        if now < self.publish_at {
+        if now < self.next_publish_at {
             return;
         }
-        self.publish_at = now + PUBLISH_PERIOD;
+        self.next_publish_at = now + PUBLISH_INTERVAL;
         self.node.peers.publish(&self.membership);
         let metrics = &self.node.metrics.peers;
         metrics.follows_store.set(follows_store.into());
@@ -298,7 +311,7 @@
         let leaving_backends = self.membership.leaving_backends().count();
         let leaving_backends = i64::try_from(leaving_backends).unwrap_or(i64::MAX);
         metrics.leaving_backends.set(leaving_backends);
-        for state in STATES {
+        for state in ALL_STATES {
             let members = self.membership.members();
             let count = members.filter(|record| record.state == state).count();
             let gauge = metrics.members.with_label_values(&[state_name(state)]);
@@ -314,16 +327,18 @@
         let Some(transport) = self.transport.take() else {
             return;
         };
-        // Both sockets are bound and non-blocking; registering them fails only without a reactor.
-        let socket = UdpSocket::from_std(transport.datagrams).expect("a reactor runs");
-        let listener = TcpListener::from_std(transport.pulls).expect("a reactor runs");
+        // Both sockets are bound and non-blocking, so registering them fails only without a reactor.
+        let socket =
+            UdpSocket::from_std(transport.datagram_socket).expect("a Tokio reactor is running");
+        let listener =
+            TcpListener::from_std(transport.request_listener).expect("a Tokio reactor is running");
         let socket = Rc::new(socket);
         context.add_stream(transport::receive_all(Rc::clone(&socket)));
         self.socket = Some(socket);
         actix_rt::spawn(exchange::serve(Arc::clone(&self.node), listener));
-        let period = self.node.settings.peer_limits.probe_period / TICKS_PER_PROBE;
+        let tick_interval = self.node.settings.peer_limits.probe_period / TICKS_PER_PROBE_PERIOD;
         self.tick(context);
-        context.run_interval(period, Self::tick);
+        context.run_interval(tick_interval, Self::tick);
     }
 }
 
@@ -350,7 +365,7 @@
     }
 }
 
-fn log_change(record: &MemberRecord, before: Option<MemberState>) {
+fn log_member_change(record: &MemberRecord, before: Option<MemberState>) {
     let before = before.map_or("unknown", state_name);
     let state = state_name(record.state);
     let incarnation = record.incarnation.0;
--- a/crates/node/src/peers/foreign.rs
+++ b/crates/node/src/peers/foreign.rs
@@ -1,5 +1,5 @@
-//! Messages of nodes of other fleets. They come where an address was given to another machine, and
-//! are passed over.
+//! Messages from nodes of other fleets. They arrive when an address has been reassigned to another
+//! machine, and are ignored.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,32 +9,33 @@
 
 use crate::state::Node;
 
-/// Shortest time between two log lines.
-const LOG_PERIOD: Duration = Duration::from_secs(10);
+/// Shortest time between two log lines about such messages.
+const MIN_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// When the next log line may be written.
+/// Limits the rate of log lines about messages from other fleets.
 #[derive(Debug, Default)]
-pub struct ForeignLog {
-    due: Mutex<Timestamp>,
+pub struct ForeignLogLimiter {
+    next_line_at: Mutex<Timestamp>,
 }
 
-impl ForeignLog {
-    fn take_turn(&self, now: Timestamp) -> bool {
-        let mut due = self.due.lock();
-        let is_due = now >= *due;
-        if is_due {
-            *due = now + LOG_PERIOD;
+impl ForeignLogLimiter {
+    fn allows_line(&self, now: Timestamp) -> bool {
+        let mut next_line_at = self.next_line_at.lock();
+        let is_allowed = now >= *next_line_at;
+        if is_allowed {
+            *next_line_at = now + MIN_LOG_INTERVAL;
         }
-        is_due
+        is_allowed
     }
 }
 
-/// Counts a message of a node of another fleet, and logs it if none was logged lately.
-pub(super) fn note(node: &Node, from: SocketAddr) {
+/// Counts a message from a node of another fleet, and logs it unless one was logged within
+/// [`MIN_LOG_INTERVAL`].
+pub(super) fn record_foreign_message(node: &Node, from: SocketAddr) {
     let foreign = &node.metrics.peers.foreign;
     foreign.inc();
-    if node.foreign_log.take_turn(node.clock.now()) {
+    if node.foreign_log_limiter.allows_line(node.clock.now()) {
         let count = foreign.get();
-        log::warn!("passed over a message of another fleet's node at {from}; {count} so far");
+        log::warn!("ignored a message from a node of another fleet at {from}; {count} so far");
     }
 }
--- a/crates/node/src/peers/handlers.rs
+++ b/crates/node/src/peers/handlers.rs
@@ -1,4 +1,5 @@
-//! What the peers actor does with messages: datagrams, reads of the store, and the wish to leave.
+//! Messages that the peers actor handles: datagrams, reads of the configuration store, and the order
+//! to announce that this node is leaving.
 
 use actix::{Handler, Message, StreamHandler};
 use tansyhall_config::Configuration;
@@ -6,20 +7,20 @@
 
 use super::actor::PeersActor;
 use super::transport::Datagram;
-use crate::configuration::{self, Refused};
+use crate::configuration::{self, ConfigurationRefused};
 
-/// Announces that this node is leaving.
+/// Orders the actor to announce that this node is leaving.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Leave;
 
-/// The configuration store was read.
+/// The result of reading the configuration store.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub enum StoreRead {
-    /// This is the newest configuration.
+    /// The newest configuration.
     Newest(Box<Configuration>),
-    /// The newest configuration is still this revision.
+    /// The newest configuration still has this revision.
     Unchanged(u64),
 }
 
@@ -57,8 +58,8 @@
             StoreRead::Unchanged(revision) => revision,
             StoreRead::Newest(newest) => {
                 let revision = newest.revision;
-                let held = configuration::hold(&self.node, *newest);
-                if matches!(held, Err(Refused)) {
+                let held = configuration::hold_if_newer(&self.node, *newest);
+                if matches!(held, Err(ConfigurationRefused)) {
                     return;
                 }
                 revision
--- a/crates/node/src/peers/machines.rs
+++ b/crates/node/src/peers/machines.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's list of machines. It lags and its service is rate-limited, so only
-//! the first relay of each zone reads it, and nodes that know no other member yet.
+//! Reads the platform's list of machines. The list lags behind and its service is rate-limited, so
+//! only the first relay of each zone and nodes that know no other member yet read it.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use tansyhall_membership::{KnownBackend, KnownMachine};
 use tansyhall_store::machines::{Machine, MachineKind, MachineList};
 
-/// What the list says.
+/// The machines on the list that matter to this node.
 #[derive(Debug, Default)]
-pub(super) struct Listed {
+pub(super) struct ListedMachines {
     /// Nodes of every zone.
     pub(super) nodes: Vec<KnownMachine>,
     /// Back ends of this node's zone.
     pub(super) backends: Vec<KnownBackend>,
 }
 
-/// Reads the list; absent if it could not be read.
-pub(super) async fn fetch(list: MachineList, zone: ZoneName) -> Option<Listed> {
-    let mut listed = Listed::default();
+/// Reads the list; returns `None` if it could not be read.
+pub(super) async fn fetch_machines(list: MachineList, zone: ZoneName) -> Option<ListedMachines> {
+    let mut listed = ListedMachines::default();
     for machine in list.fetch().await.ok()? {
         if machine.kind == MachineKind::Node {
             listed.nodes.push(known_machine(machine));
@@ -41,10 +41,10 @@
     }
 }
 
-/// When the list is read next.
+/// The schedule of reads of the list.
 #[derive(Debug)]
 pub(super) struct MachineSchedule {
-    pub(super) period: Duration,
-    pub(super) next: tansyhall_core::Timestamp,
+    pub(super) interval: Duration,
+    pub(super) next_read_at: tansyhall_core::Timestamp,
     pub(super) in_progress: bool,
 }
--- a/crates/node/src/peers/metrics.rs
+++ b/crates/node/src/peers/metrics.rs
@@ -1,10 +1,10 @@
-//! Counters and gauges of the talk between nodes.
+//! Counters and gauges of the traffic between nodes.
 
 use std::time::Duration;
 
 use prometheus::{Gauge, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry};
 
-/// What passes between nodes, counted.
+/// Counters and gauges of the traffic between nodes.
 pub struct PeerMetrics {
     /// Members of the zone, by state.
     pub members: IntGaugeVec,
@@ -14,13 +14,14 @@
     pub leaving_backends: IntGauge,
     /// Bytes of datagrams, by direction.
     pub datagram_bytes: IntCounterVec,
-    /// Bytes of configuration pulls, asked for and served, by direction.
+    /// Bytes of the requests that this node sends to peers over TCP, such as configuration pulls, and
+    /// of their answers, by direction.
     pub pull_bytes: IntCounterVec,
-    /// Datagrams that are no message of this protocol.
+    /// Datagrams and requests that do not decode, and requests that were not served in time.
     pub malformed: IntCounter,
-    /// Messages of nodes of other fleets.
+    /// Messages from nodes of other fleets.
     pub foreign: IntCounter,
-    /// Datagrams that the system did not take for sending.
+    /// Datagrams that the operating system did not accept for sending.
     pub unsent: IntCounter,
     /// Configuration pulls by this node, by outcome.
     pub pulls: IntCounterVec,
@@ -28,7 +29,7 @@
     pub pulls_served: IntCounter,
     /// Whether this node follows the configuration store.
     pub follows_store: IntGauge,
-    /// Seconds since the configuration was last known to be the newest; infinite before that.
+    /// Seconds since the configuration was last known to be the newest; infinite before the first time.
     pub staleness_seconds: Gauge,
 }
 
@@ -105,14 +106,14 @@
 }
 
 impl PeerMetrics {
-    /// Milliseconds since the configuration in force was last known to be the newest; absent before
-    /// the first time.
+    /// Returns the milliseconds since the configuration in force was last known to be the newest, or
+    /// `None` before the first time.
     pub fn staleness_millis(&self) -> Option<u64> {
         let age = Duration::try_from_secs_f64(self.staleness_seconds.get()).ok()?;
         u64::try_from(age.as_millis()).ok()
     }
 
-    /// Bytes of every kind that this node has sent to its peers and received from them.
+    /// Returns the bytes of all kinds that this node has sent to its peers and received from them.
     pub fn total_bytes(&self) -> u64 {
         let kinds = [&self.datagram_bytes, &self.pull_bytes];
         let directions = kinds.iter().flat_map(|bytes| {
--- a/crates/node/src/peers/mod.rs
+++ b/crates/node/src/peers/mod.rs
@@ -1,6 +1,6 @@
-//! What passes between nodes: membership datagrams over UDP, requests over TCP. The
-//! decisions are those of the membership, dissemination and journal crates; here are the sockets, the
-//! clock, and what the rest of the node may see.
+//! Traffic between nodes: membership datagrams over UDP, requests over TCP. The membership,
+//! dissemination and journal crates make the decisions; this module holds the sockets, the clock, and
+//! the view of other nodes that the rest of this node reads.
 
 mod actor;
 pub mod exchange;
@@ -13,7 +13,7 @@
 mod view;
 
 pub use actor::PeersActor;
-pub use foreign::ForeignLog;
+pub use foreign::ForeignLogLimiter;
 pub use handlers::{Leave, StoreRead};
 pub use metrics::PeerMetrics;
 pub use transport::PeerTransport;
--- a/crates/node/src/peers/pull.rs
+++ b/crates/node/src/peers/pull.rs
@@ -1,4 +1,4 @@
-//! Configuration pulls: what is asked of a peer, and what this node answers.
+//! Configuration pulls: requests to peers, and this node's answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 use super::exchange;
 use crate::state::Node;
 
-/// Asks a peer for what is newer than `held_revision`.
-pub(super) async fn pull(
+/// Requests the changes newer than `held_revision` from a peer.
+pub(super) async fn pull_configuration(
     node: Arc<Node>,
     peer: SocketAddr,
     held_revision: u64,
@@ -23,15 +23,16 @@
     Ok(decode_pull_answer(&answer)?)
 }
 
-/// What this node has in force that is newer. A node that is still recovering has nothing in force,
-/// and says so, rather than pass on what it has not yet compared with others.
-pub(super) fn answer(node: &Node, held_revision: u64) -> PullAnswer {
+/// Answers a pull with the changes newer than `held_revision`. A node that is still recovering has
+/// nothing in force and answers revision 0, so that it does not distribute a configuration that it
+/// has not yet compared with other nodes.
+pub(super) fn answer_pull(node: &Node, held_revision: u64) -> PullAnswer {
     let staleness = node.metrics.peers.staleness_seconds.get();
     let confirmation_age = Duration::try_from_secs_f64(staleness).unwrap_or(Duration::MAX);
     let is_recovering = node.in_force.load().configuration.revision == 0;
     let body = match is_recovering {
         true => PullBody::Current { revision: 0 },
-        false => node.held.lock().answer(held_revision),
+        false => node.held_configuration.lock().answer(held_revision),
     };
     PullAnswer {
         confirmation_age,
--- a/crates/node/src/peers/transport.rs
+++ b/crates/node/src/peers/transport.rs
@@ -1,4 +1,4 @@
-//! The sockets that other nodes reach this one by: UDP and TCP on the same port.
+//! The sockets at which other nodes reach this one: UDP and TCP on the same port.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
@@ -6,24 +6,28 @@
 use futures_util::stream::{self, Stream};
 use tansyhall_proto::MAX_DATAGRAM_BYTES;
 
-/// Tries to find a port that is free for both protocols, when any port will do.
-const PORT_TRIES: usize = 16;
+/// Attempts to find a port that is free for both protocols if the address has port 0.
+const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// Both sockets, bound.
+/// The UDP socket and the TCP listener, both bound.
 pub struct PeerTransport {
-    pub(super) datagrams: UdpSocket,
-    pub(super) pulls: TcpListener,
+    pub(super) datagram_socket: UdpSocket,
+    pub(super) request_listener: TcpListener,
     address: SocketAddr,
 }
 
 impl PeerTransport {
-    /// Binds both sockets to an address; port 0 takes one that is free for both.
+    /// Binds both sockets to an address; port 0 selects a port that is free for both.
     pub fn bind(address: SocketAddr) -> Result<Self> {
-        let tries = if address.port() == 0 { PORT_TRIES } else { 1 };
-        for attempt in 1..=tries {
+        let attempts = if address.port() == 0 {
+            MAX_PORT_ATTEMPTS
+        } else {
+            1
+        };
+        for attempt in 1..=attempts {
             match Self::bind_once(address) {
                 Ok(transport) => return Ok(transport),
-                Err(error) if attempt == tries => return Err(error),
+                Err(error) if attempt == attempts => return Err(error),
                 Err(_) => {}
             }
         }
@@ -32,32 +36,36 @@
 
     fn bind_once(address: SocketAddr) -> Result<Self> {
         let context = || format!("cannot listen on {address} for peers");
-        let pulls = TcpListener::bind(address).with_context(context)?;
-        let bound = pulls.local_addr().with_context(context)?;
-        let datagrams = UdpSocket::bind(bound).with_context(context)?;
-        datagrams.set_nonblocking(true).with_context(context)?;
-        pulls.set_nonblocking(true).with_context(context)?;
+        let request_listener = TcpListener::bind(address).with_context(context)?;
+        let bound = request_listener.local_addr().with_context(context)?;
+        let datagram_socket = UdpSocket::bind(bound).with_context(context)?;
+        datagram_socket
+            .set_nonblocking(true)
+            .with_context(context)?;
+        request_listener
+            .set_nonblocking(true)
+            .with_context(context)?;
         Ok(Self {
-            datagrams,
-            pulls,
+            datagram_socket,
+            request_listener,
             address: bound,
         })
     }
 
-    /// Where other nodes reach this one.
+    /// Returns the address at which other nodes reach this one.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 }
 
-/// A datagram as it came.
+/// A received datagram, still encoded.
 pub(super) struct Datagram {
     pub(super) from: SocketAddr,
     pub(super) bytes: Vec<u8>,
 }
 
-/// Every datagram that arrives. Errors of the socket, such as an unreachable receiver of an
-/// earlier datagram, are passed over.
+/// Returns a stream of the received datagrams. Errors of the socket, such as one for an unreachable
+/// receiver of an earlier datagram, are ignored.
 pub(super) fn receive_all(
     socket: std::rc::Rc<tokio::net::UdpSocket>,
 ) -> impl Stream<Item = Datagram> {
--- a/crates/node/src/peers/view.rs
+++ b/crates/node/src/peers/view.rs
@@ -1,4 +1,4 @@
-//! Other nodes as the rest of this node may see them: a snapshot that is cheap to read.
+//! The view of other nodes that the rest of this node reads: a snapshot that is cheap to load.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     pub state: &'static str,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Revision of the configuration in force there, as last heard.
+    /// Revision of the configuration in force there, as last reported.
     pub configuration_revision: u64,
     /// Where operators reach it.
     pub admin: SocketAddr,
@@ -31,7 +31,7 @@
     pub takes_work: bool,
 }
 
-/// A member of another zone that may be asked.
+/// A member of another zone to which requests may be sent.
 #[derive(Debug, Clone)]
 pub struct ZoneContact {
     /// Its name.
@@ -40,12 +40,12 @@
     pub peers: SocketAddr,
 }
 
-/// Another zone, as last heard.
+/// Another zone, as last reported.
 #[derive(Debug, Clone, Serialize)]
 pub struct ZoneStatus {
     /// The zone.
     pub zone: ZoneName,
-    /// Members that answer.
+    /// Members of the zone that are reachable.
     pub live_members: u32,
     /// Highest revision of the configuration in force there.
     pub configuration_revision: u64,
@@ -54,28 +54,28 @@
     pub contacts: Vec<ZoneContact>,
 }
 
-/// Members and zones at one moment.
+/// Members and zones at one point in time.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct PeersSnapshot {
-    /// Members of this node's zone, itself and the dead included, by name.
+    /// Members of this node's zone by name, including this node and dead members.
     pub members: Vec<MemberStatus>,
     /// Other zones, by name.
     pub zones: Vec<ZoneStatus>,
-    /// Members that speak for the zone; the first follows the configuration store.
+    /// Members that exchange information with other zones; the first one follows the configuration
+    /// store.
     pub relays: Vec<NodeId>,
-    /// Back ends of the zone that get no new work, because their machines are about to be taken
-    /// away.
+    /// Back ends of the zone that get no new work, because their machines are about to be removed.
     pub leaving_backends: BTreeSet<EngineName>,
 }
 
-/// What the node's threads see of its peers.
+/// The view of other nodes that this node's threads share.
 #[derive(Debug, Default)]
 pub struct PeersView {
     snapshot: ArcSwap<PeersSnapshot>,
     follows_store: AtomicBool,
 }
 
-/// The name of a state in status and metrics.
+/// Returns the name of a state in status answers and metrics.
 pub(super) fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
@@ -86,17 +86,17 @@
 }
 
 impl PeersView {
-    /// The members and zones, as of a moment ago.
+    /// Returns the members and zones as last published, which is a moment ago.
     pub fn snapshot(&self) -> Arc<PeersSnapshot> {
         self.snapshot.load_full()
     }
 
-    /// Whether a back end's machine is about to be taken away, so that it gets no new work.
+    /// Returns whether a back end's machine is about to be removed, so that it gets no new work.
     pub fn is_backend_leaving(&self, name: &EngineName) -> bool {
         self.snapshot.load().leaving_backends.contains(name)
     }
 
-    /// Whether this node should follow the configuration store now.
+    /// Returns whether this node should follow the configuration store now.
     pub fn follows_store(&self) -> bool {
         self.follows_store.load(Ordering::Acquire)
     }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -14,7 +14,7 @@
 use tansyhall_store::{EtcdStore, RateLimit};
 
 use crate::at_most_once::JournalViewManager;
-use crate::authority::{AuthorityKeeper, Release};
+use crate::authority::{AuthorityManager, Release};
 use crate::configuration::{ConfigurationStore, ConfigurationWatcher};
 use crate::dispatch::LoadPoller;
 use crate::limits::{self, DisconnectedTransport};
@@ -22,22 +22,22 @@
 use crate::state::Node;
 use crate::{admin, callers};
 
-/// How often a planned stop looks whether requests are still in progress.
-const DRAIN_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a planned stop checks whether requests are still in progress.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A node that serves.
+/// A running node.
 pub struct RunningNode {
-    /// Its state.
+    /// The node's state.
     pub node: Arc<Node>,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// The address at which operators connect.
     pub admin: SocketAddr,
-    /// Where other nodes connect.
+    /// The address at which other nodes connect.
     pub peers: SocketAddr,
     peers_actor: Addr<PeersActor>,
     handles: Vec<ServerHandle>,
-    authority: Addr<AuthorityKeeper>,
+    authority_manager: Addr<AuthorityManager>,
 }
 
 /// Starts a node on the current actix system.
@@ -75,7 +75,7 @@
     if node.settings.journal.is_replicated() {
         JournalViewManager::new(Arc::clone(&node), store.clone()).start();
     }
-    let authority = AuthorityKeeper::new(Arc::clone(&node), store).start();
+    let authority_manager = AuthorityManager::new(Arc::clone(&node), store).start();
     Ok(RunningNode {
         node,
         callers: callers_address,
@@ -83,7 +83,7 @@
         peers: peers_address,
         peers_actor,
         handles,
-        authority,
+        authority_manager,
     })
 }
 
@@ -91,7 +91,7 @@
     TcpListener::bind(address).with_context(|| format!("cannot listen on {address}"))
 }
 
-/// Serves callers on a listener, on as many threads as the settings name.
+/// Serves callers on a listener, with the number of threads from the settings.
 pub fn serve_callers(listener: TcpListener, node: Arc<Node>) -> std::io::Result<Server> {
     let threads = node.settings.threads;
     let server = HttpServer::new(move || {
@@ -105,7 +105,7 @@
     });
     Ok(server
         .workers(threads)
-        // A caller that closes its side is gone, and its work is cancelled.
+        // A caller that closes its side of the connection no longer waits, so its work is cancelled.
         .h1_allow_half_closed(false)
         .disable_signals()
         .listen(listener)?
@@ -131,18 +131,19 @@
 }
 
 impl RunningNode {
-    /// Refuses new requests, lets those in progress end, then stops.
+    /// Refuses new requests, waits until those in progress have ended or the drain timeout has
+    /// passed, then stops.
     pub async fn stop(self) {
         self.node.begin_stop();
-        // The mailbox refuses only when the actor has ended, and then there is nobody to tell.
+        // Sending fails only when the actor has ended, and then no actor is left to announce it.
         let _ = self.peers_actor.send(Leave).await;
-        log::info!("stopping: new requests are refused");
-        if let Err(error) = self.authority.send(Release).await {
-            log::warn!("the authority is not released: {error}");
+        log::info!("stopping: refusing new requests");
+        if let Err(error) = self.authority_manager.send(Release).await {
+            log::warn!("cannot release the authority over pools: {error}");
         }
         let deadline = self.node.clock.now() + self.node.settings.limits.drain_timeout;
         while self.node.metrics.in_progress.get() > 0 && self.node.clock.now() < deadline {
-            actix_rt::time::sleep(DRAIN_POLL).await;
+            actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         for handle in &self.handles {
             handle.stop(true).await;
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -1,4 +1,4 @@
-//! State that the threads of one node share.
+//! State shared by the threads of a node.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,22 +14,22 @@
 
 use crate::at_most_once::Journal;
 use crate::callers::CallersState;
-use crate::configuration::{Held, InForce};
+use crate::configuration::{HeldConfiguration, InForce};
 use crate::dispatch::{DispatchState, InFlight};
 use crate::limits::TenantLimiter;
 use crate::metrics::Metrics;
-use crate::peers::{ForeignLog, PeersView};
+use crate::peers::{ForeignLogLimiter, PeersView};
 
-/// What a node knows about one engine.
+/// The state of one engine as this node knows it.
 #[derive(Debug, Clone, Default)]
 pub struct EngineStatus {
-    /// The control state as last read.
+    /// The state that the engine last reported; `None` if the last read got no answer.
     pub state: Option<EngineState>,
 }
 
-/// State shared by every thread.
+/// State shared by all threads of a node.
 pub struct Node {
-    /// Settings.
+    /// The node's settings.
     pub settings: NodeSettings,
     /// The node's fleet.
     pub fleet: FleetId,
@@ -37,19 +37,19 @@
     pub clock: MonotonicClock,
     /// The configuration in force.
     pub in_force: ArcSwap<InForce>,
-    /// The newest configuration held, which peers pull from this node.
-    pub held: Mutex<Held>,
-    /// Other nodes as this one sees them.
+    /// The newest configuration that the node holds, which peers pull from it.
+    pub held_configuration: Mutex<HeldConfiguration>,
+    /// The view of other nodes.
     pub peers: PeersView,
-    /// Log lines about nodes of other fleets.
-    pub foreign_log: ForeignLog,
+    /// Limits the rate of log lines about messages from other fleets.
+    pub foreign_log_limiter: ForeignLogLimiter,
     /// This node's part of the at-most-once records.
     pub journal: Journal,
-    /// Counters.
+    /// Counters and gauges.
     pub metrics: Metrics,
-    /// What the callers' side keeps.
+    /// State of the code that serves callers.
     pub callers: CallersState,
-    /// What dispatch to engines keeps.
+    /// State of dispatch to engines.
     pub dispatch: DispatchState,
     /// Limits of tenants.
     pub limits: TenantLimiter,
@@ -58,11 +58,11 @@
 }
 
 impl Node {
-    /// The state of a node that knows nothing yet.
+    /// Creates the state of a node that has no configuration and knows no other node.
     pub fn new(settings: NodeSettings) -> anyhow::Result<Arc<Self>> {
         let clock = MonotonicClock::start();
         let name = settings.name.clone();
-        let incarnation = incarnation();
+        let incarnation = new_incarnation();
         Ok(Arc::new(Self {
             limits: TenantLimiter::new(name, incarnation, &settings.limits, clock.now()),
             callers: CallersState::new(&settings.limits),
@@ -72,26 +72,26 @@
             settings,
             clock,
             in_force: ArcSwap::from_pointee(InForce::default()),
-            held: Mutex::new(Held::default()),
+            held_configuration: Mutex::new(HeldConfiguration::default()),
             peers: PeersView::default(),
-            foreign_log: ForeignLog::default(),
+            foreign_log_limiter: ForeignLogLimiter::default(),
             metrics: Metrics::new()?,
             engines: Mutex::new(HashMap::new()),
             stopping: AtomicBool::new(false),
         }))
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Begins a planned stop: new requests are refused from now on.
+    /// Begins a planned stop; new requests are refused from then on.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
 
-    /// Reads or changes what is known about engines.
+    /// Runs `access` on the known states of the engines.
     pub fn with_engines<R>(
         &self,
         access: impl FnOnce(&mut HashMap<EngineName, EngineStatus>) -> R,
@@ -99,15 +99,15 @@
         access(&mut self.engines.lock())
     }
 
-    /// Counts a request of this node at an engine until the guard is dropped.
+    /// Counts a request of this node as in flight at an engine until the guard is dropped.
     pub fn track_in_flight(self: &Arc<Self>, engine: &EngineName) -> InFlight {
         InFlight::begin(self, engine, 0.0, &[])
     }
 }
 
-/// Tells this run of the node apart from earlier ones: microseconds of the wall clock, so that
-/// later runs have larger numbers.
-fn incarnation() -> u64 {
+/// Returns the incarnation of this run of the process: the wall clock in microseconds, so that later
+/// runs have larger numbers.
+fn new_incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let micros = since_epoch.map_or(0, |elapsed| elapsed.as_micros());
     u64::try_from(micros).unwrap_or(u64::MAX)
--- a/crates/node/tests/configuration_store.rs
+++ b/crates/node/tests/configuration_store.rs
@@ -1,5 +1,7 @@
-//! Operators who change one policy at the same time, over a key-value service that loses answers,
-//! loses writes, and lets lost writes take effect late; judged by the service's own history.
+//! Guards against changes that are reported wrongly or overwrite changes that their author has not
+//! seen. Several operators change one policy concurrently through a key-value service that loses
+//! answers, loses writes, and applies lost writes late. The reported results are compared with the
+//! service's history of writes.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -19,35 +21,35 @@
 
 const POLICY: &str = "shared";
 const POLICY_KEY: &str = "/tansyhall/config/resources/policy/shared";
-/// Ways in which a call may fare; see [`Fate`].
-const FATES: u8 = 8;
+/// Number of equally likely values that are mapped to an [`InjectedOutcome`].
+const OUTCOME_CHOICES: u8 = 8;
 
-/// What happens to one transaction.
+/// How the service handles one transaction.
 #[derive(Debug, Clone, Copy)]
-enum Fate {
+enum InjectedOutcome {
     Served,
     Refused,
-    /// It takes effect and its answer is lost.
+    /// The transaction takes effect and its answer is lost.
     AnswerLost,
-    /// It never takes effect, and its caller is not told.
+    /// The transaction never takes effect, and its caller gets no answer.
     WriteLost,
-    /// It takes effect before some later call, and its answer is lost.
-    Late,
+    /// The transaction takes effect before a later call, and its answer is lost.
+    Delayed,
 }
 
-impl Fate {
-    fn of(byte: u8) -> Self {
-        match byte % FATES {
-            0 => Fate::Refused,
-            1 | 2 => Fate::AnswerLost,
-            3 => Fate::WriteLost,
-            4 | 5 => Fate::Late,
-            _ => Fate::Served,
+impl InjectedOutcome {
+    fn from_byte(byte: u8) -> Self {
+        match byte % OUTCOME_CHOICES {
+            0 => InjectedOutcome::Refused,
+            1 | 2 => InjectedOutcome::AnswerLost,
+            3 => InjectedOutcome::WriteLost,
+            4 | 5 => InjectedOutcome::Delayed,
+            _ => InjectedOutcome::Served,
         }
     }
 }
 
-/// A write of the policy: the revision that it replaced, its own, and the content.
+/// A write of the policy: the revision that it replaced, its own revision, and the content.
 #[derive(Debug, Clone)]
 struct Write {
     replaced: Option<Revision>,
@@ -59,9 +61,9 @@
 struct Service {
     keys: HashMap<String, KeyValue>,
     revision: Revision,
-    late: VecDeque<Transaction>,
+    delayed: VecDeque<Transaction>,
     writes: Vec<Write>,
-    fates: VecDeque<u8>,
+    injected_outcomes: VecDeque<u8>,
     delays: VecDeque<u8>,
 }
 
@@ -87,7 +89,7 @@
 
     fn write(&mut self, operation: &Operation) {
         let Operation::Put { key, value, .. } = operation else {
-            panic!("no test deletes");
+            panic!("unexpected operation: this test only puts keys");
         };
         let entry = KeyValue {
             key: key.clone(),
@@ -109,9 +111,9 @@
         }
     }
 
-    /// Lets lost writes take effect now.
-    fn deliver_late(&mut self) {
-        while let Some(transaction) = self.late.pop_front() {
+    /// Applies the delayed transactions.
+    fn apply_delayed(&mut self) {
+        while let Some(transaction) = self.delayed.pop_front() {
             self.run(&transaction);
         }
     }
@@ -121,8 +123,8 @@
 struct FaultyStore(Rc<RefCell<Service>>);
 
 impl FaultyStore {
-    /// Lets other operators go on meanwhile.
-    async fn wait(&self) {
+    /// Yields to the other operators.
+    async fn yield_to_others(&self) {
         let turns = self.0.borrow_mut().delays.pop_front().unwrap_or(1);
         for _ in 0..turns {
             tokio::task::yield_now().await;
@@ -133,10 +135,14 @@
 #[async_trait(?Send)]
 impl KeyValueStore for FaultyStore {
     async fn range(&self, prefix: &str) -> Result<RangeOutcome, StoreError> {
-        self.wait().await;
+        self.yield_to_others().await;
         let mut service = self.0.borrow_mut();
-        if service.fates.front().is_some_and(|fate| fate % 3 == 0) {
-            service.deliver_late();
+        if service
+            .injected_outcomes
+            .front()
+            .is_some_and(|outcome| outcome % 3 == 0)
+        {
+            service.apply_delayed();
         }
         let mut entries: Vec<KeyValue> = service.keys.values().cloned().collect();
         entries.retain(|entry| entry.key.starts_with(prefix));
@@ -148,19 +154,23 @@
     }
 
     async fn transact(&self, transaction: &Transaction) -> Result<TransactionOutcome, StoreError> {
-        self.wait().await;
+        self.yield_to_others().await;
         let mut service = self.0.borrow_mut();
         let lost = || Err(StoreError::Unknown("the answer is lost".into()));
-        match service.fates.pop_front().map_or(Fate::Served, Fate::of) {
-            Fate::Served => Ok(service.run(transaction)),
-            Fate::Refused => Err(StoreError::NotApplied("too many calls".into())),
-            Fate::AnswerLost => {
+        match service
+            .injected_outcomes
+            .pop_front()
+            .map_or(InjectedOutcome::Served, InjectedOutcome::from_byte)
+        {
+            InjectedOutcome::Served => Ok(service.run(transaction)),
+            InjectedOutcome::Refused => Err(StoreError::NotApplied("too many calls".into())),
+            InjectedOutcome::AnswerLost => {
                 service.run(transaction);
                 lost()
             }
-            Fate::WriteLost => lost(),
-            Fate::Late => {
-                service.late.push_back(transaction.clone());
+            InjectedOutcome::WriteLost => lost(),
+            InjectedOutcome::Delayed => {
+                service.delayed.push_back(transaction.clone());
                 lost()
             }
         }
@@ -179,23 +189,24 @@
     }
 
     async fn watch(&self, _: &str, _: Revision) -> Result<WatchStream, StoreError> {
-        unreachable!("no test watches")
+        unreachable!("this test does not watch keys")
     }
 }
 
-/// One try of an operator: what they saw, what they wanted, what they were told.
+/// One attempt of an operator to change the policy: the expected state, the new content, and the
+/// reported result.
 struct Attempt {
-    seen: Precondition,
+    expected: Precondition,
     source: String,
-    told: Result<Option<Revision>, ChangeError>,
+    result: Result<Option<Revision>, ChangeError>,
 }
 
 fn key() -> ResourceKey {
     ResourceKey::new(ResourceKind::Policy, POLICY)
 }
 
-/// An operator who reads, then changes what was read, so many times. After a change the tag that
-/// came with the answer is used for the next one.
+/// Runs an operator that reads the policy and changes it, `changes` times. The entity tag in the answer
+/// to a change is the precondition of the next one.
 async fn operate(store: FaultyStore, operator: usize, changes: usize) -> Vec<Attempt> {
     let configurations = ConfigurationStore::new(store);
     let author = Author {
@@ -205,7 +216,7 @@
     let mut attempts = Vec::new();
     let mut tag = None;
     for change in 0..changes {
-        let seen = match tag.take() {
+        let expected = match tag.take() {
             Some(tag) => Precondition::At(tag),
             None => {
                 let snapshot = configurations.read().await.expect("reads are served");
@@ -222,17 +233,21 @@
         let wanted = Change {
             key: key(),
             resource: Some(resource),
-            precondition: seen,
+            precondition: expected,
         };
-        let told = configurations.change(&author, &[wanted], 0).await;
-        let told = told.map(|committed| committed.revision);
-        tag = told.as_ref().ok().copied().flatten();
-        attempts.push(Attempt { seen, source, told });
+        let result = configurations.change(&author, &[wanted], 0).await;
+        let result = result.map(|committed| committed.revision);
+        tag = result.as_ref().ok().copied().flatten();
+        attempts.push(Attempt {
+            expected,
+            source,
+            result,
+        });
     }
     attempts
 }
 
-fn judge(service: &Service, attempts: &[Attempt]) {
+fn check_attempts(service: &Service, attempts: &[Attempt]) {
     for attempt in attempts {
         let written = service
             .writes
@@ -240,23 +255,34 @@
             .filter(|write| write.source == attempt.source);
         let written: Vec<&Write> = written.collect();
         assert!(written.len() <= 1, "a change took effect twice");
-        match &attempt.told {
+        match &attempt.result {
             Ok(revision) => {
-                assert_eq!(written.len(), 1, "told done, and not done");
-                let is_own = revision.is_none_or(|revision| revision == written[0].revision);
-                assert!(is_own, "the tag is another change's");
+                assert_eq!(
+                    written.len(),
+                    1,
+                    "a change was reported as made but did not take effect"
+                );
+                let is_tag_of_change =
+                    revision.is_none_or(|revision| revision == written[0].revision);
+                assert!(
+                    is_tag_of_change,
+                    "the reported tag belongs to another change"
+                );
             }
             Err(ChangeError::Unknown(_)) => {}
-            Err(error) => assert!(written.is_empty(), "told '{error}', and done"),
+            Err(error) => assert!(
+                written.is_empty(),
+                "a change was reported as failed with '{error}' but took effect"
+            ),
         }
         if let Some(write) = written.first() {
-            let seen = match attempt.seen {
+            let expected = match attempt.expected {
                 Precondition::At(revision) => Some(revision),
                 _ => None,
             };
             assert_eq!(
-                write.replaced, seen,
-                "a change that its author had not seen is gone"
+                write.replaced, expected,
+                "a write replaced a change that its author had not seen"
             );
         }
     }
@@ -268,20 +294,20 @@
     #![proptest_config(fixed_number_of_cases(23, 512))]
 
     #[test]
-    fn operators_are_told_the_truth_and_nothing_unseen_is_overwritten(
-        fates in vec(any::<u8>(), 0..40),
+    fn results_of_changes_are_reported_correctly_and_unseen_changes_are_not_overwritten(
+        injected_outcomes in vec(any::<u8>(), 0..40),
         delays in vec(0u8..9, 0..80),
         operators in 1usize..4,
     ) {
         let service = Rc::new(RefCell::new(Service::default()));
-        service.borrow_mut().fates = fates.into();
+        service.borrow_mut().injected_outcomes = injected_outcomes.into();
         service.borrow_mut().delays = delays.into();
         let store = FaultyStore(Rc::clone(&service));
-        let all = (0..operators).map(|operator| operate(store.clone(), operator, 4));
-        let all = futures_util::future::join_all(all);
-        let attempts = actix_rt::System::new().block_on(all);
-        service.borrow_mut().deliver_late();
+        let runs = (0..operators).map(|operator| operate(store.clone(), operator, 4));
+        let runs = futures_util::future::join_all(runs);
+        let attempts = actix_rt::System::new().block_on(runs);
+        service.borrow_mut().apply_delayed();
         let attempts: Vec<Attempt> = attempts.into_iter().flatten().collect();
-        judge(&service.borrow(), &attempts);
+        check_attempts(&service.borrow(), &attempts);
     }
 }
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A node's callers' side in this process, with engines and workers of the test's choice, and no
-//! platform.
+//! Runs the part of a node that serves callers in the test process, with the engines and workers that
+//! the test starts and without a platform.
 
 #![allow(dead_code)]
 
@@ -29,17 +29,17 @@
     (listener, address)
 }
 
-/// An address where nobody listens.
+/// Returns an address at which no process listens.
 pub fn dead_address() -> SocketAddr {
     listener().1
 }
 
-/// A mixed stand-in engine.
+/// Starts a stand-in engine in the mixed role.
 pub fn start_engine(name: &str) -> SocketAddr {
     start_engine_as(name, Role::Mixed)
 }
 
-/// A stand-in engine in a role.
+/// Starts a stand-in engine in the given role.
 pub fn start_engine_as(name: &str, role: Role) -> SocketAddr {
     let (listener, address) = listener();
     let options = EngineOptions {
@@ -91,7 +91,8 @@
     configuration
 }
 
-/// Starts a node's callers' side; `limits` is the settings' table of that name.
+/// Starts the part of a node that serves callers; `limits` is the content of the settings' table of
+/// that name.
 pub fn start_node(
     engines: &[SocketAddr],
     workers: &[SocketAddr],
@@ -112,7 +113,7 @@
     (node, address)
 }
 
-/// A client with no timeouts of its own.
+/// Returns an HTTP client without timeouts and redirects.
 pub fn client() -> awc::Client {
     awc::Client::builder()
         .disable_timeout()
@@ -128,7 +129,7 @@
     answer_text(MODEL, PROMPT, tokens)
 }
 
-/// Asks for a completion.
+/// Sends a request for a completion.
 pub async fn ask(node: SocketAddr, headers: &[(&str, &str)], body: &Value) -> ClientResponse {
     let mut request = client().post(format!("http://{node}/v1/completions"));
     for (name, value) in headers {
@@ -146,13 +147,13 @@
     response.json().await.expect("a JSON body")
 }
 
-/// What an engine recorded.
+/// Returns the requests and orders that a stand-in engine has recorded.
 pub async fn get_records(engine: SocketAddr) -> Value {
     let sent = client().get(format!("http://{engine}/standin/records"));
     json_of(&mut sent.send().await.expect("an answer")).await
 }
 
-/// Drains an engine under an authority of the test's own.
+/// Orders an engine to drain, with the test as the holder of the authority.
 pub async fn order_drain(engine: SocketAddr) {
     let engines = EngineClient::new(Duration::from_secs(1));
     let state = engines.state(engine).await.expect("a state");
@@ -166,24 +167,24 @@
     assert_eq!(reply, OrderReply::Accepted);
 }
 
-/// Switches an engine's faults.
+/// Sets the faults that a stand-in engine injects.
 pub async fn set_faults(engine: SocketAddr, faults: Value) {
     let url = format!("http://{engine}/standin/faults");
     let response = client().post(url).send_json(&faults).await;
     assert_eq!(response.expect("an answer").status(), 204);
 }
 
-/// A streamed answer as far as it has been read.
+/// Reads a streamed answer and holds what has been read so far.
 pub struct Reader {
     response: ClientResponse,
     decoder: SseDecoder,
-    /// Generated text.
+    /// The generated text.
     pub text: String,
-    /// Comment lines.
+    /// The comment lines.
     pub comments: Vec<String>,
-    /// The verdict, once the stream has said it.
+    /// The verdict, once the stream has stated it.
     pub verdict: Option<String>,
-    /// Whether the connection broke.
+    /// Whether the connection was lost before the end of the stream.
     pub broken: bool,
 }
 
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Reads one piece of the stream; false at its end.
+    /// Reads one chunk of the stream; returns false at its end.
     pub async fn read(&mut self) -> bool {
         let bytes = match self.response.next().await {
             None => return false,
@@ -229,14 +230,14 @@
         true
     }
 
-    /// Reads until some text has come.
+    /// Reads until some text has been received.
     pub async fn read_text(&mut self) {
         while self.text.is_empty() {
             assert!(self.read().await, "the stream ended before any text");
         }
     }
 
-    /// Reads to the end.
+    /// Reads to the end of the stream.
     pub async fn read_all(mut self) -> Self {
         while self.read().await {}
         self
