--- a/crates/dissemination/src/document.rs
+++ b/crates/dissemination/src/document.rs
@@ -1,59 +1,60 @@
-//! A configuration as it travels: encoded resources by key, and differences between two of them.
+//! Configuration documents as they are sent between nodes: encoded resources by key, and deltas
+//! between two documents.
 
 use std::collections::BTreeMap;
 
 use bytes::Bytes;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Every resource of one revision, encoded.
+/// All resources of one revision, encoded.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Document {
-    /// The revision; zero for none.
+    /// The revision, or zero for none.
     pub revision: u64,
-    /// Encoded resources by key.
+    /// The encoded resources by key.
     pub resources: BTreeMap<String, Bytes>,
 }
 
 /// A resource that was written or removed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResourceChange {
-    /// Its key.
+    /// The key of the resource.
     pub key: String,
-    /// Its content; absent if it was removed.
+    /// The encoded content, or `None` if the resource was removed.
     pub content: Option<Bytes>,
 }
 
 /// The difference between two revisions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Delta {
-    /// The revision that it applies to.
+    /// The revision to which the delta applies.
     pub base: u64,
-    /// The revision that it yields.
+    /// The revision of the resulting document.
     pub revision: u64,
-    /// Checksum of the document that it yields.
+    /// The checksum of the resulting document.
     pub checksum: u64,
-    /// What changed.
+    /// The changed resources.
     pub changes: Vec<ResourceChange>,
 }
 
-/// A delta that cannot be used; everything must be pulled instead.
+/// The error for a delta that cannot be applied. The full document must be pulled instead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// It applies to another revision.
-    #[error("the delta applies to revision {expected}, not to {held}")]
-    Base {
-        /// The revision it applies to.
+    /// The delta applies to another revision.
+    #[error("delta applies to revision {expected}, but revision {held} is held")]
+    BaseMismatch {
+        /// The revision to which the delta applies.
         expected: u64,
-        /// The revision held.
+        /// The revision of the document held.
         held: u64,
     },
-    /// It does not yield what it says.
-    #[error("the delta does not yield the document that it was made from")]
-    Checksum,
+    /// The checksum of the resulting document differs from the one in the delta.
+    #[error("checksum of the document that results from the delta does not match")]
+    ChecksumMismatch,
 }
 
 impl Document {
-    /// A checksum over revision, keys and contents.
+    /// Returns a checksum of the revision, keys and contents.
     pub fn checksum(&self) -> u64 {
         let mut hasher = Xxh3::new();
         hasher.update(&self.revision.to_be_bytes());
@@ -66,7 +67,7 @@
         hasher.digest()
     }
 
-    /// What turns this document into `newer`.
+    /// Returns the delta that turns this document into `newer`.
     pub fn delta_to(&self, newer: &Document) -> Delta {
         let removed = self.resources.keys();
         let removed = removed.filter(|key| !newer.resources.contains_key(*key));
@@ -88,10 +89,10 @@
         }
     }
 
-    /// The document that a delta yields.
+    /// Returns the document that results from applying a delta to this one.
     pub fn apply(&self, delta: &Delta) -> Result<Document, ApplyError> {
         if delta.base != self.revision {
-            return Err(ApplyError::Base {
+            return Err(ApplyError::BaseMismatch {
                 expected: delta.base,
                 held: self.revision,
             });
@@ -111,7 +112,7 @@
             }
         }
         if document.checksum() != delta.checksum {
-            return Err(ApplyError::Checksum);
+            return Err(ApplyError::ChecksumMismatch);
         }
         Ok(document)
     }
--- a/crates/dissemination/src/history.rs
+++ b/crates/dissemination/src/history.rs
@@ -1,4 +1,4 @@
-//! The newest document held, and how it came about from the last few.
+//! The newest document held, and the deltas that lead to it from the last few documents.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,21 +6,21 @@
 
 use crate::document::{Delta, Document, ResourceChange};
 
-/// What a peer that asked is given.
+/// The answer to a peer's pull request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PullBody {
-    /// Nothing newer is held.
+    /// No newer document than the peer's is held.
     Current {
         /// The revision held.
         revision: u64,
     },
-    /// The difference from what the peer holds.
+    /// The delta from the document that the peer holds.
     Delta(Delta),
-    /// Everything.
+    /// The full document.
     Snapshot(Document),
 }
 
-/// The newest document and a bounded log of differences that lead to it.
+/// The newest document and a bounded log of the deltas that lead to it.
 #[derive(Debug)]
 pub struct History {
     newest: Document,
@@ -29,7 +29,7 @@
 }
 
 impl History {
-    /// An empty history that keeps at most `capacity` differences.
+    /// Creates an empty history that keeps at most `capacity` deltas.
     pub fn new(capacity: usize) -> Self {
         Self {
             newest: Document::default(),
@@ -38,12 +38,12 @@
         }
     }
 
-    /// The newest document.
+    /// Returns the newest document.
     pub fn newest(&self) -> &Document {
         &self.newest
     }
 
-    /// Takes a document if it is newer than the one held; says whether it was taken.
+    /// Stores a document if it is newer than the one held, and returns whether it was stored.
     pub fn push(&mut self, document: Document) -> bool {
         if document.revision <= self.newest.revision {
             return false;
@@ -58,7 +58,8 @@
         true
     }
 
-    /// Answers a peer that holds `held_revision`.
+    /// Returns the answer to a pull request. `held_revision` is the revision that the peer holds,
+    /// or zero for none.
     pub fn answer(&self, held_revision: u64) -> PullBody {
         let revision = self.newest.revision;
         if held_revision >= revision {
@@ -69,12 +70,14 @@
             .iter()
             .position(|delta| delta.base == held_revision);
         match start {
-            Some(start) if held_revision > 0 => PullBody::Delta(self.merge(held_revision, start)),
+            Some(start) if held_revision > 0 => {
+                PullBody::Delta(self.merged_delta(held_revision, start))
+            }
             _ => PullBody::Snapshot(self.newest.clone()),
         }
     }
 
-    fn merge(&self, base: u64, start: usize) -> Delta {
+    fn merged_delta(&self, base: u64, start: usize) -> Delta {
         let mut contents: BTreeMap<&String, &Option<Bytes>> = BTreeMap::new();
         for change in self.deltas.range(start..).flat_map(|delta| &delta.changes) {
             contents.insert(&change.key, &change.content);
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -1,8 +1,9 @@
-//! How revisions of the configuration spread from the members that follow the store to all others:
-//! who asks whom for what, when a node that has just started may serve, and how a revision is
-//! written down as a difference from an earlier one.
+//! Dissemination of configuration revisions from the members that follow the store to all other
+//! members: which node pulls which revision from which peer, when a node that has just started may
+//! serve, and how a revision is encoded as a delta from an earlier one.
 //!
-//! As in the other decision crates, time, events and a seed are handed in, and actions come back.
+//! This crate reads no clock and opens no socket. The caller passes the time, events and a seed,
+//! and executes the returned actions.
 
 #![forbid(unsafe_code)]
 
--- a/crates/dissemination/src/recovery.rs
+++ b/crates/dissemination/src/recovery.rs
@@ -1,6 +1,7 @@
-//! When a node that has just started knows enough to serve. Nodes keep nothing, so what a restarted
-//! one gets first may be older than what it served before; it therefore hears its zone's members
-//! before it puts anything in force.
+//! Recovery of a node that has just started: decides when it knows enough to serve. Nodes store
+//! nothing on disk, so the first revision that a restarted node receives may be older than the one
+//! that it served before. It therefore queries the members of its zone before it puts a revision in
+//! force.
 
 use std::collections::BTreeMap;
 
@@ -8,45 +9,47 @@
 
 use crate::spread::Peer;
 
-/// What came of asking one peer.
+/// The state of the query to one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Inquiry {
-    /// It has been asked and may still answer, until this time.
+enum PeerQuery {
+    /// The query has been sent, and the peer may answer until this time.
     Pending(Timestamp),
-    /// It said which revision it has in force.
+    /// The peer answered with the revision that it has in force.
     Answered(u64),
-    /// It did not answer; it may be asked again from this time on.
+    /// The peer did not answer. It may be queried again from this time on.
     Failed(Timestamp),
 }
 
-/// The inquiries of a node that has just started.
+/// The queries of a node that has just started.
 #[derive(Debug, Default)]
 pub(crate) struct Recovery {
-    inquiries: BTreeMap<NodeId, Inquiry>,
+    queries: BTreeMap<NodeId, PeerQuery>,
     store_revision: Option<u64>,
 }
 
 impl Recovery {
-    /// A peer said which revision it has in force; zero means that it is recovering itself.
-    pub(crate) fn answered(&mut self, peer: &NodeId, revision: u64) {
-        self.inquiries
-            .insert(peer.clone(), Inquiry::Answered(revision));
+    /// Records the revision that a peer has in force. Zero means that the peer is itself
+    /// recovering.
+    pub(crate) fn record_answer(&mut self, peer: &NodeId, revision: u64) {
+        self.queries
+            .insert(peer.clone(), PeerQuery::Answered(revision));
     }
 
-    /// A peer did not answer.
-    pub(crate) fn failed(&mut self, peer: &NodeId, retry_at: Timestamp) {
-        self.inquiries
-            .insert(peer.clone(), Inquiry::Failed(retry_at));
+    /// Records that a peer did not answer. It is not queried again before `retry_at`.
+    pub(crate) fn record_failure(&mut self, peer: &NodeId, retry_at: Timestamp) {
+        self.queries
+            .insert(peer.clone(), PeerQuery::Failed(retry_at));
     }
 
-    /// The store said which revision is the newest.
-    pub(crate) fn store_answered(&mut self, revision: u64) {
+    /// Records the newest revision of the store.
+    pub(crate) fn record_store_revision(&mut self, revision: u64) {
         self.store_revision = Some(revision);
     }
 
-    /// Peers to ask now, those first that have never been asked: one that is recovering itself is
-    /// due again at once, and must not keep the others from being asked.
-    pub(crate) fn next_inquiries(
+    /// Returns the peers to query now, and marks them as pending. Peers that have never been
+    /// queried come first: a peer that is itself recovering is due again at once, and must not
+    /// prevent the others from being queried.
+    pub(crate) fn next_queries(
         &mut self,
         now: Timestamp,
         neighbours: &[Peer],
@@ -54,30 +57,31 @@
         timeout: Duration,
     ) -> Vec<Peer> {
         let pending =
-            |inquiry: &&Inquiry| matches!(inquiry, Inquiry::Pending(until) if *until > now);
-        let in_progress = self.inquiries.values().filter(pending).count();
-        let is_due = |peer: &&Peer| match self.inquiries.get(&peer.name) {
-            None | Some(Inquiry::Answered(0)) => true,
-            Some(Inquiry::Pending(until)) | Some(Inquiry::Failed(until)) => *until <= now,
-            Some(Inquiry::Answered(_)) => false,
+            |query: &&PeerQuery| matches!(query, PeerQuery::Pending(until) if *until > now);
+        let in_progress = self.queries.values().filter(pending).count();
+        let is_due = |peer: &&Peer| match self.queries.get(&peer.name) {
+            None | Some(PeerQuery::Answered(0)) => true,
+            Some(PeerQuery::Pending(until)) | Some(PeerQuery::Failed(until)) => *until <= now,
+            Some(PeerQuery::Answered(_)) => false,
         };
         let mut due: Vec<&Peer> = neighbours.iter().filter(is_due).collect();
-        due.sort_by_key(|peer| self.inquiries.contains_key(&peer.name));
-        let asked: Vec<Peer> = due
+        due.sort_by_key(|peer| self.queries.contains_key(&peer.name));
+        let queried: Vec<Peer> = due
             .into_iter()
             .take(parallelism.saturating_sub(in_progress))
             .cloned()
             .collect();
-        for peer in &asked {
-            let pending = Inquiry::Pending(now + timeout);
-            self.inquiries.insert(peer.name.clone(), pending);
+        for peer in &queried {
+            let pending = PeerQuery::Pending(now + timeout);
+            self.queries.insert(peer.name.clone(), pending);
         }
-        asked
+        queried
     }
 
-    /// Whether `held` is known to be as new as anything that had to be heard of: either the store
-    /// has said so, or every neighbour was asked, a majority of them answered, and none of those
-    /// has a newer one. Neighbours that are recovering themselves know nothing and do not count.
+    /// Returns whether the revision `held` is known to be new enough to serve. Either it is at
+    /// least as new as the store's newest revision, or all neighbours have been queried, a majority
+    /// of them have answered, and none of these has a newer revision in force. Neighbours that are
+    /// themselves recovering have no revision in force and do not count.
     pub(crate) fn is_complete(&self, held: u64, neighbours: &[Peer]) -> bool {
         if held == 0 {
             return false;
@@ -85,21 +89,21 @@
         if self.store_revision.is_some_and(|revision| held >= revision) {
             return true;
         }
-        let inquiries = neighbours
+        let queries = neighbours
             .iter()
-            .map(|peer| self.inquiries.get(&peer.name).copied());
-        let voters: Vec<_> = inquiries
-            .filter(|inquiry| *inquiry != Some(Inquiry::Answered(0)))
+            .map(|peer| self.queries.get(&peer.name).copied());
+        let counted_queries: Vec<_> = queries
+            .filter(|query| *query != Some(PeerQuery::Answered(0)))
             .collect();
-        let answers = voters.iter().filter_map(|inquiry| match inquiry {
-            Some(Inquiry::Answered(revision)) => Some(*revision),
+        let answers = counted_queries.iter().filter_map(|query| match query {
+            Some(PeerQuery::Answered(revision)) => Some(*revision),
             _ => None,
         });
-        let all_asked = voters
+        let all_queried = counted_queries
             .iter()
-            .all(|it| matches!(it, Some(Inquiry::Answered(_) | Inquiry::Failed(_))));
-        let majority = voters.len() / 2 + 1;
+            .all(|it| matches!(it, Some(PeerQuery::Answered(_) | PeerQuery::Failed(_))));
+        let majority = counted_queries.len() / 2 + 1;
         let newest = answers.clone().max().unwrap_or_default();
-        all_asked && answers.count() >= majority && held >= newest
+        all_queried && answers.count() >= majority && held >= newest
     }
 }
--- a/crates/dissemination/src/settings.rs
+++ b/crates/dissemination/src/settings.rs
@@ -1,23 +1,25 @@
-//! Times and bounds of the spread of configuration revisions.
+//! Settings of the dissemination of configuration revisions.
 
 use tansyhall_core::Duration;
 
-/// Times and bounds.
+/// Timeouts, delays and limits of the dissemination.
 #[derive(Debug, Clone)]
 pub struct SpreadSettings {
-    /// Members told of a new revision at once by each member that puts it in force.
+    /// The number of members to which each member announces a new revision when it puts it in
+    /// force.
     pub announce_fanout: usize,
-    /// After this long without an answer, a pull has failed.
+    /// The time after which a pull without an answer has failed.
     pub pull_timeout: Duration,
-    /// Wait before a peer is asked again after a failed pull.
+    /// The delay before a peer is queried again after a failed pull.
     pub retry_delay: Duration,
-    /// Peers that a node which has just started asks at once.
+    /// The number of peers that a node which has just started queries at once.
     pub recovery_parallelism: usize,
-    /// After this long a node that has just started also asks the store.
+    /// The time after its start from which a node that is still recovering also follows the store.
     pub store_patience: Duration,
-    /// Differences kept for peers that are behind; those further behind get everything.
+    /// The maximum number of deltas kept for peers that hold an older revision. Peers further
+    /// behind receive the full document.
     pub max_deltas: usize,
-    /// Most peers whose revision is remembered.
+    /// The maximum number of peers whose revision is kept.
     pub max_peers: usize,
 }
 
--- a/crates/dissemination/src/spread.rs
+++ b/crates/dissemination/src/spread.rs
@@ -1,5 +1,5 @@
-//! The state machine of one node: which revision it holds and has in force, which it has heard of,
-//! and whom it asks.
+//! The dissemination state machine of one node: the revisions that it holds and has in force, the
+//! revisions of its peers, and the peers that it pulls from.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,76 +12,79 @@
 use crate::recovery::Recovery;
 use crate::settings::SpreadSettings;
 
-/// Peers that a node asks at once while it holds nothing: each answers with everything, so that one
-/// is enough. The others then answer with what is newer than that, which is mostly nothing.
-const PARALLELISM_WITH_NOTHING_HELD: usize = 1;
+/// The number of peers that a node queries at once while it holds no document. Each of them would
+/// answer with the full document, so one is enough. The other peers then answer only with newer
+/// revisions, and mostly have none.
+const PARALLELISM_WITHOUT_DOCUMENT: usize = 1;
 
-/// Told to others as long as the revision in force was never confirmed; some hundred years.
-const UNKNOWN_AGE: Duration = Duration::from_secs(u32::MAX as u64);
+/// The confirmation age that is reported while the revision in force has never been confirmed.
+/// About 136 years.
+const UNKNOWN_CONFIRMATION_AGE: Duration = Duration::from_secs(u32::MAX as u64);
 
-/// A node that can be asked.
+/// A node that revisions can be pulled from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// The name of the node.
     pub name: NodeId,
-    /// Where nodes reach it.
+    /// The address at which other nodes reach it.
     pub address: SocketAddr,
 }
 
-/// What a node has in force.
+/// The revision that a node has in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Mark {
-    /// The revision; zero for none.
+    /// The revision, or zero for none.
     pub revision: u64,
-    /// Time since it was last known to be the newest.
+    /// The time since the revision was last known to be the newest.
     pub confirmation_age: Duration,
 }
 
-/// What membership says about this node's surroundings.
+/// The state of the zone as reported by the membership of this node.
 #[derive(Debug, Clone, Default)]
 pub struct View {
     /// Whether this node follows the store for its zone.
     pub is_watcher: bool,
-    /// Whether the zone's members are known, as far as they can be.
+    /// Whether this node has joined its zone, or no answer to its join requests is to be expected.
     pub is_settled: bool,
-    /// Other members of the zone that answer.
+    /// The other reachable members of the zone.
     pub neighbours: Vec<Peer>,
 }
 
-/// What the caller must do.
+/// An action that the caller must execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Ask a peer for what is newer than `held_revision`, then call [`Spread::pulled`].
+    /// Pull what is newer than `held_revision` from a peer, then call [`Spread::pulled`].
     Pull {
-        /// Whom to ask.
+        /// The peer to pull from.
         peer: Peer,
         /// The revision held.
         held_revision: u64,
     },
     /// Put the newest document held in force, then call [`Spread::in_force`].
     PutInForce,
-    /// Tell these peers which revision is in force.
+    /// Announce the revision in force to these peers.
     Announce {
-        /// Whom to tell.
+        /// The peers to notify.
         peers: Vec<Peer>,
     },
 }
 
-/// How a pull ended.
+/// The result of a pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PullOutcome {
-    /// The peer has this in force, and what it sent is now held.
+    /// The document that the peer sent is now held. Contains the revision that the peer has in
+    /// force.
     Held(Mark),
-    /// What the peer sent does not validate.
+    /// The document that the peer sent is invalid.
     Refused {
-        /// Its revision.
+        /// The revision of the document.
         revision: u64,
     },
-    /// There was no usable answer.
+    /// No usable answer was received.
     Failed,
 }
 
-/// What is remembered of a peer.
+/// A peer that a newer revision may be pulled from.
 #[derive(Debug, Clone)]
 struct Source {
     address: SocketAddr,
@@ -89,8 +92,8 @@
     retry_at: Timestamp,
 }
 
-/// The spread of revisions as one node sees it. Neither the revision held nor the one in force ever
-/// becomes smaller.
+/// The dissemination state of one node. Neither the revision held nor the revision in force ever
+/// decreases.
 #[derive(Debug)]
 pub struct Spread {
     settings: SpreadSettings,
@@ -99,16 +102,16 @@
     in_force: u64,
     refused: u64,
     confirmed_at: Option<Timestamp>,
-    started: Option<Timestamp>,
+    started_at: Option<Timestamp>,
     recovery: Option<Recovery>,
     sources: BTreeMap<NodeId, Source>,
     pull_until: Option<Timestamp>,
     view: View,
-    waits_for_store: bool,
+    needs_store: bool,
 }
 
 impl Spread {
-    /// The state of a node that has just started and holds nothing.
+    /// Creates the state of a node that has just started_at and holds no document.
     pub fn new(settings: SpreadSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -117,64 +120,65 @@
             in_force: 0,
             refused: 0,
             confirmed_at: None,
-            started: None,
+            started_at: None,
             recovery: Some(Recovery::default()),
             sources: BTreeMap::new(),
             pull_until: None,
             view: View::default(),
-            waits_for_store: false,
+            needs_store: false,
         }
     }
 
-    /// Takes what membership says now, and runs what is due.
+    /// Updates the view of the zone, and runs all tasks that are due.
     pub fn tick(&mut self, now: Timestamp, view: View) -> Vec<Action> {
-        let started = *self.started.get_or_insert(now);
+        let started_at = *self.started_at.get_or_insert(now);
         self.view = view;
-        let is_patient = now < started + self.settings.store_patience;
-        self.waits_for_store = self.recovery.is_some() && !is_patient;
-        self.forget_strangers();
-        let mut actions = self.inquire(now);
+        let is_waiting_for_peers = now < started_at + self.settings.store_patience;
+        self.needs_store = self.recovery.is_some() && !is_waiting_for_peers;
+        self.remove_unneeded_sources();
+        let mut actions = self.query_peers(now);
         actions.extend(self.finish_recovery());
         actions.extend(self.pull_newer(now));
         actions
     }
 
-    /// A peer said what it has in force.
+    /// Handles a peer's report of the revision that it has in force.
     pub fn heard(&mut self, now: Timestamp, peer: &Peer, mark: Mark) -> Vec<Action> {
-        self.remember(peer, mark.revision);
+        self.record_source(peer, mark.revision);
         self.confirm(now, mark);
         let is_neighbour = self.view.neighbours.iter().any(|it| it.name == peer.name);
         if let Some(recovery) = self.recovery.as_mut().filter(|_| is_neighbour) {
-            recovery.answered(&peer.name, mark.revision);
+            recovery.record_answer(&peer.name, mark.revision);
         }
         let mut actions = self.finish_recovery();
         actions.extend(self.pull_newer(now));
         actions
     }
 
-    /// A pull has ended.
+    /// Handles the end of a pull.
     pub fn pulled(&mut self, now: Timestamp, peer: &Peer, outcome: PullOutcome) -> Vec<Action> {
         self.pull_until = None;
         match outcome {
             PullOutcome::Held(mark) => {
                 self.hold(mark.revision);
-                let mut actions = self.put_held_in_force();
+                let mut actions = self.request_put_in_force();
                 actions.extend(self.heard(now, peer, mark));
                 actions
             }
             PullOutcome::Refused { revision } => {
                 self.refused = self.refused.max(revision);
-                self.inquiry_failed(now, peer);
+                self.record_pull_failure(now, peer);
                 Vec::new()
             }
             PullOutcome::Failed => {
-                self.inquiry_failed(now, peer);
+                self.record_pull_failure(now, peer);
                 self.pull_newer(now)
             }
         }
     }
 
-    /// The store says that `revision` is the newest, and what it holds is held here too.
+    /// Handles a read of the store: `revision` is its newest revision, and the document of the
+    /// store is now held.
     pub fn store_read(&mut self, now: Timestamp, revision: u64) -> Vec<Action> {
         self.hold(revision);
         let mark = Mark {
@@ -183,21 +187,21 @@
         };
         self.confirm(now, mark);
         if let Some(recovery) = &mut self.recovery {
-            recovery.store_answered(revision);
+            recovery.record_store_revision(revision);
         }
         let mut actions = self.finish_recovery();
-        actions.extend(self.put_held_in_force());
+        actions.extend(self.request_put_in_force());
         actions
     }
 
-    /// A node of another zone is said to have a revision in force.
+    /// Handles an indirect report of the revision that a node of another zone has in force.
     pub fn heard_of(&mut self, peer: &Peer, revision: u64) {
         if revision > self.held {
-            self.remember(peer, revision);
+            self.record_source(peer, revision);
         }
     }
 
-    /// A revision was put in force.
+    /// Handles that the caller has put a revision in force.
     pub fn in_force(&mut self, revision: u64) -> Vec<Action> {
         if revision <= self.in_force {
             return Vec::new();
@@ -210,57 +214,59 @@
         vec![Action::Announce { peers }]
     }
 
-    /// The newest revision held, in force or not; zero for none.
+    /// Returns the newest revision held, whether or not it is in force, or zero for none.
     pub fn revision_held(&self) -> u64 {
         self.held
     }
 
-    /// The revision in force; zero for none.
+    /// Returns the revision in force, or zero for none.
     pub fn revision_in_force(&self) -> u64 {
         self.in_force
     }
 
-    /// Whether the node knows enough to serve.
+    /// Returns whether the node has completed its recovery and may serve.
     pub fn is_recovered(&self) -> bool {
         self.recovery.is_none()
     }
 
-    /// Whether this node should follow the store: for its zone, or because it has just started and
-    /// its peers have not told it enough.
+    /// Returns whether this node should follow the store: on behalf of its zone, or because it has
+    /// just started_at and the answers of its peers were not sufficient to complete the recovery.
     pub fn follows_store(&self) -> bool {
-        self.view.is_watcher || self.waits_for_store
+        self.view.is_watcher || self.needs_store
     }
 
-    /// Time since the revision held was last known to be the newest; absent before the first time.
+    /// Returns the time since the revision held was last known to be the newest, or `None` if it
+    /// has never been confirmed.
     pub fn staleness(&self, now: Timestamp) -> Option<Duration> {
         self.confirmed_at.map(|confirmed| now.since(confirmed))
     }
 
-    /// What to tell others about the configuration here.
+    /// Returns the revision in force to report to other nodes.
     pub fn mark(&self, now: Timestamp) -> Mark {
         Mark {
             revision: self.in_force,
-            confirmation_age: self.staleness(now).unwrap_or(UNKNOWN_AGE),
+            confirmation_age: self.staleness(now).unwrap_or(UNKNOWN_CONFIRMATION_AGE),
         }
     }
 
-    fn remember(&mut self, peer: &Peer, revision: u64) {
+    fn record_source(&mut self, peer: &Peer, revision: u64) {
         let is_known = self.sources.contains_key(&peer.name);
         if !is_known && self.sources.len() >= self.settings.max_peers {
             return;
         }
-        let fresh = Source {
+        let new_source = Source {
             address: peer.address,
             revision,
             retry_at: Timestamp::default(),
         };
-        let source = self.sources.entry(peer.name.clone()).or_insert(fresh);
+        let source = self.sources.entry(peer.name.clone()).or_insert(new_source);
         source.address = peer.address;
         source.revision = revision;
     }
 
-    /// Sources that have nothing newer and are no neighbours are of no further use.
-    fn forget_strangers(&mut self) {
+    /// Removes the sources outside the zone that have no newer revision, which are no longer
+    /// needed.
+    fn remove_unneeded_sources(&mut self) {
         let held = self.held;
         let neighbours = &self.view.neighbours;
         self.sources.retain(|name, source| {
@@ -283,28 +289,28 @@
         self.confirmed_at = self.confirmed_at.max(Some(confirmed));
     }
 
-    fn inquire(&mut self, now: Timestamp) -> Vec<Action> {
+    fn query_peers(&mut self, now: Timestamp) -> Vec<Action> {
         let Some(recovery) = &mut self.recovery else {
             return Vec::new();
         };
         let parallelism = match self.held {
-            0 => PARALLELISM_WITH_NOTHING_HELD,
+            0 => PARALLELISM_WITHOUT_DOCUMENT,
             _ => self.settings.recovery_parallelism,
         };
         let timeout = self.settings.pull_timeout;
-        let asked = recovery.next_inquiries(now, &self.view.neighbours, parallelism, timeout);
+        let queried = recovery.next_queries(now, &self.view.neighbours, parallelism, timeout);
         let held_revision = self.held;
         let pull = |peer| Action::Pull {
             peer,
             held_revision,
         };
-        asked.into_iter().map(pull).collect()
+        queried.into_iter().map(pull).collect()
     }
 
-    fn inquiry_failed(&mut self, now: Timestamp, peer: &Peer) {
+    fn record_pull_failure(&mut self, now: Timestamp, peer: &Peer) {
         let retry_at = now + self.settings.retry_delay;
         if let Some(recovery) = &mut self.recovery {
-            recovery.failed(&peer.name, retry_at);
+            recovery.record_failure(&peer.name, retry_at);
         }
         if let Some(source) = self.sources.get_mut(&peer.name) {
             source.retry_at = retry_at;
@@ -320,18 +326,18 @@
             return Vec::new();
         }
         self.recovery = None;
-        self.waits_for_store = false;
-        self.put_held_in_force()
+        self.needs_store = false;
+        self.request_put_in_force()
     }
 
-    fn put_held_in_force(&mut self) -> Vec<Action> {
+    fn request_put_in_force(&mut self) -> Vec<Action> {
         if self.recovery.is_some() || self.held <= self.in_force {
             return Vec::new();
         }
         vec![Action::PutInForce]
     }
 
-    /// Asks one of the peers with the newest revision heard of, unless a pull is in progress.
+    /// Pulls from one of the peers with the newest known revision, unless a pull is in progress.
     fn pull_newer(&mut self, now: Timestamp) -> Vec<Action> {
         if self.pull_until.is_some_and(|until| now < until) {
             return Vec::new();
--- a/crates/dissemination/tests/history.rs
+++ b/crates/dissemination/tests/history.rs
@@ -1,4 +1,5 @@
-//! Documents, deltas and the bounded log: whatever a peer holds, it ends with the newest document.
+//! Documents, deltas and the bounded log of deltas: a peer at any revision obtains the newest
+//! document.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +19,7 @@
     #![proptest_config(fixed_cases(1))]
 
     #[test]
-    fn a_peer_at_any_revision_ends_with_the_newest(contents in vec(resources(), 1..12)) {
+    fn a_peer_at_any_revision_obtains_the_newest_document(contents in vec(resources(), 1..12)) {
         let mut history = History::new(CAPACITY);
         let documents: Vec<Document> = contents
             .into_iter()
@@ -27,16 +28,16 @@
             .collect();
         for document in &documents {
             prop_assert!(history.push(document.clone()));
-            prop_assert!(!history.push(document.clone()), "the same revision twice");
+            prop_assert!(!history.push(document.clone()), "the same revision was stored twice");
         }
-        let newest = documents.last().expect("one or more");
+        let newest = documents.last().expect("at least one document");
         for held in documents.iter().chain([&Document::default()]) {
-            let yielded = match history.answer(held.revision) {
+            let result = match history.answer(held.revision) {
                 PullBody::Current { .. } => held.clone(),
-                PullBody::Delta(delta) => held.apply(&delta).expect("the base fits"),
+                PullBody::Delta(delta) => held.apply(&delta).expect("delta applies to the revision held"),
                 PullBody::Snapshot(document) => document,
             };
-            prop_assert_eq!(&yielded, newest);
+            prop_assert_eq!(&result, newest);
         }
         let behind = documents.len().saturating_sub(CAPACITY + 1);
         let is_far_behind = behind > 0;
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_delta_that_does_not_fit_is_refused() {
+fn a_delta_for_another_revision_or_with_a_wrong_checksum_is_refused() {
     let document = |revision, text: &'static str| Document {
         revision,
         resources: BTreeMap::from([("pool/a".to_owned(), Bytes::from(text))]),
@@ -55,7 +56,7 @@
     let other = document(3, "old").apply(&delta);
     assert_eq!(
         other,
-        Err(ApplyError::Base {
+        Err(ApplyError::BaseMismatch {
             expected: 1,
             held: 3
         })
@@ -63,5 +64,5 @@
     let mut damaged = delta.clone();
     damaged.changes.clear();
     let applied = document(1, "old").apply(&damaged);
-    assert_eq!(applied, Err(ApplyError::Checksum));
+    assert_eq!(applied, Err(ApplyError::ChecksumMismatch));
 }
--- a/crates/dissemination/tests/spread.rs
+++ b/crates/dissemination/tests/spread.rs
@@ -1,5 +1,5 @@
-//! The spread of revisions over many nodes in virtual time: how fast, never backwards, and what a
-//! restarted node does before it serves.
+//! Simulates the dissemination of revisions between many nodes in virtual time: its duration, that
+//! no node returns to an older revision, and what a restarted node does before it serves.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,9 +11,10 @@
 use tansyhall_fixed_cases::fixed_cases;
 
 const TICK: Duration = Duration::from_millis(100);
-/// Ticks between the probes of a node; each tells the other side what is in force.
+/// The ticks between the probes of a node. In a probe, both nodes report the revision that they
+/// have in force.
 const TICKS_PER_PROBE: u64 = 10;
-const DELIVERY: Duration = Duration::from_millis(2);
+const DELIVERY_TIME: Duration = Duration::from_millis(2);
 
 fn peer(index: usize) -> Peer {
     Peer {
@@ -33,13 +34,13 @@
     nodes: Vec<Spread>,
     running: BTreeSet<usize>,
     in_force: Vec<u64>,
-    /// The store's newest revision; absent while the store is down.
+    /// The newest revision of the store, or `None` while the store is down.
     store: Option<u64>,
     events: BTreeMap<(Timestamp, u64), (usize, Event)>,
     order: u64,
     ticks: u64,
     announcements: usize,
-    went_back: bool,
+    has_decreased: bool,
 }
 
 impl Zone {
@@ -55,7 +56,7 @@
             order: 0,
             ticks: 0,
             announcements: 0,
-            went_back: false,
+            has_decreased: false,
         }
     }
 
@@ -79,10 +80,10 @@
                 neighbours: others.map(|other| peer(*other)).collect(),
             };
             let actions = self.nodes[index].tick(self.now, view);
-            self.carry_out(index, actions);
+            self.execute(index, actions);
             if let Some(revision) = self.store.filter(|_| self.nodes[index].follows_store()) {
                 let actions = self.nodes[index].store_read(self.now, revision);
-                self.carry_out(index, actions);
+                self.execute(index, actions);
             }
         }
         self.ticks += 1;
@@ -98,7 +99,8 @@
         self.now = end;
     }
 
-    /// Each node exchanges marks with one other, in turn.
+    /// Each node exchanges the revision in force with one other node. The other node changes from
+    /// round to round.
     fn probe(&mut self, round: u64) {
         let size = self.nodes.len();
         let distance = 1 + round as usize % (size - 1);
@@ -106,9 +108,9 @@
             let to = (from + distance) % size;
             if self.running.contains(&to) {
                 let mark = self.nodes[from].mark(self.now);
-                self.post(to, Event::Heard { from, mark });
+                self.schedule(to, Event::Heard { from, mark });
                 let mark = self.nodes[to].mark(self.now);
-                self.post(from, Event::Heard { from: to, mark });
+                self.schedule(from, Event::Heard { from: to, mark });
             }
         }
     }
@@ -126,23 +128,23 @@
                 node.pulled(now, &peer(from), outcome)
             }
         };
-        self.carry_out(to, actions);
+        self.execute(to, actions);
     }
 
-    fn post(&mut self, to: usize, event: Event) {
+    fn schedule(&mut self, to: usize, event: Event) {
         self.order += 1;
-        let key = (self.now + DELIVERY, self.order);
+        let key = (self.now + DELIVERY_TIME, self.order);
         self.events.insert(key, (to, event));
     }
 
-    fn carry_out(&mut self, index: usize, actions: Vec<Action>) {
+    fn execute(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Pull { peer, .. } => {
                     let from = peer.address.port() as usize - 7_000;
                     let answers = self.running.contains(&from);
                     let mark = answers.then(|| self.nodes[from].mark(self.now));
-                    self.post(index, Event::Pulled { from, mark });
+                    self.schedule(index, Event::Pulled { from, mark });
                 }
                 Action::PutInForce => self.put_in_force(index),
                 Action::Announce { peers } => {
@@ -150,7 +152,7 @@
                     for peer in peers {
                         self.announcements += 1;
                         let to = peer.address.port() as usize - 7_000;
-                        self.post(to, Event::Heard { from: index, mark });
+                        self.schedule(to, Event::Heard { from: index, mark });
                     }
                 }
             }
@@ -159,52 +161,55 @@
 
     fn put_in_force(&mut self, index: usize) {
         let revision = self.nodes[index].revision_held();
-        self.went_back |= revision < self.in_force[index];
+        self.has_decreased |= revision < self.in_force[index];
         self.in_force[index] = revision;
         let actions = self.nodes[index].in_force(revision);
-        self.carry_out(index, actions);
+        self.execute(index, actions);
     }
 
     fn run_until(&mut self, condition: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !condition(self) {
             let limit = Duration::from_secs(30);
-            assert!(self.now.since(start) < limit, "not within {limit:?}");
+            assert!(
+                self.now.since(start) < limit,
+                "condition did not hold within {limit:?}"
+            );
             self.step();
         }
         self.now.since(start)
     }
 
-    fn all_have(&self, revision: u64) -> bool {
+    fn all_have_in_force(&self, revision: u64) -> bool {
         let mut running = self.running.iter();
         running.all(|index| self.in_force[*index] == revision)
     }
 }
 
 #[test]
-fn a_change_is_in_force_everywhere_within_five_seconds() {
+fn a_change_is_in_force_at_all_nodes_within_five_seconds() {
     let mut zone = Zone::new(64);
-    zone.run_until(|zone| zone.all_have(1));
+    zone.run_until(|zone| zone.all_have_in_force(1));
     zone.announcements = 0;
     zone.store = Some(2);
-    let took = zone.run_until(|zone| zone.all_have(2));
+    let took = zone.run_until(|zone| zone.all_have_in_force(2));
     println!(
-        "64 nodes after {took:?}, {} announcements",
+        "in force at 64 nodes after {took:?}, {} announcements",
         zone.announcements
     );
     assert!(took < Duration::from_secs(5));
-    assert!(!zone.went_back);
+    assert!(!zone.has_decreased);
 }
 
 #[test]
-fn a_restarted_node_takes_the_newest_of_its_peers_while_the_store_is_down() {
+fn a_restarted_node_uses_the_newest_revision_of_its_peers_while_the_store_is_down() {
     let mut zone = Zone::new(9);
-    zone.run_until(|zone| zone.all_have(1));
+    zone.run_until(|zone| zone.all_have_in_force(1));
     zone.store = None;
-    // Some have a newer revision than the others and have not yet told them.
+    // Three nodes have a newer revision than the others and have not announced it yet.
     for index in [6, 7, 8] {
         let actions = zone.nodes[index].store_read(zone.now, 5);
-        zone.carry_out(index, actions);
+        zone.execute(index, actions);
     }
     zone.events.clear();
     zone.restart(3, 99);
@@ -213,7 +218,7 @@
 }
 
 #[test]
-fn nodes_that_all_restarted_without_a_store_are_not_ready() {
+fn nodes_that_all_restarted_without_a_store_do_not_complete_recovery() {
     let mut zone = Zone::new(5);
     zone.store = None;
     for _ in 0..200 {
@@ -221,11 +226,11 @@
     }
     assert!(zone.nodes.iter().all(|node| !node.is_recovered()));
     zone.store = Some(3);
-    zone.run_until(|zone| zone.all_have(3));
+    zone.run_until(|zone| zone.all_have_in_force(3));
 }
 
 #[test]
-fn a_revision_that_does_not_validate_is_not_asked_for_again() {
+fn an_invalid_revision_is_not_pulled_again() {
     let mut node = Spread::new(SpreadSettings::default(), 1);
     let now = Timestamp::from_millis(1);
     let view = View {
@@ -250,9 +255,9 @@
 }
 
 #[test]
-fn staleness_follows_the_confirmations_of_others() {
+fn staleness_is_reset_by_the_confirmations_of_peers() {
     let mut zone = Zone::new(3);
-    zone.run_until(|zone| zone.all_have(1));
+    zone.run_until(|zone| zone.all_have_in_force(1));
     let mark = Mark {
         revision: 1,
         confirmation_age: Duration::from_secs(1),
@@ -287,10 +292,10 @@
 proptest! {
     #![proptest_config(fixed_cases(1))]
 
-    /// Whatever stops, restarts and changes, no node goes back, and once all is well every node
-    /// has the newest.
+    /// No node returns to an older revision after any sequence of stops, restarts and changes. Once
+    /// all nodes and the store run again, every node has the newest revision in force.
     #[test]
-    fn no_node_goes_back(faults in vec(fault(), 1..30)) {
+    fn no_node_returns_to_an_older_revision(faults in vec(fault(), 1..30)) {
         let mut zone = Zone::new(7);
         let mut newest = 1;
         for (seed, fault) in faults.into_iter().enumerate() {
@@ -308,15 +313,15 @@
                 Fault::Wait => (0..20).for_each(|_| zone.step()),
             }
             zone.step();
-            prop_assert!(!zone.went_back);
+            prop_assert!(!zone.has_decreased);
         }
         zone.store = Some(newest);
         zone.running = (0..7).collect();
-        zone.run_until(|zone| zone.all_have(newest));
+        zone.run_until(|zone| zone.all_have_in_force(newest));
     }
 }
 
-/// Peers that a step asks, with the revision that each is told is held.
+/// Returns the peers of all pulls, each with the revision that the pull states as held.
 fn pulls(actions: &[Action]) -> Vec<(Peer, u64)> {
     let pull = |action: &Action| match action {
         Action::Pull {
@@ -329,7 +334,7 @@
 }
 
 #[test]
-fn a_node_that_holds_nothing_asks_one_peer_at_a_time_and_another_after_each() {
+fn a_node_without_a_document_pulls_from_one_peer_at_a_time() {
     let mut node = Spread::new(SpreadSettings::default(), 1);
     let view = View {
         is_watcher: false,
@@ -343,12 +348,17 @@
     let now = Timestamp::from_millis(1_000);
     let first = pulls(&node.tick(now, view.clone()));
     assert_eq!(first, [(peer(1), 0)]);
-    // The first is recovering itself.
+    // The first peer is itself recovering.
     node.pulled(now, &peer(1), PullOutcome::Held(mark(0)));
     let second = pulls(&node.tick(now, view.clone()));
     assert_eq!(second, [(peer(2), 0)]);
     node.pulled(now, &peer(2), PullOutcome::Held(mark(5)));
-    let rest = pulls(&node.tick(now, view));
-    assert_eq!(rest.len(), SpreadSettings::default().recovery_parallelism);
-    assert!(rest.iter().all(|(_, held_revision)| *held_revision == 5));
+    let remaining = pulls(&node.tick(now, view));
+    assert_eq!(
+        remaining.len(),
+        SpreadSettings::default().recovery_parallelism
+    );
+    assert!(remaining
+        .iter()
+        .all(|(_, held_revision)| *held_revision == 5));
 }
--- a/crates/engine/src/blocks.rs
+++ b/crates/engine/src/blocks.rs
@@ -1,16 +1,16 @@
-//! How the engine protocol names the blocks of a prompt: by hashes that cover everything before
-//! them, so that a run of known hashes from the start is a cached prefix.
+//! Hashes of prompt blocks in the engine protocol. Each hash covers its block and everything before
+//! it, so that the known hashes at the start of a prompt identify a cached prefix.
 
 use tansyhall_core::hash::rendezvous_weight;
 
-/// Tokens in one block.
+/// The number of tokens in a block.
 pub const BLOCK_TOKENS: u32 = 16;
 
-/// Identifies a block by its content and everything before it.
+/// The hash of a block and everything before it.
 pub type BlockHash = u64;
 
-/// The hashes of a prompt's whole blocks, from the first on. `model` keeps equal prompts of
-/// different models apart.
+/// Returns the hashes of a prompt's complete blocks in order. `model` is included in the hashes, so
+/// that equal prompts of different models have different hashes.
 pub fn block_hashes(model: &str, prompt: &str) -> Vec<BlockHash> {
     let words: Vec<&str> = prompt.split_whitespace().collect();
     let mut previous = rendezvous_weight(model.as_bytes(), &[]);
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,8 +1,10 @@
-//! The engine client. Its errors say whether the work may have run: a refused or never-connected
-//! request did not; anything after the first byte was sent may have.
+//! The engine client. Its errors state whether the work may have run: a request that was refused or
+//! for which no connection was made has not run. Any other failure occurs after the first byte was
+//! sent, so that the work may have run.
 //!
-//! Refusals, orders' replies, handles and reports bear nothing of their questions. Each call has a
-//! connection of its own, so that an answer that comes late or twice is read by nobody.
+//! Refusals, answers to orders, handles and reports contain nothing that identifies the request
+//! they answer. Each call therefore uses a separate connection, so that a late or duplicate answer
+//! is never read.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -24,35 +26,38 @@
 use crate::sse::{SseDecoder, SseError};
 use crate::transport::{connector, never_sent};
 
-/// Largest control answer read, in bytes.
+/// The maximum size of an answer to a control call, in bytes.
 const MAX_CONTROL_BODY_BYTES: usize = 1 << 20;
 
-/// No limit on connections: requests in progress are limited before they come here.
-const NO_LIMIT: usize = 0;
-/// Most connections for control calls.
+/// The connection limit of the client for work; zero means no limit. The number of requests in
+/// progress is limited before they reach this client.
+const UNLIMITED_CONNECTIONS: usize = 0;
+/// The maximum number of connections for control calls.
 const MAX_CONTROL_CONNECTIONS: usize = 128;
 
-/// What went wrong with a call to an engine.
+/// The error of a call to an engine.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum EngineError {
     /// No connection could be made.
     #[error("no connection to the engine: {0}")]
     Unreachable(String),
-    /// The engine accepts no work now, because it is draining or changing; it did not begin.
+    /// The engine accepts no work now, because it is draining or carrying out an order. It has not
+    /// started the work.
     #[error("the engine accepts no work now: {0}")]
     Unavailable(String),
-    /// The engine refused the work before beginning it.
+    /// The engine refused the work before starting it.
     #[error("the engine refused: {0}")]
     Refused(String),
-    /// The request was rejected as malformed or unknown; trying elsewhere will not help.
+    /// The request was rejected as malformed or unknown. A retry at another engine would fail as
+    /// well.
     #[error("the engine rejected the request with status {status}: {message}")]
     Rejected {
-        /// HTTP status.
+        /// The HTTP status.
         status: u16,
-        /// The engine's words.
+        /// The engine's error message.
         message: String,
     },
-    /// The connection broke, or timed out, after the request was sent.
+    /// The connection was closed or timed out after the request was sent.
     #[error("the answer broke off: {0}")]
     Broken(String),
     /// A chunk belongs to another request, is out of order, or is malformed.
@@ -61,12 +66,12 @@
 }
 
 impl EngineError {
-    /// Whether the work may have run, in part or whole.
+    /// Returns whether the work may have run, partially or completely.
     pub fn may_have_run(&self) -> bool {
         matches!(self, EngineError::Broken(_) | EngineError::Mismatch(_))
     }
 
-    /// The error's name in metrics.
+    /// Returns the error's label value in metrics.
     pub const fn name(&self) -> &'static str {
         match self {
             EngineError::Unreachable(_) => "unreachable",
@@ -94,7 +99,7 @@
     }
 }
 
-/// A client of one worker thread; cheap to clone within it.
+/// An engine client for one worker thread. It is cheap to clone within the thread.
 #[derive(Clone)]
 pub struct EngineClient {
     work: awc::Client,
@@ -102,9 +107,9 @@
 }
 
 impl EngineClient {
-    /// A client that gives up connecting after `connect_timeout`. Work holds as many connections
-    /// as there are requests in progress; control calls have connections of their own, so that
-    /// work never keeps them waiting.
+    /// Creates a client whose attempts to connect fail after `connect_timeout`. Work uses as many
+    /// connections as there are requests in progress. Control calls use a separate set of
+    /// connections, so that work never delays them.
     pub fn new(connect_timeout: Duration) -> Self {
         let client = |max_connections| {
             awc::Client::builder()
@@ -114,12 +119,12 @@
                 .finish()
         };
         Self {
-            work: client(NO_LIMIT),
+            work: client(UNLIMITED_CONNECTIONS),
             control: client(MAX_CONTROL_CONNECTIONS),
         }
     }
 
-    /// Begins a completion and returns its stream once the engine has accepted it.
+    /// Starts a completion and returns its stream once the engine has accepted it.
     pub async fn complete(
         &self,
         address: SocketAddr,
@@ -137,10 +142,10 @@
             .limit(MAX_CONTROL_BODY_BYTES)
             .await
             .unwrap_or_default();
-        Err(refusal(status, &body))
+        Err(error_from_response(status, &body))
     }
 
-    /// Cancels a request; engines ignore identifiers they do not know.
+    /// Cancels a request. Engines ignore unknown request identifiers.
     pub async fn cancel(&self, address: SocketAddr, request_id: &str) -> Result<(), EngineError> {
         let url = format!("http://{address}{REQUESTS_PATH}/{request_id}");
         self.control
@@ -152,7 +157,7 @@
         Ok(())
     }
 
-    /// Sends an order.
+    /// Sends an order and returns the engine's answer, which may be a error_from_response.
     pub async fn order(
         &self,
         address: SocketAddr,
@@ -161,8 +166,8 @@
         self.post_control(address, ORDERS_PATH, order).await
     }
 
-    /// Raises the engine's fence token and returns its state, or its refusal as a state whose
-    /// token is higher.
+    /// Raises the engine's fence token and returns the engine's state. If the engine refuses the
+    /// token, the returned state has a higher token.
     pub async fn seal(
         &self,
         address: SocketAddr,
@@ -182,7 +187,7 @@
         self.get_control(address, LOAD_PATH).await
     }
 
-    /// Reads the cache events after a sequence number.
+    /// Reads the cache events with sequence numbers larger than `after`.
     pub async fn cache_events(
         &self,
         address: SocketAddr,
@@ -192,7 +197,7 @@
         self.get_control(address, &path).await
     }
 
-    /// Asks for a handle to a request's KV cache.
+    /// Requests a handle to the KV cache of a request.
     pub async fn export_kv(
         &self,
         address: SocketAddr,
@@ -201,7 +206,8 @@
         self.post_control(address, KV_EXPORT_PATH, export).await
     }
 
-    /// Lets an engine fetch a KV cache from another; returns once it is there.
+    /// Makes an engine fetch a KV cache from another engine. Returns once the cache has been
+    /// imported.
     pub async fn import_kv(
         &self,
         address: SocketAddr,
@@ -210,7 +216,7 @@
         self.post_control(address, KV_IMPORT_PATH, import).await
     }
 
-    /// Reads the blocks behind a handle, as an importing engine does.
+    /// Reads the blocks of a handle, as an importing engine does.
     pub async fn read_kv(
         &self,
         address: SocketAddr,
@@ -252,7 +258,7 @@
     }
 }
 
-/// Longest wait for a control answer.
+/// The timeout of a control call.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn decode_control<R: DeserializeOwned>(
@@ -260,18 +266,18 @@
     body: Result<Bytes, String>,
 ) -> Result<R, EngineError> {
     let body = body.map_err(EngineError::Broken)?;
-    // Engines answer refused orders with a conflict whose body says why.
+    // Engines answer refused orders with status 409 and a body that states the reason.
     let decoded = serde_json::from_slice(&body);
     match (status, decoded) {
-        (StatusCode::CONFLICT, Err(_)) => Err(refusal(status, &body)),
+        (StatusCode::CONFLICT, Err(_)) => Err(error_from_response(status, &body)),
         (status, _) if !status.is_success() && status != StatusCode::CONFLICT => {
-            Err(refusal(status, &body))
+            Err(error_from_response(status, &body))
         }
         (_, decoded) => decoded.map_err(|error| EngineError::Mismatch(error.to_string())),
     }
 }
 
-fn refusal(status: StatusCode, body: &[u8]) -> EngineError {
+fn error_from_response(status: StatusCode, body: &[u8]) -> EngineError {
     if let Ok(refusal) = serde_json::from_slice::<Refusal>(body) {
         return match status {
             StatusCode::SERVICE_UNAVAILABLE => EngineError::Unavailable(refusal.reason),
@@ -291,15 +297,15 @@
 type ByteStream =
     std::pin::Pin<Box<dyn futures_util::Stream<Item = Result<Bytes, String>> + 'static>>;
 
-/// An engine's answer. Yields chunks that match the request, in order and without gaps; anything
-/// else ends the stream with [`EngineError::Mismatch`], never in a wrong delivery.
+/// The stream of an engine's answer. Yields only chunks that match the request, in order and
+/// without gaps. Any other chunk is not yielded and ends the stream with [`EngineError::Mismatch`].
 pub struct EngineStream {
     body: ByteStream,
     decoder: SseDecoder,
-    ready: VecDeque<EngineChunk>,
+    decoded_chunks: VecDeque<EngineChunk>,
     request_id: String,
     next_token: u32,
-    finished: bool,
+    is_finished: bool,
 }
 
 impl EngineStream {
@@ -307,25 +313,25 @@
         Self {
             body,
             decoder: SseDecoder::default(),
-            ready: VecDeque::new(),
+            decoded_chunks: VecDeque::new(),
             request_id: request.request_id.clone(),
             next_token: request.resume_after,
-            finished: false,
+            is_finished: false,
         }
     }
 
-    /// Tokens the caller has once every yielded chunk is delivered.
+    /// Returns the number of tokens that the caller has once all yielded chunks are delivered.
     pub fn next_token(&self) -> u32 {
         self.next_token
     }
 
-    /// The next chunk, or `None` after the last one.
+    /// Returns the next chunk, or `None` after the last one.
     pub async fn next(&mut self) -> Result<Option<EngineChunk>, EngineError> {
         loop {
-            if let Some(chunk) = self.ready.pop_front() {
-                return self.accept(chunk).map(Some);
+            if let Some(chunk) = self.decoded_chunks.pop_front() {
+                return self.check_chunk(chunk).map(Some);
             }
-            if self.finished {
+            if self.is_finished {
                 return Ok(None);
             }
             let Some(bytes) = self.body.next().await else {
@@ -340,19 +346,19 @@
                 }
                 let chunk = serde_json::from_str(&data)
                     .map_err(|error| EngineError::Mismatch(error.to_string()))?;
-                self.ready.push_back(chunk);
+                self.decoded_chunks.push_back(chunk);
             }
         }
     }
 
-    fn accept(&mut self, chunk: EngineChunk) -> Result<EngineChunk, EngineError> {
+    fn check_chunk(&mut self, chunk: EngineChunk) -> Result<EngineChunk, EngineError> {
         if chunk.id != self.request_id {
             return Err(EngineError::Mismatch(format!(
                 "a chunk of request {}",
                 chunk.id
             )));
         }
-        if self.finished || chunk.token_index != self.next_token {
+        if self.is_finished || chunk.token_index != self.next_token {
             let problem = format!(
                 "token {} where {} was due",
                 chunk.token_index, self.next_token
@@ -360,7 +366,7 @@
             return Err(EngineError::Mismatch(problem));
         }
         self.next_token = self.next_token.saturating_add(chunk.tokens);
-        self.finished = chunk.finish_reason.is_some();
+        self.is_finished = chunk.finish_reason.is_some();
         Ok(chunk)
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,5 +1,5 @@
-//! Engines as the system sees them: the wire types of their published protocol, and clients that
-//! turn every failure into a verdict on whether the work may have run.
+//! The wire types of the published engine protocol, and a client that classifies every failure by
+//! whether the work may have run.
 
 #![forbid(unsafe_code)]
 
--- a/crates/engine/src/protocol.rs
+++ b/crates/engine/src/protocol.rs
@@ -1,8 +1,8 @@
 //! Wire types of the engine protocol, documented in `docs/protocols/engine.md`.
 //!
-//! Work travels in the OpenAI completion shape with a few added fields; control travels as JSON
-//! under `/control`. Every order carries a fence token, an order identifier and the incarnation it
-//! is meant for, so that an engine can refuse what is stale without asking anyone.
+//! Work uses the format of OpenAI completions with a few additional fields. Control uses JSON under
+//! `/control`. Every order carries a fence token, an order identifier and the incarnation that it
+//! is addressed to, so that an engine can refuse a stale order without querying another process.
 
 use std::net::SocketAddr;
 
@@ -21,7 +21,7 @@
 pub const STATE_PATH: &str = "/control/state";
 /// Path of the engine's load report.
 pub const LOAD_PATH: &str = "/control/load";
-/// Path of the engine's cache events: `?after=N` asks for those with larger sequence numbers.
+/// Path of the engine's cache events. `?after=N` selects those with larger sequence numbers.
 pub const CACHE_EVENTS_PATH: &str = "/control/cache-events";
 /// Path that exports a request's KV cache.
 pub const KV_EXPORT_PATH: &str = "/control/kv/export";
@@ -31,34 +31,34 @@
 pub const KV_PATH: &str = "/control/kv/blocks";
 /// Prefix of the path that cancels one request: `DELETE {REQUESTS_PATH}/{id}`.
 pub const REQUESTS_PATH: &str = "/v1/requests";
-/// Last data line of a stream.
+/// The data line that ends a stream.
 pub const STREAM_DONE: &str = "[DONE]";
 
-/// Orders requests in an engine's queue; lower runs first.
+/// The priority of a request in an engine's queue. Lower values run first.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// A person is waiting at a counter.
+    /// A person is waiting for the answer.
     Interactive,
-    /// The default.
+    /// The default priority.
     #[default]
     Standard,
-    /// Nobody waits; runs when there is room.
+    /// Nobody is waiting for the answer. The request runs when there is free capacity.
     Batch,
 }
 
 /// One message of a chat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// `system`, `user` or `assistant`.
+    /// The role of the author: `system`, `user` or `assistant`.
     pub role: String,
-    /// The message's text.
+    /// The text of the message.
     pub content: String,
 }
 
-/// What a completion starts from.
+/// The input of a completion.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Prompt {
@@ -69,13 +69,13 @@
     },
     /// A chat completion.
     Chat {
-        /// The conversation so far.
+        /// The messages of the conversation.
         messages: Vec<ChatMessage>,
     },
 }
 
 impl Prompt {
-    /// The path that serves this kind of prompt.
+    /// Returns the path that serves this kind of prompt.
     pub fn path(&self) -> &'static str {
         match self {
             Prompt::Text { .. } => COMPLETIONS_PATH,
@@ -83,7 +83,8 @@
         }
     }
 
-    /// The text the engine reads, with chat messages joined by line breaks.
+    /// Returns the prompt as the text that the engine processes, with chat messages joined by line
+    /// breaks.
     pub fn flattened(&self) -> String {
         match self {
             Prompt::Text { prompt } => prompt.clone(),
@@ -98,32 +99,32 @@
     }
 }
 
-/// Estimates the tokens of a prompt as its whitespace-separated words.
+/// Estimates the number of tokens of a prompt as its number of whitespace-separated words.
 pub fn estimate_tokens(text: &str) -> u32 {
     u32::try_from(text.split_whitespace().count()).unwrap_or(u32::MAX)
 }
 
-/// A completion request to an engine; the answer is always a stream.
+/// A completion request to an engine. The answer is always a stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineRequest {
-    /// The request's identifier; each chunk of the answer repeats it.
+    /// The identifier of the request. Each chunk of the answer repeats it.
     pub request_id: String,
     /// The model to run.
     pub model: ModelName,
     /// The adapter to apply, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// What to complete.
+    /// The prompt to complete.
     #[serde(flatten)]
     pub prompt: Prompt,
-    /// Most tokens to generate, counting those before `resume_after`.
+    /// The maximum number of tokens to generate, including those before `resume_after`.
     pub max_tokens: u32,
-    /// Always true: engines answer the system in streams only.
+    /// Always true: only streamed answers are requested from engines.
     pub stream: bool,
-    /// Queue order within the engine.
+    /// The priority in the engine's queue.
     #[serde(default)]
     pub priority: Priority,
-    /// Generated tokens that the caller already has; the answer starts after them.
+    /// The number of generated tokens that the caller already has. The answer starts after them.
     #[serde(default)]
     pub resume_after: u32,
 }
@@ -131,66 +132,70 @@
 /// One chunk of an engine's answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineChunk {
-    /// The request this chunk belongs to.
+    /// The identifier of the request that this chunk belongs to.
     pub id: String,
-    /// Index of the chunk's first token in the whole answer, from zero.
+    /// The zero-based index of the chunk's first token in the whole answer.
     pub token_index: u32,
-    /// Tokens in this chunk.
+    /// The number of tokens in this chunk.
     pub tokens: u32,
     /// The generated text.
     pub text: String,
-    /// Why generation ended; absent until the last chunk.
+    /// The reason why generation ended. Present only in the last chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_reason: Option<String>,
-    /// Prompt tokens served from the prefix cache; on the first chunk only.
+    /// The number of prompt tokens that were found in the prefix cache. Present only in the first
+    /// chunk.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cached_tokens: Option<u32>,
 }
 
-/// A fence token: grows with each change of authority over a pool.
+/// A fence token. It increases with each change of authority over a pool.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct FenceToken(pub u64);
 
-/// What an order asks an engine to do.
+/// The action that an order requests from an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "kebab-case")]
 pub enum OrderAction {
-    /// Refuse new work and let work in progress end.
+    /// Refuse new work and complete the work in progress.
     Drain,
     /// Accept new work again.
     Resume,
-    /// Change role; accepted only with no work in progress.
+    /// Change the role. Accepted only while no work is in progress.
     SetRole {
         /// The new role.
         role: Role,
     },
-    /// Load a model version in place of the current one; accepted only with no work in progress.
+    /// Replace the loaded model version with another one. Accepted only while no work is in
+    /// progress.
     LoadModel {
-        /// The model.
+        /// The name of the model.
         model: ModelName,
-        /// Its version.
+        /// The version of the model.
         version: String,
     },
-    /// Load an adapter beside those already loaded.
+    /// Load an adapter in addition to those already loaded.
     LoadAdapter {
-        /// The adapter's name.
+        /// The name of the adapter.
         adapter: String,
     },
 }
 
-/// A fenced order.
+/// An order with a fence token.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Repeating an order with the same identifier has no further effect.
+    /// The identifier of the order. Repeating an order with the same identifier has no further
+    /// effect.
     pub order_id: String,
-    /// The sender's authority.
+    /// The fence token of the sender's authority over the pool.
     pub fence_token: FenceToken,
-    /// The incarnation the sender observed; an engine that restarted since refuses.
+    /// The incarnation that the sender observed. An engine that has restarted since then refuses
+    /// the order.
     pub incarnation: Incarnation,
-    /// What to do.
+    /// The requested action.
     #[serde(flatten)]
     pub action: OrderAction,
 }
@@ -199,171 +204,175 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum OrderReply {
-    /// Begun now or before under the same identifier.
+    /// The engine has started the order, now or earlier under the same identifier.
     Accepted,
-    /// Refused: a higher token has been seen.
+    /// Refused: a higher token has been received.
     StaleToken {
-        /// The highest token seen.
+        /// The highest token received.
         highest: FenceToken,
     },
     /// Refused: another order is being carried out.
     Busy {
-        /// That order.
+        /// The identifier of that order.
         order_id: String,
     },
     /// Refused: requests are in progress.
     WorkInProgress {
-        /// How many.
+        /// The number of requests in progress.
         requests: u32,
     },
-    /// Refused: the engine restarted since the sender looked.
+    /// Refused: the engine has restarted since the sender observed its incarnation.
     WrongIncarnation {
-        /// The present incarnation.
+        /// The current incarnation.
         incarnation: Incarnation,
     },
 }
 
-/// Raises the engine's fence token.
+/// A request to raise the engine's fence token, after which orders with a lower token are refused.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Seal {
-    /// The new holder's token.
+    /// The token of the new holder of the authority.
     pub fence_token: FenceToken,
 }
 
-/// An engine's control state.
+/// The control state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The engine's name.
+    /// The name of the engine.
     pub engine: EngineName,
-    /// Grows with each restart of the engine.
+    /// The incarnation. It increases with each restart of the engine.
     pub incarnation: Incarnation,
-    /// The role in force, or the one being left while an order is carried out.
+    /// The current role. While an order changes the role, this is the previous one.
     pub role: Role,
     /// The loaded model.
     pub model: ModelName,
-    /// The loaded model's version.
+    /// The version of the loaded model.
     pub version: String,
-    /// Loaded adapters.
+    /// The loaded adapters.
     pub adapters: Vec<String>,
-    /// The highest token seen.
+    /// The highest token received.
     pub fence_token: FenceToken,
     /// Whether new work is refused.
     pub draining: bool,
-    /// The order being carried out.
+    /// The identifier of the order being carried out.
     pub active_order: Option<String>,
-    /// The last order that was carried out to its end.
+    /// The identifier of the last order that was completed.
     pub last_order: Option<String>,
-    /// Requests in progress, queued ones included.
+    /// The number of requests in progress, including queued requests.
     pub requests: u32,
 }
 
-/// An engine's load, as of `age_ms` ago.
+/// The load of an engine as it was `age_ms` ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// How old the figures are, in milliseconds.
+    /// The age of the values, in milliseconds.
     pub age_ms: u64,
-    /// Requests generating or prefilling.
+    /// The number of requests that are generating or prefilling.
     pub running: u32,
-    /// Requests waiting.
+    /// The number of queued requests.
     pub queued: u32,
-    /// Prompt tokens still to prefill, over all requests.
+    /// The number of prompt tokens still to prefill, over all requests.
     pub pending_prefill_tokens: u64,
-    /// KV cache tokens in use.
+    /// The used capacity of the KV cache, in tokens.
     pub kv_used_tokens: u64,
-    /// KV cache tokens in all.
+    /// The total capacity of the KV cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Sequences being decoded.
+    /// The number of sequences being decoded.
     pub decoding: u32,
-    /// Requests whose prompts are not prefilled yet, in the batch or outside it.
+    /// The number of requests whose prompts are not prefilled yet, in the batch or outside it.
     pub waiting: u32,
-    /// Room in the batch, in sequences; negative when requests queue for it.
+    /// The free capacity of the batch, in sequences. Negative when requests are queued for the
+    /// batch.
     pub free_sequences: i64,
-    /// Tokens to prefill of all requests accepted since the start; falls only at a restart.
+    /// The total number of tokens to prefill of all requests accepted since the start. Decreases
+    /// only at a restart.
     pub accepted_prompt_tokens: u64,
-    /// The role in force.
+    /// The current role.
     pub role: Role,
-    /// Whether new work is accepted: the engine neither drains nor changes.
+    /// Whether new work is accepted: the engine is neither draining nor carrying out a change.
     pub accepts_work: bool,
 }
 
-/// Why an engine refused work that it did not begin.
+/// The answer of an engine that refused work without starting it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Always true, to tell this body from other errors.
+    /// Always true. Distinguishes this body from other errors.
     pub refused: bool,
-    /// The reason, for people.
+    /// The human-readable reason.
     pub reason: String,
 }
 
-/// What happened to a block of an engine's prefix cache.
+/// The kind of a change of a block in an engine's prefix cache.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheEventKind {
-    /// The block is held from now on.
+    /// The block was added to the cache.
     Stored,
-    /// The block is no longer held.
+    /// The block was removed from the cache.
     Evicted,
 }
 
 /// One cache event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Grows by one with each event of an incarnation; a gap means that events were lost.
+    /// The sequence number. It increases by one with each event of an incarnation. A gap means that
+    /// events were lost.
     pub sequence: u64,
-    /// What happened.
+    /// The kind of change.
     pub kind: CacheEventKind,
-    /// The block's hash, which covers everything before the block.
+    /// The hash of the block, which also covers everything before the block.
     pub block: u64,
 }
 
-/// Cache events in order of their sequence numbers; they may be late and have gaps.
+/// Cache events in order of their sequence numbers. They may be late and may have gaps.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The incarnation they belong to; a new one holds nothing of what an earlier one held.
+    /// The incarnation that the events belong to. The cache of a new incarnation is initially
+    /// empty.
     pub incarnation: Incarnation,
     /// The events.
     pub events: Vec<CacheEvent>,
 }
 
-/// Asks for a handle to a request's KV cache.
+/// A request for a handle to the KV cache of a completion request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// The request, which has generated a token at this engine.
+    /// The identifier of the completion request, which must have generated a token at this engine.
     pub request_id: String,
 }
 
 /// A handle to an exported KV cache.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvHandle {
-    /// Names the cache at the engine that exported it.
+    /// The identifier of the cache at the engine that exported it.
     pub handle: String,
-    /// The incarnation that exported it; the handle ends with it.
+    /// The incarnation that exported the cache. The handle is valid only during this incarnation.
     pub incarnation: Incarnation,
-    /// Tokens in the cache.
+    /// The number of tokens in the cache.
     pub tokens: u32,
 }
 
-/// Orders a KV cache to be fetched from another engine.
+/// A request to fetch a KV cache from another engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvImport {
-    /// The exporting engine.
+    /// The address of the exporting engine.
     pub source: SocketAddr,
-    /// Its handle.
+    /// The handle of the cache at the exporting engine.
     pub handle: KvHandle,
 }
 
-/// The answer to an import that has ended.
+/// The answer to an import that has completed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvImported {
-    /// Tokens imported.
+    /// The number of imported tokens.
     pub tokens: u32,
 }
 
-/// What one engine hands to another for a handle.
+/// The blocks that one engine sends to another for a handle.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvBlocks {
-    /// The incarnation that hands it over.
+    /// The incarnation that sends the blocks.
     pub incarnation: Incarnation,
-    /// The cache's blocks, by hash, from the first on.
+    /// The hashes of the cache's blocks, in order from the first block.
     pub blocks: Vec<u64>,
 }
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -1,9 +1,10 @@
-//! Connections to back ends whose end is never taken for the end of an answer.
+//! Connections to back ends that report their closing as an error, so that it is never mistaken for
+//! the end of an answer.
 //!
-//! The HTTP client library ends a body without an error when the connection closes between two of
-//! its chunks, so that a cut answer would pass for a whole one. These connections report their end
-//! as an error instead; an answer that is whole has said so before. An answer whose only end is
-//! that of its connection cannot be told from a cut one, and fails.
+//! The HTTP client library ends a body without an error when the connection is closed between two
+//! of its chunks, so that a truncated answer would be accepted as complete. A complete answer
+//! declares its end in the body before the connection is closed. An answer whose end is marked only
+//! by the closing of the connection cannot be distinguished from a truncated one, and fails.
 
 use std::io;
 use std::pin::Pin;
@@ -17,8 +18,9 @@
 use awc::http::Uri;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Whether a failed request was certainly not sent. The HTTP client library uses its connect error
-/// `Disconnected` for connections that closed after the request had been sent, too.
+/// Returns whether a failed request was certainly not sent. The connect error `Disconnected` does
+/// not show this: the HTTP client library also uses it for connections that were closed after the
+/// request had been sent.
 pub fn never_sent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Connect(cause) => !matches!(cause, ClientConnectError::Disconnected),
@@ -26,8 +28,8 @@
     }
 }
 
-/// A connector that gives up after `connect_timeout` and holds at most `max_connections`
-/// connections, or any number if that is zero.
+/// Returns a connector whose attempts to connect fail after `connect_timeout`. It holds at most
+/// `max_connections` connections, or any number if that is zero.
 pub fn connector(
     connect_timeout: Duration,
     max_connections: usize,
@@ -49,7 +51,7 @@
         .limit(max_connections)
 }
 
-/// A connection that reports its end as an error.
+/// A connection that reports its closing as an error.
 #[derive(Debug)]
 pub struct BackendConnection {
     stream: TcpStream,
--- a/crates/engine/tests/second_answers.rs
+++ b/crates/engine/tests/second_answers.rs
@@ -1,4 +1,4 @@
-//! A late or second answer of an engine is never taken for the answer to another call.
+//! A late or duplicate answer of an engine is never accepted as the answer to another call.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn answer(status: u16, body: &impl serde::Serialize) -> Answer {
-    (status, serde_json::to_vec(body).expect("encodes"))
+    (status, serde_json::to_vec(body).expect("answer encodes"))
 }
 
 fn client() -> EngineClient {
@@ -32,7 +32,7 @@
 }
 
 #[actix_rt::test]
-async fn a_refused_order_does_not_take_the_second_answer_of_an_accepted_one() {
+async fn a_refused_order_does_not_receive_the_duplicate_answer_of_an_accepted_order() {
     let stale = OrderReply::StaleToken {
         highest: FenceToken(4),
     };
@@ -57,7 +57,7 @@
 }
 
 #[actix_rt::test]
-async fn the_handle_of_one_requests_cache_is_not_taken_for_anothers() {
+async fn the_cache_handle_of_one_request_is_not_accepted_for_another_request() {
     for second in Second::ALL {
         let answers = vec![answer(200, &handle("h-1")), answer(200, &handle("h-2"))];
         let engine = TwiceAnswering::start(second, answers);
@@ -74,8 +74,8 @@
 }
 
 #[actix_rt::test]
-async fn an_import_is_not_acknowledged_by_the_one_before() {
-    let source: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+async fn an_import_is_not_acknowledged_by_the_answer_to_the_previous_import() {
+    let source: SocketAddr = "127.0.0.1:1".parse().expect("valid address");
     let import = |name: &str| KvImport {
         source,
         handle: handle(name),
@@ -121,7 +121,7 @@
 }
 
 #[actix_rt::test]
-async fn an_accepted_completion_does_not_take_the_second_refusal_of_another() {
+async fn an_accepted_completion_does_not_receive_the_duplicate_refusal_of_another() {
     for second in Second::ALL {
         let answers = vec![
             answer(503, &refusal("draining")),
@@ -141,7 +141,7 @@
 }
 
 #[actix_rt::test]
-async fn an_older_report_is_not_taken_for_a_new_one() {
+async fn an_older_report_is_not_accepted_as_a_new_one() {
     let report = |running| LoadReport {
         running,
         ..LoadReport::default()
--- a/crates/membership/src/backends.rs
+++ b/crates/membership/src/backends.rs
@@ -1,65 +1,67 @@
-//! Back ends whose machines are about to be taken away. The member that reads the platform's list
-//! of machines marks them, and the marks spread through the zone like changes of members.
+//! Marks of back ends whose machines are about to be withdrawn. The member that reads the
+//! platform's list of machines creates the marks, and they are propagated through the zone like
+//! changes of members.
 
 use std::collections::BTreeMap;
 
 use tansyhall_core::hash::rendezvous_weight;
 use tansyhall_core::EngineName;
 
-/// What is known about the leaving of one back end.
+/// States whether a back end is leaving.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendMark {
-    /// The back end.
+    /// The name of the back end.
     pub name: EngineName,
-    /// Whether it is about to be taken away: no new work for it.
+    /// Whether its machine is about to be withdrawn. A leaving back end receives no new work.
     pub is_leaving: bool,
-    /// Of two marks of a back end the one with the larger version holds; it follows the wall clock
-    /// of the member that made the mark.
+    /// Of two marks of a back end, the one with the larger version applies. The version is derived
+    /// from the wall clock of the member that created the mark.
     pub version: u64,
 }
 
 /// A back end on the platform's list of machines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownBackend {
-    /// Its name.
+    /// The name of the back end.
     pub name: EngineName,
-    /// Whether its machine is about to be taken away.
+    /// Whether its machine is about to be withdrawn.
     pub leaving: bool,
 }
 
-/// The newest mark of each back end that was ever leaving.
+/// The newest mark of each back end that has ever been marked as leaving.
 #[derive(Debug, Default)]
 pub(crate) struct BackendMarks {
     marks: BTreeMap<EngineName, BackendMark>,
 }
 
 impl BackendMarks {
-    /// Takes a mark if it is newer than the one held; says whether it was taken. When there is no
-    /// room, the oldest mark makes place.
-    pub(crate) fn offer(&mut self, mark: &BackendMark, capacity: usize) -> bool {
-        let held = self.marks.get(&mark.name);
-        if held.is_some_and(|held| held.version >= mark.version) {
+    /// Stores a mark if it is newer than the stored one, and returns whether it was stored. If the
+    /// capacity is reached, the oldest mark is evicted.
+    pub(crate) fn insert_if_newer(&mut self, mark: &BackendMark, capacity: usize) -> bool {
+        let stored = self.marks.get(&mark.name);
+        if stored.is_some_and(|stored| stored.version >= mark.version) {
             return false;
         }
-        if held.is_none() && self.marks.len() >= capacity {
+        if stored.is_none() && self.marks.len() >= capacity {
             self.evict_oldest();
         }
         self.marks.insert(mark.name.clone(), mark.clone());
         true
     }
 
-    /// The mark that the list calls for, if it says anything new.
-    pub(crate) fn observe(&self, backend: &KnownBackend, version: u64) -> Option<BackendMark> {
-        let held = self.marks.get(&backend.name);
-        let is_marked = held.is_some_and(|mark| mark.is_leaving);
+    /// Returns a new mark for a back end if its state on the platform's list differs from the
+    /// stored mark.
+    pub(crate) fn new_mark(&self, backend: &KnownBackend, version: u64) -> Option<BackendMark> {
+        let stored = self.marks.get(&backend.name);
+        let is_marked = stored.is_some_and(|mark| mark.is_leaving);
         if is_marked == backend.leaving {
             return None;
         }
-        let after_held = held.map_or(0, |mark| mark.version.saturating_add(1));
+        let after_stored = stored.map_or(0, |mark| mark.version.saturating_add(1));
         Some(BackendMark {
             name: backend.name.clone(),
             is_leaving: backend.leaving,
-            version: version.max(after_held),
+            version: version.max(after_stored),
         })
     }
 
@@ -71,7 +73,7 @@
         self.marks.values()
     }
 
-    /// A hash of all marks that does not depend on their order.
+    /// Returns a hash of all marks that does not depend on their order.
     pub(crate) fn hash(&self) -> u64 {
         let marks = self.marks.values();
         let hashes =
--- a/crates/membership/src/detect.rs
+++ b/crates/membership/src/detect.rs
@@ -1,4 +1,5 @@
-//! Failure detection: one probe a period, indirect probes, suspicion, death.
+//! The SWIM failure detector: one probe per period, indirect probes, suspicion, and declaring
+//! members dead.
 
 use tansyhall_core::{NodeId, Timestamp};
 
@@ -8,7 +9,7 @@
 use crate::probe::Probe;
 
 impl Membership {
-    pub(crate) fn expire(&mut self, now: Timestamp) {
+    pub(crate) fn expire_members(&mut self, now: Timestamp) {
         for mut record in self.table.due(now) {
             if record.state == MemberState::Dead {
                 self.table.remove(&record.name);
@@ -32,11 +33,11 @@
             return;
         }
         if probe.indirect_at.is_some_and(|due| now >= due) {
-            self.probe_indirectly(now, &probe);
+            self.send_indirect_probes(now, &probe);
         }
     }
 
-    fn probe_indirectly(&mut self, now: Timestamp, probe: &Probe) {
+    fn send_indirect_probes(&mut self, now: Timestamp, probe: &Probe) {
         if let Some(current) = &mut self.prober.current {
             current.indirect_at = None;
         }
@@ -47,33 +48,33 @@
             sequence: probe.sequence,
             target: target.addresses.peers,
         };
-        for helper in self.random_others(self.settings.indirect_probes, &probe.target) {
+        for helper in self.random_members(self.settings.indirect_probes, &probe.target) {
             self.send(now, &helper, body);
         }
     }
 
-    pub(crate) fn begin_probe(&mut self, now: Timestamp) {
+    pub(crate) fn start_probe(&mut self, now: Timestamp) {
         if now < self.timers.probe {
             return;
         }
         self.timers.probe = now + self.settings.probe_period;
         let table = &self.table;
         let own = &self.name;
-        let is_candidate = |name: &NodeId| {
+        let is_probe_candidate = |name: &NodeId| {
             let record = table.get(name);
             name != own && record.is_some_and(MemberRecord::is_reachable)
         };
-        let candidates = || {
+        let probe_candidates = || {
             let names = table.reachable().map(|record| record.name.clone());
             names.filter(|name| name != own).collect()
         };
         let target = self
             .prober
-            .next_target(&mut self.rng, candidates, is_candidate);
+            .next_target(&mut self.rng, probe_candidates, is_probe_candidate);
         let Some(record) = target.and_then(|name| self.table.get(&name).cloned()) else {
             return;
         };
-        let sequence = self.prober.sequence();
+        let sequence = self.prober.take_sequence();
         self.statistics.probes += 1;
         self.prober.current = Some(Probe {
             target: record.name.clone(),
@@ -84,7 +85,8 @@
         self.send(now, &record, Body::Ping { sequence });
     }
 
-    /// A member that fails a probe becomes suspect; one that was leaving has left.
+    /// Marks a member that failed a probe as suspect. A leaving member is declared dead at once,
+    /// since it has probably stopped.
     fn suspect(&mut self, now: Timestamp, name: &NodeId) {
         let Some(mut record) = self.table.get(name).cloned() else {
             return;
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,53 +1,56 @@
-//! What zones tell each other: a few figures and contacts, not every member.
+//! Zone digests, which zones exchange instead of their full member tables: a few figures and
+//! contacts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use tansyhall_core::{NodeId, ZoneName};
 
-/// A member of a zone that others may pull the configuration from.
+/// A member of a zone that nodes of other zones may pull the configuration from.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Contact {
-    /// Its name.
+    /// The name of the member.
     pub name: NodeId,
-    /// Where nodes reach it.
+    /// The address at which other nodes reach it.
     pub peers: SocketAddr,
-    /// Revision of the configuration in force there.
+    /// The revision of the configuration that it has in force.
     pub configuration_revision: u64,
 }
 
-/// Load of a zone's back ends, summed.
+/// The total load of a zone's back ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadSummary {
-    /// Back ends that take work.
+    /// The number of back ends that accept work.
     pub backends: u32,
-    /// Requests that wait.
+    /// The number of queued requests.
     pub queued: u32,
-    /// Requests in progress.
+    /// The number of requests in progress.
     pub running: u32,
 }
 
-/// What one zone tells the others about itself.
+/// A summary of one zone that is sent to the other zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ZoneDigest {
     /// The zone.
     pub zone: ZoneName,
-    /// Grows with time; of two digests of a zone the one with the larger version is kept. It
-    /// follows the relays' wall clocks, and a wrong clock only delays what is advice anyway.
+    /// Increases with time. Of two digests of a zone, the one with the larger version is kept. The
+    /// version is derived from the wall clocks of the zone's relays. A wrong clock only delays
+    /// updates, which is acceptable because digests are advisory.
     pub version: u64,
-    /// Members that answer.
+    /// The number of reachable members.
     pub live_members: u32,
-    /// Highest revision of the configuration in force at a member.
+    /// The highest revision of the configuration that a member has in force.
     pub configuration_revision: u64,
-    /// Members to contact.
+    /// Members that nodes of other zones may contact.
     pub contacts: Vec<Contact>,
-    /// Load of the zone's back ends.
+    /// The load of the zone's back ends.
     pub load: LoadSummary,
 }
 
 impl ZoneDigest {
-    /// Whether the zone's members should hear of this digest, `known` being what they have.
-    fn differs(&self, known: &ZoneDigest) -> bool {
+    /// Returns whether this digest must be propagated to the members of the receiving zone, which
+    /// have `known`. Differences of the load alone are not propagated.
+    fn differs_from(&self, known: &ZoneDigest) -> bool {
         self.live_members != known.live_members
             || self.contacts.len() != known.contacts.len()
             || self.configuration_revision != known.configuration_revision
@@ -60,44 +63,44 @@
     zones: BTreeMap<ZoneName, ZoneDigest>,
 }
 
-/// What became of a digest that was heard.
+/// The result of inserting a received digest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum DigestOutcome {
-    /// Nothing new, or no room.
+pub(crate) enum DigestUpdate {
+    /// The digest is not newer than the stored one, or the capacity is reached.
     Ignored,
-    /// Newer, but with the same content.
+    /// The digest is newer, but its content is the same.
     Refreshed,
-    /// New content.
+    /// The digest has new content.
     Changed,
 }
 
 impl ZoneDigests {
-    /// Keeps a digest if it is newer than the one held, and there is room for its zone.
-    pub(crate) fn offer(&mut self, digest: &ZoneDigest, capacity: usize) -> DigestOutcome {
+    /// Stores a digest if it is newer than the stored one. The digest of a further zone is ignored
+    /// if the capacity is reached.
+    pub(crate) fn insert_if_newer(&mut self, digest: &ZoneDigest, capacity: usize) -> DigestUpdate {
         let Some(known) = self.zones.get_mut(&digest.zone) else {
             if self.zones.len() >= capacity {
-                return DigestOutcome::Ignored;
+                return DigestUpdate::Ignored;
             }
             self.zones.insert(digest.zone.clone(), digest.clone());
-            return DigestOutcome::Changed;
+            return DigestUpdate::Changed;
         };
         if digest.version <= known.version {
-            return DigestOutcome::Ignored;
+            return DigestUpdate::Ignored;
         }
-        let changed = digest.differs(known);
+        let changed = digest.differs_from(known);
         *known = digest.clone();
         if changed {
-            return DigestOutcome::Changed;
+            return DigestUpdate::Changed;
         }
-        DigestOutcome::Refreshed
+        DigestUpdate::Refreshed
     }
 
-    /// The digest of a zone.
     pub(crate) fn get(&self, zone: &ZoneName) -> Option<&ZoneDigest> {
         self.zones.get(zone)
     }
 
-    /// Every digest, by zone name.
+    /// Returns all digests, ordered by zone name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &ZoneDigest> {
         self.zones.values()
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership of one zone's nodes: a failure detector in the manner of SWIM, incarnations, leaving
-//! marks, and compact digests between zones.
+//! Membership of the nodes of one zone: a SWIM failure detector, incarnations, leaving marks, and
+//! compact digests that zones exchange.
 //!
-//! Nothing here reads a clock, opens a socket or draws from a random source of its own: the caller
-//! hands in the time, the messages and a seed, and carries out the [`Action`]s that come back. The
-//! same code runs in a node, in virtual time and in hollow processes.
+//! This crate reads no clock, opens no socket and has no random source of its own. The caller
+//! passes the time, the received messages and a seed, and executes the returned [`Action`]s. The
+//! same code therefore runs in a node, in simulations in virtual time and in processes that run
+//! only part of a node.
 
 #![forbid(unsafe_code)]
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,63 +1,65 @@
-//! What is known about one member, and which of two records about it is the newer.
+//! Records of members, and the rule by which one record of a member supersedes another.
 
 use std::net::SocketAddr;
 
 use tansyhall_core::{Incarnation, NodeId, ZoneName};
 
-/// What a member is believed to be; of two records with the same incarnation, the later state in
-/// this order wins.
+/// The assumed state of a member. Of two records with the same incarnation, the one whose state
+/// comes later in this order applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer a probe, and may still refute that.
+    /// The member did not answer a probe, and can still refute the suspicion.
     Suspect,
-    /// It is stopping or its machine is about to be taken away: no new work for it.
+    /// The member is shutting down or its machine is about to be withdrawn. It receives no new
+    /// work.
     Leaving,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
 }
 
-/// Where a member is reached.
+/// The addresses of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct MemberAddresses {
-    /// By other nodes, over UDP and TCP.
+    /// The address for other nodes, over UDP and TCP.
     pub peers: SocketAddr,
-    /// By operators.
+    /// The address for operators.
     pub admin: SocketAddr,
-    /// By callers.
+    /// The address for callers.
     pub callers: SocketAddr,
 }
 
-/// What is said about one member.
+/// A statement about the state of one member, as members exchange it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its name.
+    /// The name of the member.
     pub name: NodeId,
-    /// Its zone.
+    /// The zone of the member.
     pub zone: ZoneName,
-    /// Where it is reached.
+    /// The addresses of the member.
     pub addresses: MemberAddresses,
-    /// Which run of the process, and which refutation of that run, this is about.
+    /// The incarnation that the record applies to. A member gets a larger one at each start of its
+    /// process and at each refutation.
     pub incarnation: Incarnation,
-    /// What it is believed to be.
+    /// The assumed state of the member.
     pub state: MemberState,
-    /// Revision of the configuration in force there, as last heard.
+    /// The last known revision of the configuration that the member has in force.
     pub configuration_revision: u64,
 }
 
 impl MemberRecord {
-    /// Whether this record replaces `other`, which is about the same member.
+    /// Returns whether this record replaces `other`, which must be a record of the same member.
     pub fn supersedes(&self, other: &MemberRecord) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 
-    /// Whether the member answers as far as is known, leaving or not.
+    /// Returns whether the member is not considered dead. A leaving member is reachable.
     pub fn is_reachable(&self) -> bool {
         self.state != MemberState::Dead
     }
 
-    /// Whether new work may be sent to it.
+    /// Returns whether new work may be sent to the member.
     pub fn takes_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,5 @@
-//! The membership state machine: its state, its timers and what it tells the node.
+//! The membership state machine: its state, its timers, and the actions that it returns to the
+//! node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,78 +15,80 @@
 use crate::message::{Body, ConfigurationMark, Message, Sender};
 use crate::probe::Prober;
 use crate::settings::MembershipSettings;
-use crate::table::{MemberTable, Outcome};
+use crate::table::{MemberTable, MergeOutcome};
 
-/// What the caller must do or may want to know.
+/// An action that the caller must execute, or an event that it may react to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a message.
     Send {
-        /// Where to.
+        /// The address of the receiver.
         to: SocketAddr,
         /// The message.
         message: Message,
     },
     /// A member's state changed, or a new member or incarnation appeared.
     StateChanged {
-        /// What is now known about it.
+        /// The new record of the member.
         record: MemberRecord,
-        /// Its state before; absent for a new member.
+        /// The previous state, or `None` for a new member.
         before: Option<MemberState>,
     },
-    /// A node was heard of directly, so its configuration is known.
+    /// A message was received directly from a node. It states the configuration that the node has
+    /// in force.
     Heard {
-        /// Who.
+        /// The sender.
         sender: Sender,
-        /// Where it sent from.
+        /// The address of the sender.
         from: SocketAddr,
     },
-    /// A message of a node of another fleet came, and was passed over.
+    /// A message from a node of another fleet was received and ignored.
     ForeignSender {
-        /// Where it came from.
+        /// The address of the sender.
         from: SocketAddr,
     },
-    /// A back end is leaving, or no longer is.
+    /// A back end has been marked as leaving, or the mark has been revoked.
     BackendChanged(BackendMark),
-    /// Others say that this node's machine is about to be taken away.
+    /// Other members report that this node's machine is about to be withdrawn.
     AskedToLeave,
 }
 
 /// A node on the platform's list of machines.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KnownMachine {
-    /// The node's name.
+    /// The name of the node.
     pub name: NodeId,
-    /// Its zone.
+    /// The zone of the node.
     pub zone: ZoneName,
-    /// Where nodes reach it.
+    /// The address at which other nodes reach it.
     pub peers: SocketAddr,
-    /// Whether it is about to be taken away.
+    /// Whether the machine is about to be withdrawn.
     pub leaving: bool,
 }
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Statistics {
-    /// Probes begun.
+    /// Probes started_at.
     pub probes: u64,
-    /// Probes that failed, directly and through others.
+    /// Probes that received neither a direct nor an indirect answer.
     pub failed_probes: u64,
-    /// Suspicions of this node that it refuted.
+    /// False statements about this node that it refuted.
     pub refutations: u64,
-    /// Members found dead by this node's own timers.
+    /// Members that this node declared dead because its own suspicion timer expired.
     pub deaths: u64,
-    /// Records refused because the table is full.
+    /// Records of new members that were refused because the table was full.
     pub refused_records: u64,
-    /// Times at which this process had not run for a while.
+    /// Pauses of this process, such as a suspended machine.
     pub pauses: u64,
 }
 
-/// A silence of the caller's timer longer than this many probe periods counts as a pause of this
-/// process: what others failed to answer meanwhile says nothing about them.
-const PAUSE_PERIODS: u32 = 2;
+/// If the time between two ticks exceeds this many probe periods, this process is assumed to have
+/// been paused. Answers that are missing from the time of the pause then say nothing about the
+/// other members.
+const PAUSE_THRESHOLD_PERIODS: u32 = 2;
 
-/// When each periodic task is due next.
+/// The time at which each periodic task is due next.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     pub(crate) probe: Timestamp,
@@ -116,22 +119,23 @@
     pub(crate) machines: BTreeMap<NodeId, KnownMachine>,
     pub(crate) leaving_marks: BTreeMap<NodeId, Incarnation>,
     pub(crate) configuration: ConfigurationMark,
-    pub(crate) configuration_at: Timestamp,
+    pub(crate) configuration_set_at: Timestamp,
     pub(crate) load: LoadSummary,
     pub(crate) first_incarnation: Incarnation,
-    pub(crate) started: Option<Timestamp>,
+    pub(crate) started_at: Option<Timestamp>,
     pub(crate) last_tick: Timestamp,
-    pub(crate) joined: bool,
-    pub(crate) notice_due: bool,
+    pub(crate) has_joined: bool,
+    pub(crate) is_notice_due: bool,
     pub(crate) statistics: Statistics,
 }
 
 impl Membership {
-    /// The membership of a node that knows only itself. Its incarnation must be larger than that
-    /// of every earlier run of the same name, such as the wall clock at start in microseconds.
+    /// Creates the membership of a node that knows only itself. The node's incarnation must be
+    /// larger than that of every earlier process of the same name. The wall clock at the start, in
+    /// microseconds, satisfies this.
     pub fn new(settings: MembershipSettings, own: MemberRecord, seed: u64) -> Self {
         let mut table = MemberTable::default();
-        table.offer(&own, None, settings.max_members);
+        table.merge(&own, None, settings.max_members);
         let mut broadcasts = BroadcastQueue::default();
         broadcasts.push(own.name.clone());
         Self {
@@ -152,18 +156,19 @@
             machines: BTreeMap::new(),
             leaving_marks: BTreeMap::new(),
             configuration: ConfigurationMark::default(),
-            configuration_at: Timestamp::default(),
+            configuration_set_at: Timestamp::default(),
             load: LoadSummary::default(),
             first_incarnation: own.incarnation,
-            started: None,
+            started_at: None,
             last_tick: Timestamp::default(),
-            joined: false,
-            notice_due: false,
+            has_joined: false,
+            is_notice_due: false,
             statistics: Statistics::default(),
         }
     }
 
-    /// Adds an address to contact while no member is known.
+    /// Adds an address to contact in order to join the zone or to find other zones. Does nothing if
+    /// the limit on contacts is reached.
     pub fn add_contact(&mut self, address: SocketAddr) {
         let is_room = self.contacts.len() < self.settings.max_contacts;
         let is_own = address == self.own().addresses.peers;
@@ -172,21 +177,22 @@
         }
     }
 
-    /// Runs what is due. The caller's timer should be a small fraction of the probe's timeout.
+    /// Runs all tasks that are due. The caller should call this at an interval that is a small
+    /// fraction of the probe timeout.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Action> {
         self.start_or_resume(now);
-        self.expire(now);
+        self.expire_members(now);
         self.advance_probe(now);
-        self.begin_probe(now);
+        self.start_probe(now);
         self.send_notices(now);
-        self.synchronise(now);
+        self.sync_with_random_member(now);
         self.reconnect(now);
         self.join(now);
-        self.exchange_digests(now);
+        self.send_digests(now);
         std::mem::take(&mut self.actions)
     }
 
-    /// Announces that this node is leaving: others give it no new work.
+    /// Announces that this node is leaving, so that other nodes send it no new work.
     pub fn leave(&mut self, now: Timestamp) -> Vec<Action> {
         let mut record = self.own().clone();
         record.state = MemberState::Leaving;
@@ -196,95 +202,103 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Says which configuration is in force here.
+    /// Sets the configuration that this node has in force.
     pub fn set_configuration(&mut self, now: Timestamp, mark: ConfigurationMark) {
         self.configuration = mark;
-        self.configuration_at = now;
+        self.configuration_set_at = now;
         let name = self.name.clone();
         if let Some(own) = self.table.get_mut(&name) {
             own.configuration_revision = mark.revision;
         }
     }
 
-    /// Says how loaded the zone's back ends are, as far as this node knows.
+    /// Sets the load of the zone's back ends as known to this node.
     pub fn set_load(&mut self, load: LoadSummary) {
         self.load = load;
     }
 
-    /// A short message that carries pending changes and the configuration's revision.
+    /// Returns a message that carries only pending changes and the revision of the configuration in
+    /// force.
     pub fn notice(&mut self, now: Timestamp) -> Message {
-        self.message(now, Body::Notice, None)
+        self.build_message(now, Body::Notice, None)
     }
 
-    /// This node's own record.
+    /// Returns this node's own record.
     pub fn own(&self) -> &MemberRecord {
         self.table
             .get(&self.name)
-            .expect("a node is always in its own table")
+            .expect("the member table always contains this node")
     }
 
-    /// Every member that is remembered, this node and the dead included, by name.
+    /// Returns all members in the table, ordered by name, including this node and dead members.
     pub fn members(&self) -> impl Iterator<Item = &MemberRecord> {
         self.table.records()
     }
 
-    /// Members that answer as far as is known, this node included.
+    /// Returns the members that are not considered dead, including this node.
     pub fn reachable(&self) -> impl Iterator<Item = &MemberRecord> {
         self.table.reachable()
     }
 
-    /// The newest digest of each other zone.
+    /// Returns the newest digest of each other zone.
     pub fn zone_digests(&self) -> impl Iterator<Item = &ZoneDigest> {
         self.digests.iter()
     }
 
-    /// Back ends that get no new work, because their machines are about to be taken away.
+    /// Returns the back ends that receive no new work because their machines are about to be
+    /// withdrawn.
     pub fn leaving_backends(&self) -> impl Iterator<Item = &EngineName> {
         let leaving = self.backends.iter().filter(|mark| mark.is_leaving);
         leaving.map(|mark| &mark.name)
     }
 
-    /// Whether a member has answered, or none is to be expected.
+    /// Returns whether this node has has_joined its zone, or no answer to its join requests is to
+    /// be expected: it has nobody to contact, or the grace period has passed.
     pub fn is_settled(&self, now: Timestamp) -> bool {
         let grace = self.settings.join_grace;
-        let waited = self.started.is_some_and(|started| now >= started + grace);
-        self.joined || waited || (self.contacts.is_empty() && self.machines.is_empty())
+        let waited = self
+            .started_at
+            .is_some_and(|started_at| now >= started_at + grace);
+        self.has_joined || waited || (self.contacts.is_empty() && self.machines.is_empty())
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start of the process.
     pub fn statistics(&self) -> Statistics {
         self.statistics
     }
 
     fn start_or_resume(&mut self, now: Timestamp) {
-        if self.started.is_none() {
-            self.started = Some(now);
+        if self.started_at.is_none() {
+            self.started_at = Some(now);
             self.last_tick = now;
-            self.stagger(now);
+            self.stagger_timers(now);
         }
         let pause = now.since(self.last_tick);
         self.last_tick = now;
-        if pause > self.settings.probe_period * PAUSE_PERIODS {
+        if pause > self.settings.probe_period * PAUSE_THRESHOLD_PERIODS {
             self.statistics.pauses += 1;
             self.prober.current = None;
             self.table.postpone_suspicions(pause);
         }
     }
 
-    /// Spreads the periodic tasks of many nodes that start together.
-    fn stagger(&mut self, now: Timestamp) {
-        let mut within = |period: Duration| now + period.mul_f64(self.rng.random::<f64>());
+    /// Sets the first due times at random, so that nodes that start together do not run their
+    /// periodic tasks in step.
+    fn stagger_timers(&mut self, now: Timestamp) {
+        let mut random_time_within =
+            |period: Duration| now + period.mul_f64(self.rng.random::<f64>());
         self.timers = Timers {
-            probe: within(self.settings.probe_period),
+            probe: random_time_within(self.settings.probe_period),
             notice: now,
-            sync: within(self.settings.sync_period),
-            reconnect: within(self.settings.reconnect_period),
+            sync: random_time_within(self.settings.sync_period),
+            reconnect: random_time_within(self.settings.reconnect_period),
             join: now,
-            digest: within(self.settings.digest_period),
+            digest: random_time_within(self.settings.digest_period),
         };
     }
 
-    /// Takes a record about another member or about this node's own leaving, and passes it on.
+    /// Merges a record of another member, or this node's own new record, into the table and queues
+    /// it for propagation if it changed the table.
     pub(crate) fn apply(&mut self, now: Timestamp, record: &MemberRecord) {
         let deadline = match record.state {
             MemberState::Alive | MemberState::Leaving => None,
@@ -295,28 +309,29 @@
             MemberState::Dead => Some(now + self.settings.dead_retention),
         };
         let capacity = self.settings.max_members;
-        match self.table.offer(record, deadline, capacity) {
-            Outcome::Ignored => {}
-            Outcome::Full => self.statistics.refused_records += 1,
-            Outcome::Taken(before) => {
+        match self.table.merge(record, deadline, capacity) {
+            MergeOutcome::Ignored => {}
+            MergeOutcome::Full => self.statistics.refused_records += 1,
+            MergeOutcome::Updated(before) => {
                 self.broadcasts.push(record.name.clone());
-                self.notice_due = true;
+                self.is_notice_due = true;
                 let record = record.clone();
                 self.actions.push(Action::StateChanged { record, before });
             }
         }
     }
 
-    /// Tells a few members of recent changes at once, instead of waiting for the next probes.
+    /// Sends recent changes to a few members at once, instead of waiting for the next probes to
+    /// carry them.
     fn send_notices(&mut self, now: Timestamp) {
-        if !self.notice_due || now < self.timers.notice {
+        if !self.is_notice_due || now < self.timers.notice {
             return;
         }
         self.timers.notice = now + self.settings.notice_period;
-        self.notice_due = false;
-        let message = self.message(now, Body::Notice, None);
+        self.is_notice_due = false;
+        let message = self.build_message(now, Body::Notice, None);
         let own = self.name.clone();
-        for record in self.random_others(self.settings.notice_fanout, &own) {
+        for record in self.random_members(self.settings.notice_fanout, &own) {
             self.actions.push(Action::Send {
                 to: record.addresses.peers,
                 message: message.clone(),
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between members. Each carries who sent it, what it asks or answers, and some changes
-//! that the sender has lately learned of.
+//! Messages between members. Each message carries its sender, a request or an answer, and some
+//! changes that the sender has recently learned of.
 
 use std::net::SocketAddr;
 
@@ -9,73 +9,73 @@
 use crate::digest::ZoneDigest;
 use crate::member::MemberRecord;
 
-/// The configuration that a member has in force.
+/// The revision of the configuration that a member has in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ConfigurationMark {
-    /// Its revision; zero for none.
+    /// The revision, or zero for none.
     pub revision: u64,
-    /// Time since it was last known to be the newest.
+    /// The time since the revision was last known to be the newest.
     pub confirmation_age: Duration,
 }
 
-/// Who sent a message.
+/// The sender of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sender {
-    /// Its fleet.
+    /// The fleet of the sender.
     pub fleet: FleetId,
-    /// Its name.
+    /// The name of the sender.
     pub name: NodeId,
-    /// Its zone.
+    /// The zone of the sender.
     pub zone: ZoneName,
-    /// Its incarnation.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The configuration that it has in force.
+    /// The configuration that the sender has in force.
     pub configuration: ConfigurationMark,
 }
 
-/// What a message asks or answers.
+/// The request or answer in a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Body {
-    /// Asks for an [`Body::Ack`] with the same sequence.
+    /// Requests a [`Body::Ack`] with the same sequence number.
     Ping {
-        /// Chosen by the sender.
+        /// The sequence number, chosen by the sender.
         sequence: u32,
     },
-    /// Answers a ping, sent directly or on someone's behalf.
+    /// Answers a ping that was sent directly or on behalf of another member.
     Ack {
-        /// The ping's sequence.
+        /// The sequence number of the ping.
         sequence: u32,
     },
-    /// Asks the receiver to ping `target` and pass the answer on.
+    /// Requests that the receiver pings `target` and forwards the answer.
     PingRequest {
-        /// Chosen by the sender.
+        /// The sequence number, chosen by the sender.
         sequence: u32,
-        /// Whom to ping.
+        /// The address to ping.
         target: SocketAddr,
     },
-    /// Asks for the member table.
+    /// Requests the member table.
     Join,
-    /// Asks for the member table if it differs from the sender's.
+    /// Requests the member table if it differs from the sender's.
     Sync {
-        /// Hash of the sender's table.
+        /// The hash of the sender's table.
         table_hash: u64,
     },
-    /// A part of the member table, in the updates.
+    /// The updates are a part of the member table.
     Table,
-    /// Nothing but the updates and digests.
+    /// The message contains neither a request nor an answer, only changes and digests.
     Notice,
 }
 
 /// A message between members.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// Who sent it.
+    /// The sender.
     pub sender: Sender,
-    /// What it asks or answers.
+    /// The request or answer.
     pub body: Body,
     /// Changes of members of the sender's zone.
     pub updates: Vec<MemberRecord>,
-    /// What is known about zones.
+    /// Digests of zones.
     pub digests: Vec<ZoneDigest>,
     /// Changes of back ends of the sender's zone.
     pub backends: Vec<BackendMark>,
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -7,20 +7,21 @@
 use rand_chacha::ChaCha8Rng;
 use tansyhall_core::{Incarnation, NodeId, Timestamp};
 
-/// A probe without an answer so far.
+/// A probe that has not been answered yet.
 #[derive(Debug, Clone)]
 pub(crate) struct Probe {
-    /// Whom it is about.
+    /// The probed member.
     pub(crate) target: NodeId,
-    /// The sequence that the answer repeats.
+    /// The sequence number, which the answer repeats.
     pub(crate) sequence: u32,
-    /// When to ask others to probe on one's behalf; absent once they were asked.
+    /// The time at which other members are requested to probe the target. `None` once they have
+    /// been requested.
     pub(crate) indirect_at: Option<Timestamp>,
-    /// When the probe has failed.
+    /// The time at which the probe fails if it has not been answered.
     pub(crate) fails_at: Timestamp,
 }
 
-/// A probe carried out for someone else.
+/// A probe sent on behalf of another member.
 #[derive(Debug, Clone, Copy)]
 struct RelayedProbe {
     requester: SocketAddr,
@@ -28,52 +29,54 @@
     expires_at: Timestamp,
 }
 
-/// Whom to probe next, and what is in progress.
+/// Selects the members to probe, and holds the probes in progress.
 #[derive(Debug, Default)]
 pub(crate) struct Prober {
     /// The probe of this period.
     pub(crate) current: Option<Probe>,
-    round: Vec<NodeId>,
-    next_sequence: u32,
-    relayed: HashMap<u32, RelayedProbe>,
+    remaining_targets: Vec<NodeId>,
+    last_sequence: u32,
+    relayed_probes: HashMap<u32, RelayedProbe>,
 }
 
 impl Prober {
-    /// No probe yet. Numbers begin elsewhere in each life, so that a late answer to one is none to the
-    /// next: incarnations are microseconds.
+    /// Creates a prober without a probe in progress. The sequence numbers start at a different
+    /// value in each incarnation, so that a late answer to an earlier incarnation is not accepted.
+    /// They differ because an incarnation is a start time in microseconds.
     pub(crate) fn new(incarnation: Incarnation) -> Self {
         Self {
-            next_sequence: incarnation.0 as u32,
+            last_sequence: incarnation.0 as u32,
             ..Self::default()
         }
     }
 
-    /// A sequence not used lately.
-    pub(crate) fn sequence(&mut self) -> u32 {
-        self.next_sequence = self.next_sequence.wrapping_add(1);
-        self.next_sequence
+    /// Returns a sequence number that has not been used recently.
+    pub(crate) fn take_sequence(&mut self) -> u32 {
+        self.last_sequence = self.last_sequence.wrapping_add(1);
+        self.last_sequence
     }
 
-    /// The next member to probe. Every member has its turn once a round, in an order that is drawn
-    /// anew each round, which bounds the time until a dead one is probed.
+    /// Returns the next member to probe. Every member is probed once per round, in a new random
+    /// order each round. This bounds the time until a dead member is probed.
     pub(crate) fn next_target(
         &mut self,
         rng: &mut ChaCha8Rng,
-        candidates: impl Fn() -> Vec<NodeId>,
+        list_candidates: impl Fn() -> Vec<NodeId>,
         is_candidate: impl Fn(&NodeId) -> bool,
     ) -> Option<NodeId> {
-        while let Some(name) = self.round.pop() {
+        while let Some(name) = self.remaining_targets.pop() {
             if is_candidate(&name) {
                 return Some(name);
             }
         }
-        self.round = candidates();
-        self.round.shuffle(rng);
-        self.round.pop()
+        self.remaining_targets = list_candidates();
+        self.remaining_targets.shuffle(rng);
+        self.remaining_targets.pop()
     }
 
-    /// Remembers a probe made for someone else; refuses when too many are in progress.
-    pub(crate) fn relay(
+    /// Registers a probe on behalf of another member and returns its sequence number, or `None` if
+    /// `capacity` such probes are in progress.
+    pub(crate) fn register_relayed(
         &mut self,
         now: Timestamp,
         requester: SocketAddr,
@@ -81,34 +84,36 @@
         expires_at: Timestamp,
         capacity: usize,
     ) -> Option<u32> {
-        self.relayed.retain(|_, relayed| relayed.expires_at > now);
-        if self.relayed.len() >= capacity {
+        self.relayed_probes
+            .retain(|_, relayed| relayed.expires_at > now);
+        if self.relayed_probes.len() >= capacity {
             return None;
         }
-        let own = self.sequence();
+        let own_sequence = self.take_sequence();
         let probe = RelayedProbe {
             requester,
             sequence,
             expires_at,
         };
-        self.relayed.insert(own, probe);
-        Some(own)
+        self.relayed_probes.insert(own_sequence, probe);
+        Some(own_sequence)
     }
 
-    /// Whom to pass an answer on to, and the sequence it was asked with.
-    pub(crate) fn relayed(&mut self, sequence: u32) -> Option<(SocketAddr, u32)> {
-        let relayed = self.relayed.remove(&sequence)?;
+    /// Removes a probe on behalf of another member, and returns that member's address and its
+    /// sequence number.
+    pub(crate) fn take_relayed(&mut self, sequence: u32) -> Option<(SocketAddr, u32)> {
+        let relayed = self.relayed_probes.remove(&sequence)?;
         Some((relayed.requester, relayed.sequence))
     }
 
-    /// Whether the current probe is about `name` and has this sequence.
+    /// Returns whether an answer from `name` with this sequence number answers the current probe.
     pub(crate) fn is_answered_by(&self, name: &NodeId, sequence: u32) -> bool {
         let current = self.current.as_ref();
         current.is_some_and(|probe| probe.sequence == sequence && probe.target == *name)
     }
 
-    /// Ends the current probe if `sequence` answers it.
-    pub(crate) fn answer(&mut self, sequence: u32) {
+    /// Ends the current probe if it has this sequence number.
+    pub(crate) fn complete(&mut self, sequence: u32) {
         if self
             .current
             .as_ref()
--- a/crates/membership/src/repair.rs
+++ b/crates/membership/src/repair.rs
@@ -1,5 +1,5 @@
-//! What mends differences that single messages left behind: comparison of whole tables, and tries
-//! to reach those that are counted as dead or were never met.
+//! Repairs differences between members that single messages left behind: compares whole tables, and
+//! tries to reach members that are considered dead and contacts that were never reached.
 
 use std::net::SocketAddr;
 
@@ -10,37 +10,39 @@
 use crate::membership::Membership;
 
 impl Membership {
-    pub(crate) fn synchronise(&mut self, now: Timestamp) {
+    pub(crate) fn sync_with_random_member(&mut self, now: Timestamp) {
         if now < self.timers.sync {
             return;
         }
         self.timers.sync = now + self.settings.sync_period;
         let own = self.name.clone();
-        for record in self.random_others(1, &own) {
+        for record in self.random_members(1, &own) {
             self.send_sync(now, record.addresses.peers, Some(&record.name));
         }
     }
 
-    /// Tries one dead member or one address that is no member's, so that zones which were cut in
-    /// two find together again, and zones that know of each other only by a contact do at all.
+    /// Sends a sync request to a dead member or to an address at which no member is known. This
+    /// rejoins the two sides of a zone after a network partition, and connects zones that know of
+    /// each other only by a contact.
     pub(crate) fn reconnect(&mut self, now: Timestamp) {
         if now < self.timers.reconnect {
             return;
         }
         self.timers.reconnect = now + self.settings.reconnect_period;
-        let mut candidates = self.lost_addresses();
+        let mut candidates = self.unreachable_addresses();
         candidates.shuffle(&mut self.rng);
         if let Some(address) = candidates.pop() {
-            let at_address = |record: &&MemberRecord| record.addresses.peers == address;
-            let name = self.table.records().find(at_address);
+            let is_at_address = |record: &&MemberRecord| record.addresses.peers == address;
+            let name = self.table.records().find(is_at_address);
             let name = name.map(|record| record.name.clone());
             self.send_sync(now, address, name.as_ref());
         }
     }
 
-    /// Addresses where no reachable member is. Contacts may be in other zones, where the few nodes
-    /// that are everyone's contact would be asked by everyone; so only relays try those.
-    fn lost_addresses(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses at which no reachable member is known. Only relays include contacts:
+    /// contacts may be in other zones, and a few nodes that are the contact of every node would
+    /// otherwise receive requests from every node.
+    fn unreachable_addresses(&self) -> Vec<SocketAddr> {
         let known: Vec<SocketAddr> = self
             .table
             .reachable()
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,53 +1,57 @@
-//! Times and bounds of the failure detector.
+//! Settings of the membership protocol.
 
 use tansyhall_core::{Duration, FleetId};
 
-/// Times and bounds; the defaults fit zones of up to a few hundred nodes.
+/// Intervals, timeouts and limits of the membership protocol. The defaults suit zones of up to a
+/// few hundred nodes.
 #[derive(Debug, Clone)]
 pub struct MembershipSettings {
-    /// The node's fleet; messages of others are passed over.
+    /// The fleet of the node. Messages from other fleets are ignored.
     pub fleet: FleetId,
-    /// Time between probes; each probes one member.
+    /// The time between probes. Each probe is sent to one member.
     pub probe_period: Duration,
-    /// Time after which a probe without an answer is retried through other members.
+    /// The time after which an unanswered probe is retried through other members.
     pub probe_timeout: Duration,
-    /// Members asked to probe on one's behalf.
+    /// The number of members that are requested to probe a target indirectly.
     pub indirect_probes: usize,
-    /// Suspicion lasts this many probe periods, times the decimal logarithm of the zone's size.
+    /// A member stays suspect for this many probe periods, multiplied by the decimal logarithm of
+    /// the zone's size.
     pub suspicion_factor: u32,
-    /// Updates carried by one datagram at most.
+    /// The maximum number of updates in one datagram.
     pub max_updates: usize,
-    /// Zone digests carried by one datagram at most.
+    /// The maximum number of zone digests in one datagram.
     pub max_digests: usize,
-    /// Each update is carried this many times, times the binary logarithm of the zone's size.
+    /// Each update is sent this many times, multiplied by the number of binary digits of the zone's
+    /// size.
     pub retransmit_factor: u32,
-    /// Members that are told of a change at once.
+    /// The number of members that are notified of a change at once.
     pub notice_fanout: usize,
-    /// Shortest time between rounds of such notices.
+    /// The minimum time between rounds of such notices.
     pub notice_period: Duration,
-    /// Time between comparisons of the whole table with one other member.
+    /// The time between comparisons of the whole table with one other member.
     pub sync_period: Duration,
-    /// Time between tries to reach a dead member or a contact that is no member.
+    /// The time between attempts to reach a dead member or a contact that is not a member.
     pub reconnect_period: Duration,
-    /// Time between tries to join.
+    /// The time between attempts to join.
     pub join_period: Duration,
-    /// After this long without an answer to a join, the node counts itself as alone.
+    /// The time after which a node without an answer to its join requests considers itself the only
+    /// member.
     pub join_grace: Duration,
-    /// How long dead members are remembered.
+    /// How long dead members are kept in the table.
     pub dead_retention: Duration,
-    /// Most members remembered, dead ones included.
+    /// The maximum number of members in the table, including dead members.
     pub max_members: usize,
-    /// Most contacts remembered.
+    /// The maximum number of contacts.
     pub max_contacts: usize,
-    /// Members of a zone that exchange digests with other zones.
+    /// The number of members of a zone that exchange digests with other zones.
     pub relays: usize,
-    /// Time between digests to each other zone.
+    /// The time between digests to each other zone.
     pub digest_period: Duration,
-    /// Most other zones remembered.
+    /// The maximum number of other zones whose digests are kept.
     pub max_zones: usize,
-    /// Back ends remembered as leaving or as having left.
+    /// The maximum number of back ends for which a leaving mark, in force or revoked, is kept.
     pub max_backend_marks: usize,
-    /// Most probes carried out for others at once.
+    /// The maximum number of concurrent probes on behalf of other members.
     pub max_relayed_probes: usize,
 }
 
@@ -81,15 +85,17 @@
 }
 
 impl MembershipSettings {
-    /// How long a member of a zone with `members` members stays suspect before it counts as dead.
+    /// Returns how long a member of a zone with `members` members stays suspect before it is
+    /// declared dead.
     pub fn suspicion_timeout(&self, members: usize) -> Duration {
         let scale = (members.max(1) as f64).log10().max(1.0);
         self.probe_period
             .mul_f64(f64::from(self.suspicion_factor) * scale)
     }
 
-    /// How often an update is carried in a zone with `members` members.
-    pub fn transmissions(&self, members: usize) -> u32 {
+    /// Returns the number of messages that an update is included in, in a zone with `members`
+    /// members.
+    pub fn max_transmissions(&self, members: usize) -> u32 {
         self.retransmit_factor * (usize::BITS - members.leading_zeros()).max(1)
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -1,4 +1,4 @@
-//! The members of one zone, this node's own record included.
+//! The table of the members of one zone, which includes this node's own record.
 
 use std::collections::BTreeMap;
 
@@ -7,65 +7,66 @@
 
 use crate::member::{MemberRecord, MemberState};
 
-/// One member with the times that its state ends at.
+/// The record of one member and the deadline of its state.
 #[derive(Debug, Clone)]
 pub(crate) struct Entry {
     pub(crate) record: MemberRecord,
-    /// When a suspect counts as dead, or a dead member is forgotten.
+    /// The time at which a suspect member is declared dead, or a dead member is removed.
     pub(crate) deadline: Option<Timestamp>,
 }
 
-/// What became of a record that was offered.
+/// The result of merging a record into the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Outcome {
-    /// It says nothing new.
+pub(crate) enum MergeOutcome {
+    /// The record does not supersede the stored one, or is the record of an unknown member that is
+    /// dead.
     Ignored,
-    /// There is no room for another member.
+    /// The table is full and the member is unknown.
     Full,
-    /// It was taken; the state before, if the member was known.
-    Taken(Option<MemberState>),
+    /// The record was stored. Contains the previous state, or `None` for a new member.
+    Updated(Option<MemberState>),
 }
 
-/// Members by name.
+/// The members by name.
 #[derive(Debug, Default)]
 pub(crate) struct MemberTable {
     entries: BTreeMap<NodeId, Entry>,
-    /// No deadline is earlier than this, so that most ticks need not look at every entry.
+    /// A lower bound of all deadlines, so that most ticks need not scan all entries.
     earliest_deadline: Option<Timestamp>,
 }
 
 impl MemberTable {
-    /// Takes a record if it supersedes the one held.
-    pub(crate) fn offer(
+    /// Stores a record if it supersedes the stored one.
+    pub(crate) fn merge(
         &mut self,
         record: &MemberRecord,
         deadline: Option<Timestamp>,
         capacity: usize,
-    ) -> Outcome {
-        self.note_deadline(deadline);
+    ) -> MergeOutcome {
+        self.record_deadline(deadline);
         let Some(entry) = self.entries.get_mut(&record.name) else {
             if !record.is_reachable() {
-                return Outcome::Ignored;
+                return MergeOutcome::Ignored;
             }
             if self.entries.len() >= capacity {
-                return Outcome::Full;
+                return MergeOutcome::Full;
             }
             let record = record.clone();
             self.entries
                 .insert(record.name.clone(), Entry { record, deadline });
-            return Outcome::Taken(None);
+            return MergeOutcome::Updated(None);
         };
         let revision = entry.record.configuration_revision;
         if !record.supersedes(&entry.record) {
             if record.incarnation == entry.record.incarnation {
                 entry.record.configuration_revision = revision.max(record.configuration_revision);
             }
-            return Outcome::Ignored;
+            return MergeOutcome::Ignored;
         }
         let before = entry.record.state;
         entry.record = record.clone();
         entry.deadline = deadline;
-        Outcome::Taken(Some(before))
+        MergeOutcome::Updated(Some(before))
     }
 
     pub(crate) fn get(&self, name: &NodeId) -> Option<&MemberRecord> {
@@ -84,12 +85,12 @@
         self.entries.values().map(|entry| &entry.record)
     }
 
-    /// Members that answer as far as is known.
+    /// Returns the members that are not considered dead.
     pub(crate) fn reachable(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records().filter(|record| record.is_reachable())
     }
 
-    /// Members whose deadline has passed.
+    /// Returns the members whose deadline has passed.
     pub(crate) fn due(&mut self, now: Timestamp) -> Vec<MemberRecord> {
         if self.earliest_deadline.is_none_or(|earliest| now < earliest) {
             return Vec::new();
@@ -103,7 +104,7 @@
         due
     }
 
-    fn note_deadline(&mut self, deadline: Option<Timestamp>) {
+    fn record_deadline(&mut self, deadline: Option<Timestamp>) {
         let Some(deadline) = deadline else {
             return;
         };
@@ -111,7 +112,7 @@
         self.earliest_deadline = Some(earliest.min(deadline));
     }
 
-    /// Moves every deadline of a suspect by the time that this process did not run.
+    /// Postpones the deadlines of all suspect members by the time that this process did not run.
     pub(crate) fn postpone_suspicions(&mut self, pause: tansyhall_core::Duration) {
         for entry in self.entries.values_mut() {
             if entry.record.state == MemberState::Suspect {
@@ -120,9 +121,9 @@
         }
     }
 
-    /// A hash of names, incarnations and states that does not depend on the order. A suspect
-    /// counts as alive, since suspicions come and go; the dead do not count, since each member
-    /// forgets them at its own time.
+    /// Returns a hash of names, incarnations and states that does not depend on their order. A
+    /// suspect member is hashed as alive, since suspicions are often short-lived. Dead members are
+    /// left out, since each member removes them at a different time.
     pub(crate) fn hash(&self) -> u64 {
         let hash = |record: &MemberRecord| {
             let state = match record.state {
--- a/crates/membership/tests/between_zones.rs
+++ b/crates/membership/tests/between_zones.rs
@@ -1,4 +1,5 @@
-//! Several zones in virtual time: digests reach every member, and no more is sent than the budget.
+//! Simulates several zones in virtual time: digests reach every member, and the traffic of each
+//! node stays within its limit.
 
 mod support;
 
@@ -13,9 +14,9 @@
     ("kalimati", 64),
     ("thimi", 64),
 ];
-const LIMIT: Duration = Duration::from_secs(60);
-/// What a node may spend on control, in bytes sent and received a second.
-const CONTROL_BYTES_PER_SECOND: u64 = 3_000;
+const TIME_LIMIT: Duration = Duration::from_secs(60);
+/// The limit on a node's control traffic, in bytes sent and received per second.
+const MAX_CONTROL_BYTES_PER_SECOND: u64 = 3_000;
 
 fn machine(index: usize, zone: &str) -> KnownMachine {
     KnownMachine {
@@ -26,7 +27,7 @@
     }
 }
 
-/// All zones, each member with a machine list of one node a zone.
+/// Creates all zones. The machine list of each member contains one node per zone.
 fn network() -> Network {
     let mut network = Network::new(&ZONES, 1);
     let listed: Vec<KnownMachine> = ZONES
@@ -48,9 +49,9 @@
 }
 
 #[test]
-fn every_member_hears_of_every_zone_and_of_its_newest_revision() {
+fn every_member_receives_the_digest_and_newest_revision_of_every_zone() {
     let mut network = network();
-    network.run_until(LIMIT, all_know_every_zone);
+    network.run_until(TIME_LIMIT, all_know_every_zone);
     let now = network.now;
     let mark = ConfigurationMark {
         revision: 42,
@@ -59,7 +60,7 @@
     for host in network.hosts.iter_mut().take(64) {
         host.membership.set_configuration(now, mark);
     }
-    network.run_until(LIMIT, |network| {
+    network.run_until(TIME_LIMIT, |network| {
         network.hosts.iter().skip(64).all(|host| {
             let mut digests = host.membership.zone_digests();
             digests.any(|it| it.zone.as_str() == "cluj-a" && it.configuration_revision == 42)
@@ -68,22 +69,22 @@
 }
 
 #[test]
-fn zones_find_each_other_through_one_contact() {
+fn zones_discover_each_other_through_one_contact() {
     let mut network = Network::new(&ZONES, 2);
-    let took = network.run_until(LIMIT, all_know_every_zone);
+    let took = network.run_until(TIME_LIMIT, all_know_every_zone);
     println!("every member knows every zone after {took:?}");
 }
 
 #[test]
-fn a_relay_spends_less_than_its_budget() {
+fn control_traffic_of_relays_stays_within_the_limit() {
     let mut network = network();
-    network.run_until(LIMIT, all_know_every_zone);
+    network.run_until(TIME_LIMIT, all_know_every_zone);
     network.run(Duration::from_secs(60));
     network.reset_byte_counts();
     network.run(Duration::from_secs(60));
     let bytes = network.bytes_per_second(60);
-    let most = bytes.iter().max().copied().unwrap_or_default();
+    let maximum = bytes.iter().max().copied().unwrap_or_default();
     let mean = bytes.iter().sum::<u64>() / bytes.len() as u64;
-    println!("320 members in 5 zones: {mean} B/s on average, {most} B/s at most");
-    assert!(most < CONTROL_BYTES_PER_SECOND);
+    println!("320 members in 5 zones: {mean} B/s on average, maximum {maximum} B/s");
+    assert!(maximum < MAX_CONTROL_BYTES_PER_SECOND);
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A network in virtual time: members exchange encoded datagrams, some of which are lost.
+//! Simulates a network in virtual time: members exchange encoded datagrams, and some datagrams are
+//! lost.
 
 #![allow(dead_code)]
 
@@ -15,14 +16,14 @@
 use tansyhall_proto::{decode_datagram, encode_datagram};
 
 const TICK: Duration = Duration::from_millis(50);
-const SLOWEST_DELIVERY_MICROS: u64 = 3_000;
+const MAX_DELIVERY_MICROS: u64 = 3_000;
 
 pub struct Host {
     pub membership: Membership,
     pub is_running: bool,
     pub sent_bytes: u64,
     pub received_bytes: u64,
-    pub asked_to_leave: bool,
+    pub was_asked_to_leave: bool,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
@@ -38,9 +39,9 @@
     pub now: Timestamp,
     pub hosts: Vec<Host>,
     pub loss: f64,
-    /// Hosts that cannot reach the others, nor be reached by them.
+    /// Hosts that are separated from all other hosts by a network partition.
     pub isolated: BTreeSet<usize>,
-    pub false_deaths: usize,
+    pub false_dead_declarations: usize,
     addresses: BTreeMap<SocketAddr, usize>,
     deliveries: BinaryHeap<Reverse<Delivery>>,
     order: u64,
@@ -68,15 +69,15 @@
 }
 
 impl Network {
-    /// Zones of these sizes; each member knows the first member of its zone, and each of those the
-    /// first member of the first zone.
+    /// Creates zones of these sizes. Each member has the first member of its zone as a contact, and
+    /// the first member of each zone has the first member of the first zone as a contact.
     pub fn new(zones: &[(&str, usize)], seed: u64) -> Self {
         let mut network = Self {
             now: Timestamp::from_millis(1_000),
             hosts: Vec::new(),
             loss: 0.0,
             isolated: BTreeSet::new(),
-            false_deaths: 0,
+            false_dead_declarations: 0,
             addresses: BTreeMap::new(),
             deliveries: BinaryHeap::new(),
             order: 0,
@@ -104,17 +105,23 @@
             is_running: true,
             sent_bytes: 0,
             received_bytes: 0,
-            asked_to_leave: false,
+            was_asked_to_leave: false,
         }
     }
 
-    /// Replaces a host's process by a new one that knows only `contact`.
+    /// Replaces a host's process with a new one that knows only `contact`.
     pub fn restart(&mut self, index: usize, zone: &str, incarnation: u64, contact: usize) {
         self.hosts[index] = self.start(index, zone, incarnation, contact);
     }
 
-    /// Replaces a host's process by one of another name at the same address.
-    pub fn take_over(&mut self, index: usize, name: &str, zone: &str, incarnation: u64) {
+    /// Replaces a host's process with one of another name at the same address.
+    pub fn replace_with_other_name(
+        &mut self,
+        index: usize,
+        name: &str,
+        zone: &str,
+        incarnation: u64,
+    ) {
         let own = MemberRecord {
             name: name.into(),
             ..record(index, zone, incarnation)
@@ -132,11 +139,15 @@
         }
     }
 
-    /// Runs until `condition` holds, for at most `limit`; returns the time that it took.
+    /// Runs until `condition` holds, and returns the elapsed time. Panics if that takes longer than
+    /// `limit`.
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !condition(self) {
-            assert!(self.now < start + limit, "not within {limit:?}");
+            assert!(
+                self.now < start + limit,
+                "condition did not hold within {limit:?}"
+            );
             self.step();
         }
         self.now.since(start)
@@ -146,12 +157,12 @@
         for index in 0..self.hosts.len() {
             if self.hosts[index].is_running {
                 let actions = self.hosts[index].membership.tick(self.now);
-                self.carry_out(index, actions);
+                self.execute(index, actions);
             }
         }
         let end = self.now + TICK;
         while self.deliveries.peek().is_some_and(|next| next.0.at < end) {
-            let Reverse(delivery) = self.deliveries.pop().expect("a delivery");
+            let Reverse(delivery) = self.deliveries.pop().expect("queue was not empty");
             self.now = self.now.max(delivery.at);
             self.deliver(delivery);
         }
@@ -164,23 +175,25 @@
             return;
         }
         host.received_bytes += delivery.bytes.len() as u64;
-        let message = decode_datagram(&delivery.bytes).expect("a well-formed datagram");
+        let message = decode_datagram(&delivery.bytes).expect("datagram decodes");
         let from = address(delivery.from);
         let actions = host.membership.receive(self.now, from, message);
-        self.carry_out(delivery.to, actions);
+        self.execute(delivery.to, actions);
     }
 
-    pub fn carry_out(&mut self, index: usize, actions: Vec<Action>) {
+    pub fn execute(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(index, to, encode_datagram(&message)),
                 Action::StateChanged { record, .. } if record.state == MemberState::Dead => {
                     let subject = self.addresses[&record.addresses.peers];
-                    let runs = self.hosts[subject].is_running && self.isolated.is_empty();
-                    self.false_deaths += usize::from(runs);
+                    let is_false = self.hosts[subject].is_running && self.isolated.is_empty();
+                    self.false_dead_declarations += usize::from(is_false);
+                }
+                Action::AskedToLeave => self.hosts[index].was_asked_to_leave = true,
+                Action::ForeignSender { from } => {
+                    panic!("host {index} ignored a message from {from}, which is in its fleet")
                 }
-                Action::AskedToLeave => self.hosts[index].asked_to_leave = true,
-                Action::ForeignSender { from } => panic!("host {index}: {from} is of its fleet"),
                 Action::StateChanged { .. } | Action::Heard { .. } | Action::BackendChanged(_) => {}
             }
         }
@@ -191,12 +204,12 @@
         let Some(to) = self.addresses.get(&to).copied() else {
             return;
         };
-        let is_cut = self.isolated.contains(&from) != self.isolated.contains(&to);
-        if is_cut || self.rng.random::<f64>() < self.loss {
+        let is_separated = self.isolated.contains(&from) != self.isolated.contains(&to);
+        if is_separated || self.rng.random::<f64>() < self.loss {
             return;
         }
         self.order += 1;
-        let delay = self.rng.random_range(200..SLOWEST_DELIVERY_MICROS);
+        let delay = self.rng.random_range(200..MAX_DELIVERY_MICROS);
         self.deliveries.push(Reverse(Delivery {
             at: self.now + Duration::from_micros(delay),
             order: self.order,
@@ -206,7 +219,7 @@
         }));
     }
 
-    /// The state of `subject` in `observer`'s table.
+    /// Returns the state of `subject` in the table of `observer`.
     pub fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         let name = self.hosts[subject].membership.own().name.clone();
         let mut members = self.hosts[observer].membership.members();
@@ -214,8 +227,9 @@
         Some(record.state)
     }
 
-    /// Whether every running host but the subject sees the subject in one of these states.
-    pub fn all_see(&self, subject: usize, states: &[MemberState]) -> bool {
+    /// Returns whether the subject is in one of these states in the tables of all other running
+    /// hosts.
+    pub fn all_have_state(&self, subject: usize, states: &[MemberState]) -> bool {
         let observers = (0..self.hosts.len()).filter(|observer| *observer != subject);
         let mut running = observers.filter(|observer| self.hosts[*observer].is_running);
         running.all(|observer| {
@@ -224,7 +238,7 @@
         })
     }
 
-    /// Whether every running host sees every running host of a zone of `size` as alive.
+    /// Returns whether every running host has `size` alive members in its table.
     pub fn has_converged(&self, size: usize) -> bool {
         let running = self.hosts.iter().filter(|host| host.is_running);
         running.clone().all(|host| {
@@ -234,7 +248,8 @@
         })
     }
 
-    /// Bytes sent and received by each host per second since `start`.
+    /// Returns the bytes that each host sent and received per second, over the `seconds` since the
+    /// counts were reset.
     pub fn bytes_per_second(&self, seconds: u64) -> Vec<u64> {
         let bytes = |host: &Host| (host.sent_bytes + host.received_bytes) / seconds;
         self.hosts.iter().map(bytes).collect()
