--- a/crates/membership/src/detect.rs
+++ b/crates/membership/src/detect.rs
@@ -17,7 +17,7 @@
                 continue;
             }
             record.state = MemberState::Dead;
-            self.statistics.deaths += 1;
+            self.statistics.members_declared_dead += 1;
             self.apply(now, &record);
         }
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -76,7 +76,7 @@
     /// False statements about this node that it refuted.
     pub refutations: u64,
     /// Members that this node declared dead because its own suspicion timer expired.
-    pub deaths: u64,
+    pub members_declared_dead: u64,
     /// Records of new members that were refused because the table was full.
     pub refused_records: u64,
     /// Pauses of this process, such as a suspended machine.
