--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -7,13 +7,13 @@
 
 #![forbid(unsafe_code)]
 
+pub mod dissemination;
 pub mod document;
 pub mod history;
 mod recovery;
 pub mod settings;
-pub mod spread;
 
+pub use dissemination::{Action, Mark, Peer, PullOutcome, Spread, View};
 pub use document::{ApplyError, Delta, Document, ResourceChange};
 pub use history::{History, PullBody};
 pub use settings::SpreadSettings;
-pub use spread::{Action, Mark, Peer, PullOutcome, Spread, View};
--- a/crates/dissemination/src/recovery.rs
+++ b/crates/dissemination/src/recovery.rs
@@ -7,7 +7,7 @@
 
 use tansyhall_core::{Duration, NodeId, Timestamp};
 
-use crate::spread::Peer;
+use crate::dissemination::Peer;
 
 /// The state of the query to one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
