--- a/crates/dissemination/src/dissemination.rs
+++ b/crates/dissemination/src/dissemination.rs
@@ -10,7 +10,7 @@
 use tansyhall_core::{Duration, NodeId, Timestamp};
 
 use crate::recovery::Recovery;
-use crate::settings::SpreadSettings;
+use crate::settings::DisseminationSettings;
 
 /// The number of peers that a node queries at once while it holds no document. Each of them would
 /// answer with the full document, so one is enough. The other peers then answer only with newer
@@ -32,7 +32,7 @@
 
 /// The revision that a node has in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Mark {
+pub struct RevisionStatus {
     /// The revision, or zero for none.
     pub revision: u64,
     /// The time since the revision was last known to be the newest.
@@ -41,7 +41,7 @@
 
 /// The state of the zone as reported by the membership of this node.
 #[derive(Debug, Clone, Default)]
-pub struct View {
+pub struct MembershipView {
     /// Whether this node follows the store for its zone.
     pub is_watcher: bool,
     /// Whether this node has joined its zone, or no answer to its join requests is to be expected.
@@ -53,14 +53,15 @@
 /// An action that the caller must execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Pull what is newer than `held_revision` from a peer, then call [`Spread::pulled`].
+    /// Pull what is newer than `held_revision` from a peer, then call
+    /// [`Dissemination::handle_pull_outcome`].
     Pull {
         /// The peer to pull from.
         peer: Peer,
         /// The revision held.
         held_revision: u64,
     },
-    /// Put the newest document held in force, then call [`Spread::in_force`].
+    /// Put the newest document held in force, then call [`Dissemination::handle_put_in_force`].
     PutInForce,
     /// Announce the revision in force to these peers.
     Announce {
@@ -74,7 +75,7 @@
 pub enum PullOutcome {
     /// The document that the peer sent is now held. Contains the revision that the peer has in
     /// force.
-    Held(Mark),
+    Held(RevisionStatus),
     /// The document that the peer sent is invalid.
     Refused {
         /// The revision of the document.
@@ -95,8 +96,8 @@
 /// The dissemination state of one node. Neither the revision held nor the revision in force ever
 /// decreases.
 #[derive(Debug)]
-pub struct Spread {
-    settings: SpreadSettings,
+pub struct Dissemination {
+    settings: DisseminationSettings,
     rng: ChaCha8Rng,
     held: u64,
     in_force: u64,
@@ -106,13 +107,13 @@
     recovery: Option<Recovery>,
     sources: BTreeMap<NodeId, Source>,
     pull_until: Option<Timestamp>,
-    view: View,
+    view: MembershipView,
     needs_store: bool,
 }
 
-impl Spread {
+impl Dissemination {
     /// Creates the state of a node that has just started_at and holds no document.
-    pub fn new(settings: SpreadSettings, seed: u64) -> Self {
+    pub fn new(settings: DisseminationSettings, seed: u64) -> Self {
         Self {
             settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -124,16 +125,16 @@
             recovery: Some(Recovery::default()),
             sources: BTreeMap::new(),
             pull_until: None,
-            view: View::default(),
+            view: MembershipView::default(),
             needs_store: false,
         }
     }
 
     /// Updates the view of the zone, and runs all tasks that are due.
-    pub fn tick(&mut self, now: Timestamp, view: View) -> Vec<Action> {
+    pub fn tick(&mut self, now: Timestamp, view: MembershipView) -> Vec<Action> {
         let started_at = *self.started_at.get_or_insert(now);
         self.view = view;
-        let is_waiting_for_peers = now < started_at + self.settings.store_patience;
+        let is_waiting_for_peers = now < started_at + self.settings.store_query_delay;
         self.needs_store = self.recovery.is_some() && !is_waiting_for_peers;
         self.remove_unneeded_sources();
         let mut actions = self.query_peers(now);
@@ -143,12 +144,17 @@
     }
 
     /// Handles a peer's report of the revision that it has in force.
-    pub fn heard(&mut self, now: Timestamp, peer: &Peer, mark: Mark) -> Vec<Action> {
-        self.record_source(peer, mark.revision);
-        self.confirm(now, mark);
+    pub fn handle_status(
+        &mut self,
+        now: Timestamp,
+        peer: &Peer,
+        status: RevisionStatus,
+    ) -> Vec<Action> {
+        self.record_source(peer, status.revision);
+        self.confirm(now, status);
         let is_neighbour = self.view.neighbours.iter().any(|it| it.name == peer.name);
         if let Some(recovery) = self.recovery.as_mut().filter(|_| is_neighbour) {
-            recovery.record_answer(&peer.name, mark.revision);
+            recovery.record_answer(&peer.name, status.revision);
         }
         let mut actions = self.finish_recovery();
         actions.extend(self.pull_newer(now));
@@ -156,13 +162,18 @@
     }
 
     /// Handles the end of a pull.
-    pub fn pulled(&mut self, now: Timestamp, peer: &Peer, outcome: PullOutcome) -> Vec<Action> {
+    pub fn handle_pull_outcome(
+        &mut self,
+        now: Timestamp,
+        peer: &Peer,
+        outcome: PullOutcome,
+    ) -> Vec<Action> {
         self.pull_until = None;
         match outcome {
-            PullOutcome::Held(mark) => {
-                self.hold(mark.revision);
+            PullOutcome::Held(status) => {
+                self.hold(status.revision);
                 let mut actions = self.request_put_in_force();
-                actions.extend(self.heard(now, peer, mark));
+                actions.extend(self.handle_status(now, peer, status));
                 actions
             }
             PullOutcome::Refused { revision } => {
@@ -179,13 +190,13 @@
 
     /// Handles a read of the store: `revision` is its newest revision, and the document of the
     /// store is now held.
-    pub fn store_read(&mut self, now: Timestamp, revision: u64) -> Vec<Action> {
+    pub fn handle_store_revision(&mut self, now: Timestamp, revision: u64) -> Vec<Action> {
         self.hold(revision);
-        let mark = Mark {
+        let status = RevisionStatus {
             revision,
             confirmation_age: Duration::ZERO,
         };
-        self.confirm(now, mark);
+        self.confirm(now, status);
         if let Some(recovery) = &mut self.recovery {
             recovery.record_store_revision(revision);
         }
@@ -195,14 +206,14 @@
     }
 
     /// Handles an indirect report of the revision that a node of another zone has in force.
-    pub fn heard_of(&mut self, peer: &Peer, revision: u64) {
+    pub fn handle_remote_revision(&mut self, peer: &Peer, revision: u64) {
         if revision > self.held {
             self.record_source(peer, revision);
         }
     }
 
     /// Handles that the caller has put a revision in force.
-    pub fn in_force(&mut self, revision: u64) -> Vec<Action> {
+    pub fn handle_put_in_force(&mut self, revision: u64) -> Vec<Action> {
         if revision <= self.in_force {
             return Vec::new();
         }
@@ -242,8 +253,8 @@
     }
 
     /// Returns the revision in force to report to other nodes.
-    pub fn mark(&self, now: Timestamp) -> Mark {
-        Mark {
+    pub fn status(&self, now: Timestamp) -> RevisionStatus {
+        RevisionStatus {
             revision: self.in_force,
             confirmation_age: self.staleness(now).unwrap_or(UNKNOWN_CONFIRMATION_AGE),
         }
@@ -281,11 +292,11 @@
         }
     }
 
-    fn confirm(&mut self, now: Timestamp, mark: Mark) {
-        if mark.revision != self.held || mark.revision == 0 {
+    fn confirm(&mut self, now: Timestamp, status: RevisionStatus) {
+        if status.revision != self.held || status.revision == 0 {
             return;
         }
-        let confirmed = now - mark.confirmation_age;
+        let confirmed = now - status.confirmation_age;
         self.confirmed_at = self.confirmed_at.max(Some(confirmed));
     }
 
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -13,7 +13,7 @@
 mod recovery;
 pub mod settings;
 
-pub use dissemination::{Action, Mark, Peer, PullOutcome, Spread, View};
+pub use dissemination::{Action, Dissemination, MembershipView, Peer, PullOutcome, RevisionStatus};
 pub use document::{ApplyError, Delta, Document, ResourceChange};
 pub use history::{History, PullBody};
-pub use settings::SpreadSettings;
+pub use settings::DisseminationSettings;
--- a/crates/dissemination/src/settings.rs
+++ b/crates/dissemination/src/settings.rs
@@ -4,7 +4,7 @@
 
 /// Timeouts, delays and limits of the dissemination.
 #[derive(Debug, Clone)]
-pub struct SpreadSettings {
+pub struct DisseminationSettings {
     /// The number of members to which each member announces a new revision when it puts it in
     /// force.
     pub announce_fanout: usize,
@@ -15,7 +15,7 @@
     /// The number of peers that a node which has just started queries at once.
     pub recovery_parallelism: usize,
     /// The time after its start from which a node that is still recovering also follows the store.
-    pub store_patience: Duration,
+    pub store_query_delay: Duration,
     /// The maximum number of deltas kept for peers that hold an older revision. Peers further
     /// behind receive the full document.
     pub max_deltas: usize,
@@ -23,14 +23,14 @@
     pub max_peers: usize,
 }
 
-impl Default for SpreadSettings {
+impl Default for DisseminationSettings {
     fn default() -> Self {
         Self {
             announce_fanout: 4,
             pull_timeout: Duration::from_secs(2),
             retry_delay: Duration::from_millis(500),
             recovery_parallelism: 4,
-            store_patience: Duration::from_secs(1),
+            store_query_delay: Duration::from_secs(1),
             max_deltas: 64,
             max_peers: 1_024,
         }
--- a/crates/dissemination/tests/spread.rs
+++ b/crates/dissemination/tests/spread.rs
@@ -7,7 +7,9 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use tansyhall_core::{Duration, Timestamp};
-use tansyhall_dissemination::{Action, Mark, Peer, PullOutcome, Spread, SpreadSettings, View};
+use tansyhall_dissemination::{
+    Action, Dissemination, DisseminationSettings, MembershipView, Peer, PullOutcome, RevisionStatus,
+};
 use tansyhall_fixed_cases::fixed_cases;
 
 const TICK: Duration = Duration::from_millis(100);
@@ -25,13 +27,19 @@
 
 #[derive(Debug, Clone)]
 enum Event {
-    Heard { from: usize, mark: Mark },
-    Pulled { from: usize, mark: Option<Mark> },
+    StatusReceived {
+        from: usize,
+        status: RevisionStatus,
+    },
+    PullEnded {
+        from: usize,
+        status: Option<RevisionStatus>,
+    },
 }
 
 struct Zone {
     now: Timestamp,
-    nodes: Vec<Spread>,
+    nodes: Vec<Dissemination>,
     running: BTreeSet<usize>,
     in_force: Vec<u64>,
     /// The newest revision of the store, or `None` while the store is down.
@@ -45,10 +53,10 @@
 
 impl Zone {
     fn new(size: usize) -> Self {
-        let spread = |seed| Spread::new(SpreadSettings::default(), seed as u64);
+        let node = |seed| Dissemination::new(DisseminationSettings::default(), seed as u64);
         Self {
             now: Timestamp::from_millis(1_000),
-            nodes: (0..size).map(spread).collect(),
+            nodes: (0..size).map(node).collect(),
             running: (0..size).collect(),
             in_force: vec![0; size],
             store: Some(1),
@@ -65,7 +73,7 @@
     }
 
     fn restart(&mut self, index: usize, seed: u64) {
-        self.nodes[index] = Spread::new(SpreadSettings::default(), seed);
+        self.nodes[index] = Dissemination::new(DisseminationSettings::default(), seed);
         self.in_force[index] = 0;
         self.running.insert(index);
     }
@@ -74,7 +82,7 @@
         let running: Vec<usize> = self.running.iter().copied().collect();
         for index in running.iter().copied() {
             let others = running.iter().filter(|other| **other != index);
-            let view = View {
+            let view = MembershipView {
                 is_watcher: self.watcher() == Some(index),
                 is_settled: true,
                 neighbours: others.map(|other| peer(*other)).collect(),
@@ -82,7 +90,7 @@
             let actions = self.nodes[index].tick(self.now, view);
             self.execute(index, actions);
             if let Some(revision) = self.store.filter(|_| self.nodes[index].follows_store()) {
-                let actions = self.nodes[index].store_read(self.now, revision);
+                let actions = self.nodes[index].handle_store_revision(self.now, revision);
                 self.execute(index, actions);
             }
         }
@@ -107,10 +115,10 @@
         for from in self.running.clone() {
             let to = (from + distance) % size;
             if self.running.contains(&to) {
-                let mark = self.nodes[from].mark(self.now);
-                self.schedule(to, Event::Heard { from, mark });
-                let mark = self.nodes[to].mark(self.now);
-                self.schedule(from, Event::Heard { from: to, mark });
+                let status = self.nodes[from].status(self.now);
+                self.schedule(to, Event::StatusReceived { from, status });
+                let status = self.nodes[to].status(self.now);
+                self.schedule(from, Event::StatusReceived { from: to, status });
             }
         }
     }
@@ -122,10 +130,10 @@
         let now = self.now;
         let node = &mut self.nodes[to];
         let actions = match event {
-            Event::Heard { from, mark } => node.heard(now, &peer(from), mark),
-            Event::Pulled { from, mark } => {
-                let outcome = mark.map_or(PullOutcome::Failed, PullOutcome::Held);
-                node.pulled(now, &peer(from), outcome)
+            Event::StatusReceived { from, status } => node.handle_status(now, &peer(from), status),
+            Event::PullEnded { from, status } => {
+                let outcome = status.map_or(PullOutcome::Failed, PullOutcome::Held);
+                node.handle_pull_outcome(now, &peer(from), outcome)
             }
         };
         self.execute(to, actions);
@@ -143,16 +151,22 @@
                 Action::Pull { peer, .. } => {
                     let from = peer.address.port() as usize - 7_000;
                     let answers = self.running.contains(&from);
-                    let mark = answers.then(|| self.nodes[from].mark(self.now));
-                    self.schedule(index, Event::Pulled { from, mark });
+                    let status = answers.then(|| self.nodes[from].status(self.now));
+                    self.schedule(index, Event::PullEnded { from, status });
                 }
                 Action::PutInForce => self.put_in_force(index),
                 Action::Announce { peers } => {
-                    let mark = self.nodes[index].mark(self.now);
+                    let status = self.nodes[index].status(self.now);
                     for peer in peers {
                         self.announcements += 1;
                         let to = peer.address.port() as usize - 7_000;
-                        self.schedule(to, Event::Heard { from: index, mark });
+                        self.schedule(
+                            to,
+                            Event::StatusReceived {
+                                from: index,
+                                status,
+                            },
+                        );
                     }
                 }
             }
@@ -163,7 +177,7 @@
         let revision = self.nodes[index].revision_held();
         self.has_decreased |= revision < self.in_force[index];
         self.in_force[index] = revision;
-        let actions = self.nodes[index].in_force(revision);
+        let actions = self.nodes[index].handle_put_in_force(revision);
         self.execute(index, actions);
     }
 
@@ -208,7 +222,7 @@
     zone.store = None;
     // Three nodes have a newer revision than the others and have not announced it yet.
     for index in [6, 7, 8] {
-        let actions = zone.nodes[index].store_read(zone.now, 5);
+        let actions = zone.nodes[index].handle_store_revision(zone.now, 5);
         zone.execute(index, actions);
     }
     zone.events.clear();
@@ -231,25 +245,25 @@
 
 #[test]
 fn an_invalid_revision_is_not_pulled_again() {
-    let mut node = Spread::new(SpreadSettings::default(), 1);
+    let mut node = Dissemination::new(DisseminationSettings::default(), 1);
     let now = Timestamp::from_millis(1);
-    let view = View {
+    let view = MembershipView {
         is_watcher: true,
         is_settled: true,
         neighbours: vec![peer(1)],
     };
     node.tick(now, view.clone());
-    node.store_read(now, 4);
-    node.in_force(4);
-    let mark = Mark {
+    node.handle_store_revision(now, 4);
+    node.handle_put_in_force(4);
+    let status = RevisionStatus {
         revision: 5,
         confirmation_age: Duration::ZERO,
     };
-    let actions = node.heard(now, &peer(1), mark);
+    let actions = node.handle_status(now, &peer(1), status);
     assert!(matches!(actions[..], [Action::Pull { .. }]));
-    node.pulled(now, &peer(1), PullOutcome::Refused { revision: 5 });
+    node.handle_pull_outcome(now, &peer(1), PullOutcome::Refused { revision: 5 });
     let later = now + Duration::from_secs(60);
-    assert_eq!(node.heard(later, &peer(1), mark), Vec::new());
+    assert_eq!(node.handle_status(later, &peer(1), status), Vec::new());
     assert_eq!(node.tick(later, view), Vec::new());
     assert_eq!(node.revision_in_force(), 4);
 }
@@ -258,13 +272,13 @@
 fn staleness_is_reset_by_the_confirmations_of_peers() {
     let mut zone = Zone::new(3);
     zone.run_until(|zone| zone.all_have_in_force(1));
-    let mark = Mark {
+    let status = RevisionStatus {
         revision: 1,
         confirmation_age: Duration::from_secs(1),
     };
     let later = zone.now + Duration::from_secs(40);
     assert!(zone.nodes[2].staleness(later) >= Some(Duration::from_secs(40)));
-    zone.nodes[2].heard(later, &peer(0), mark);
+    zone.nodes[2].handle_status(later, &peer(0), status);
     assert_eq!(zone.nodes[2].staleness(later), Some(Duration::from_secs(1)));
 }
 
@@ -335,13 +349,13 @@
 
 #[test]
 fn a_node_without_a_document_pulls_from_one_peer_at_a_time() {
-    let mut node = Spread::new(SpreadSettings::default(), 1);
-    let view = View {
+    let mut node = Dissemination::new(DisseminationSettings::default(), 1);
+    let view = MembershipView {
         is_watcher: false,
         is_settled: true,
         neighbours: (1..7).map(peer).collect(),
     };
-    let mark = |revision| Mark {
+    let status = |revision| RevisionStatus {
         revision,
         confirmation_age: Duration::ZERO,
     };
@@ -349,14 +363,14 @@
     let first = pulls(&node.tick(now, view.clone()));
     assert_eq!(first, [(peer(1), 0)]);
     // The first peer is itself recovering.
-    node.pulled(now, &peer(1), PullOutcome::Held(mark(0)));
+    node.handle_pull_outcome(now, &peer(1), PullOutcome::Held(status(0)));
     let second = pulls(&node.tick(now, view.clone()));
     assert_eq!(second, [(peer(2), 0)]);
-    node.pulled(now, &peer(2), PullOutcome::Held(mark(5)));
+    node.handle_pull_outcome(now, &peer(2), PullOutcome::Held(status(5)));
     let remaining = pulls(&node.tick(now, view));
     assert_eq!(
         remaining.len(),
-        SpreadSettings::default().recovery_parallelism
+        DisseminationSettings::default().recovery_parallelism
     );
     assert!(remaining
         .iter()
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -24,7 +24,7 @@
     STATE_PATH, STREAM_DONE,
 };
 use crate::sse::{SseDecoder, SseError};
-use crate::transport::{connector, never_sent};
+use crate::transport::{build_connector, never_sent};
 
 /// The maximum size of an answer to a control call, in bytes.
 const MAX_CONTROL_BODY_BYTES: usize = 1 << 20;
@@ -113,7 +113,7 @@
     pub fn new(connect_timeout: Duration) -> Self {
         let client = |max_connections| {
             awc::Client::builder()
-                .connector(connector(connect_timeout, max_connections))
+                .connector(build_connector(connect_timeout, max_connections))
                 .disable_timeout()
                 .disable_redirects()
                 .finish()
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -30,7 +30,7 @@
 
 /// Returns a connector whose attempts to connect fail after `connect_timeout`. It holds at most
 /// `max_connections` connections, or any number if that is zero.
-pub fn connector(
+pub fn build_connector(
     connect_timeout: Duration,
     max_connections: usize,
 ) -> awc::Connector<
--- a/crates/membership/src/backends.rs
+++ b/crates/membership/src/backends.rs
@@ -25,7 +25,7 @@
     /// The name of the back end.
     pub name: EngineName,
     /// Whether its machine is about to be withdrawn.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
 
 /// The newest mark of each back end that has ever been marked as leaving.
@@ -54,13 +54,13 @@
     pub(crate) fn new_mark(&self, backend: &KnownBackend, version: u64) -> Option<BackendMark> {
         let stored = self.marks.get(&backend.name);
         let is_marked = stored.is_some_and(|mark| mark.is_leaving);
-        if is_marked == backend.leaving {
+        if is_marked == backend.is_leaving {
             return None;
         }
         let after_stored = stored.map_or(0, |mark| mark.version.saturating_add(1));
         Some(BackendMark {
             name: backend.name.clone(),
-            is_leaving: backend.leaving,
+            is_leaving: backend.is_leaving,
             version: version.max(after_stored),
         })
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -26,5 +26,5 @@
 pub use digest::{Contact, LoadSummary, ZoneDigest};
 pub use member::{MemberAddresses, MemberRecord, MemberState};
 pub use membership::{Action, KnownMachine, Membership, Statistics};
-pub use message::{Body, ConfigurationMark, Message, Sender};
+pub use message::{Body, ConfigurationStatus, Message, Sender};
 pub use settings::MembershipSettings;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns whether new work may be sent to the member.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspect)
     }
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -12,7 +12,7 @@
 use crate::broadcast::BroadcastQueue;
 use crate::digest::{LoadSummary, ZoneDigest, ZoneDigests};
 use crate::member::{MemberRecord, MemberState};
-use crate::message::{Body, ConfigurationMark, Message, Sender};
+use crate::message::{Body, ConfigurationStatus, Message, Sender};
 use crate::probe::Prober;
 use crate::settings::MembershipSettings;
 use crate::table::{MemberTable, MergeOutcome};
@@ -36,7 +36,7 @@
     },
     /// A message was received directly from a node. It states the configuration that the node has
     /// in force.
-    Heard {
+    MessageReceived {
         /// The sender.
         sender: Sender,
         /// The address of the sender.
@@ -63,7 +63,7 @@
     /// The address at which other nodes reach it.
     pub peers: SocketAddr,
     /// Whether the machine is about to be withdrawn.
-    pub leaving: bool,
+    pub is_leaving: bool,
 }
 
 /// Counters since the start of the process.
@@ -118,7 +118,7 @@
     pub(crate) contacts: Vec<SocketAddr>,
     pub(crate) machines: BTreeMap<NodeId, KnownMachine>,
     pub(crate) leaving_marks: BTreeMap<NodeId, Incarnation>,
-    pub(crate) configuration: ConfigurationMark,
+    pub(crate) configuration: ConfigurationStatus,
     pub(crate) configuration_set_at: Timestamp,
     pub(crate) load: LoadSummary,
     pub(crate) first_incarnation: Incarnation,
@@ -155,7 +155,7 @@
             contacts: Vec::new(),
             machines: BTreeMap::new(),
             leaving_marks: BTreeMap::new(),
-            configuration: ConfigurationMark::default(),
+            configuration: ConfigurationStatus::default(),
             configuration_set_at: Timestamp::default(),
             load: LoadSummary::default(),
             first_incarnation: own.incarnation,
@@ -171,7 +171,7 @@
     /// the limit on contacts is reached.
     pub fn add_contact(&mut self, address: SocketAddr) {
         let is_room = self.contacts.len() < self.settings.max_contacts;
-        let is_own = address == self.own().addresses.peers;
+        let is_own = address == self.own_record().addresses.peers;
         if is_room && !is_own && !self.contacts.contains(&address) {
             self.contacts.push(address);
         }
@@ -194,7 +194,7 @@
 
     /// Announces that this node is leaving, so that other nodes send it no new work.
     pub fn leave(&mut self, now: Timestamp) -> Vec<Action> {
-        let mut record = self.own().clone();
+        let mut record = self.own_record().clone();
         record.state = MemberState::Leaving;
         self.apply(now, &record);
         self.timers.notice = now;
@@ -203,12 +203,12 @@
     }
 
     /// Sets the configuration that this node has in force.
-    pub fn set_configuration(&mut self, now: Timestamp, mark: ConfigurationMark) {
-        self.configuration = mark;
+    pub fn set_configuration(&mut self, now: Timestamp, status: ConfigurationStatus) {
+        self.configuration = status;
         self.configuration_set_at = now;
         let name = self.name.clone();
         if let Some(own) = self.table.get_mut(&name) {
-            own.configuration_revision = mark.revision;
+            own.configuration_revision = status.revision;
         }
     }
 
@@ -219,12 +219,12 @@
 
     /// Returns a message that carries only pending changes and the revision of the configuration in
     /// force.
-    pub fn notice(&mut self, now: Timestamp) -> Message {
+    pub fn build_notice(&mut self, now: Timestamp) -> Message {
         self.build_message(now, Body::Notice, None)
     }
 
     /// Returns this node's own record.
-    pub fn own(&self) -> &MemberRecord {
+    pub fn own_record(&self) -> &MemberRecord {
         self.table
             .get(&self.name)
             .expect("the member table always contains this node")
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -11,7 +11,7 @@
 
 /// The revision of the configuration that a member has in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct ConfigurationMark {
+pub struct ConfigurationStatus {
     /// The revision, or zero for none.
     pub revision: u64,
     /// The time since the revision was last known to be the newest.
@@ -30,7 +30,7 @@
     /// The incarnation of the sender.
     pub incarnation: Incarnation,
     /// The configuration that the sender has in force.
-    pub configuration: ConfigurationMark,
+    pub configuration: ConfigurationStatus,
 }
 
 /// The request or answer in a message.
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -8,7 +8,7 @@
 use crate::backends::BackendMark;
 use crate::member::{MemberRecord, MemberState};
 use crate::membership::{Action, Membership};
-use crate::message::{Body, ConfigurationMark, Message, Sender};
+use crate::message::{Body, ConfigurationStatus, Message, Sender};
 
 /// The number of contacts that a join request is sent to at once.
 const JOIN_FANOUT: usize = 3;
@@ -47,7 +47,7 @@
             }
         }
         let sender = sender.clone();
-        self.actions.push(Action::Heard { sender, from });
+        self.actions.push(Action::MessageReceived { sender, from });
     }
 
     fn handle_record(&mut self, now: Timestamp, record: &MemberRecord) {
@@ -77,7 +77,7 @@
     /// Refutes a false record of this node with a larger incarnation. A leaving record of the
     /// current incarnation is accepted: this node's machine is about to be withdrawn.
     fn handle_own_record(&mut self, now: Timestamp, record: &MemberRecord) {
-        let own = self.own().clone();
+        let own = self.own_record().clone();
         if record.incarnation == own.incarnation && record.state == MemberState::Leaving {
             if own.state == MemberState::Alive {
                 self.apply(now, record);
@@ -196,7 +196,7 @@
         let machines = self.machines.values().filter(|it| it.zone == self.zone);
         let mut contacts: Vec<SocketAddr> = self.contacts.clone();
         contacts.extend(machines.map(|machine| machine.peers));
-        contacts.retain(|address| *address != self.own().addresses.peers);
+        contacts.retain(|address| *address != self.own_record().addresses.peers);
         contacts.shuffle(&mut self.rng);
         for contact in contacts.into_iter().take(JOIN_FANOUT) {
             self.send_with_own_record(now, contact, None, Body::Join);
@@ -211,7 +211,7 @@
         body: Body,
     ) {
         let mut message = self.build_message(now, body, name);
-        let own = self.own().clone();
+        let own = self.own_record().clone();
         if !message.updates.contains(&own) {
             message.updates.push(own);
         }
@@ -287,14 +287,14 @@
     }
 
     pub(crate) fn own_sender(&self, now: Timestamp) -> Sender {
-        let own = self.own();
+        let own = self.own_record();
         let elapsed = now.since(self.configuration_set_at);
         Sender {
             fleet: self.settings.fleet,
             name: own.name.clone(),
             zone: own.zone.clone(),
             incarnation: own.incarnation,
-            configuration: ConfigurationMark {
+            configuration: ConfigurationStatus {
                 revision: self.configuration.revision,
                 confirmation_age: self.configuration.confirmation_age + elapsed,
             },
--- a/crates/membership/src/zones.rs
+++ b/crates/membership/src/zones.rs
@@ -19,8 +19,8 @@
     /// members are reachable. Dead and leaving members are not selected. Suspect members are, since
     /// suspicions are often short-lived.
     pub fn relays(&self) -> Vec<NodeId> {
-        let takes_work = self.table.reachable().filter(|it| it.takes_work());
-        let mut names: Vec<&NodeId> = takes_work.map(|record| &record.name).collect();
+        let accepting_work = self.table.reachable().filter(|it| it.accepts_work());
+        let mut names: Vec<&NodeId> = accepting_work.map(|record| &record.name).collect();
         if names.is_empty() {
             names.push(&self.name);
         }
@@ -48,7 +48,7 @@
         let leaving: Vec<NodeId> = self
             .machines
             .values()
-            .filter(|machine| machine.leaving)
+            .filter(|machine| machine.is_leaving)
             .map(|machine| machine.name.clone())
             .collect();
         self.leaving_marks.retain(|name, _| leaving.contains(name));
@@ -88,7 +88,7 @@
         };
         let marked_incarnation = self.leaving_marks.entry(name);
         if *marked_incarnation.or_insert(record.incarnation) != record.incarnation
-            || !record.takes_work()
+            || !record.accepts_work()
         {
             return;
         }
--- a/crates/membership/tests/between_zones.rs
+++ b/crates/membership/tests/between_zones.rs
@@ -5,7 +5,7 @@
 
 use support::{address, Network};
 use tansyhall_core::{Duration, Timestamp};
-use tansyhall_membership::{ConfigurationMark, KnownMachine};
+use tansyhall_membership::{ConfigurationStatus, KnownMachine};
 
 const ZONES: [(&str, usize); 5] = [
     ("cluj-a", 64),
@@ -23,7 +23,7 @@
         name: format!("node-{index:03}").as_str().into(),
         zone: zone.into(),
         peers: address(index),
-        leaving: false,
+        is_leaving: false,
     }
 }
 
@@ -53,12 +53,12 @@
     let mut network = network();
     network.run_until(TIME_LIMIT, all_know_every_zone);
     let now = network.now;
-    let mark = ConfigurationMark {
+    let status = ConfigurationStatus {
         revision: 42,
         confirmation_age: Duration::ZERO,
     };
     for host in network.hosts.iter_mut().take(64) {
-        host.membership.set_configuration(now, mark);
+        host.membership.set_configuration(now, status);
     }
     network.run_until(TIME_LIMIT, |network| {
         network.hosts.iter().skip(64).all(|host| {
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -194,7 +194,9 @@
                 Action::ForeignSender { from } => {
                     panic!("host {index} ignored a message from {from}, which is in its fleet")
                 }
-                Action::StateChanged { .. } | Action::Heard { .. } | Action::BackendChanged(_) => {}
+                Action::StateChanged { .. }
+                | Action::MessageReceived { .. }
+                | Action::BackendChanged(_) => {}
             }
         }
     }
@@ -221,7 +223,7 @@
 
     /// Returns the state of `subject` in the table of `observer`.
     pub fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
-        let name = self.hosts[subject].membership.own().name.clone();
+        let name = self.hosts[subject].membership.own_record().name.clone();
         let mut members = self.hosts[observer].membership.members();
         let record = members.find(|record| record.name == name)?;
         Some(record.state)
--- a/crates/membership/tests/zone.rs
+++ b/crates/membership/tests/zone.rs
@@ -200,7 +200,7 @@
         name: listed.name,
         zone: listed.zone,
         peers: listed.addresses.peers,
-        leaving: true,
+        is_leaving: true,
     };
     let observe = |network: &mut Network| {
         let now = network.now;
@@ -225,7 +225,7 @@
     network.loss = 0.1;
     let list = |leaving| KnownBackend {
         name: "engine-0".into(),
-        leaving,
+        is_leaving: leaving,
     };
     let hosts_with_mark = |network: &Network| {
         let hosts = network.hosts.iter();
@@ -265,7 +265,7 @@
     let before = relays(&network);
     assert!(before.iter().all(|names| *names == before[0]));
     let watcher = (0..30)
-        .find(|index| network.hosts[*index].membership.own().name == before[0][0])
+        .find(|index| network.hosts[*index].membership.own_record().name == before[0][0])
         .expect("the first relay is a member");
     network.hosts[watcher].is_running = false;
     network.run_until(TIME_LIMIT, |network| {
--- a/crates/node/src/callers/application.rs
+++ b/crates/node/src/callers/application.rs
@@ -20,7 +20,7 @@
 use tansyhall_config::settings::Limits;
 use tansyhall_config::Backend;
 use tansyhall_core::{EngineName, ServiceName, TenantName, Verdict};
-use tansyhall_engine::transport::{connector, never_sent};
+use tansyhall_engine::transport::{build_connector, never_sent};
 
 use super::admit::{
     admit, classify, end_rejected, options, register_request, rejection, require_configuration,
@@ -49,7 +49,7 @@
 /// Returns the HTTP client of one worker thread, with its pool of connections to application
 /// workers.
 pub fn client(limits: &Limits) -> awc::Client {
-    let connector = connector(limits.connect_timeout, limits.max_backend_connections);
+    let connector = build_connector(limits.connect_timeout, limits.max_backend_connections);
     awc::Client::builder()
         .connector(connector)
         .no_default_headers()
--- a/crates/node/src/configuration/held.rs
+++ b/crates/node/src/configuration/held.rs
@@ -5,7 +5,9 @@
 
 use bytes::Bytes;
 use tansyhall_config::{Configuration, Resource, ResourceKind};
-use tansyhall_dissemination::{Document, History, Mark, PullBody, PullOutcome, SpreadSettings};
+use tansyhall_dissemination::{
+    DisseminationSettings, Document, History, PullBody, PullOutcome, RevisionStatus,
+};
 use tansyhall_proto::PullAnswer;
 
 use super::in_force::InForce;
@@ -24,7 +26,7 @@
 impl Default for Held {
     fn default() -> Self {
         Self {
-            history: History::new(SpreadSettings::default().max_deltas),
+            history: History::new(DisseminationSettings::default().max_deltas),
             ready: Arc::default(),
         }
     }
@@ -90,7 +92,7 @@
     let held_revision = node.held.lock().revision();
     let document = match answer.body {
         PullBody::Current { revision } if revision <= held_revision => {
-            return PullOutcome::Held(Mark {
+            return PullOutcome::Held(RevisionStatus {
                 revision,
                 confirmation_age: answer.confirmation_age,
             });
@@ -107,7 +109,7 @@
         return PullOutcome::Refused { revision };
     };
     match hold(node, configuration) {
-        Ok(()) => PullOutcome::Held(Mark {
+        Ok(()) => PullOutcome::Held(RevisionStatus {
             revision,
             confirmation_age: answer.confirmation_age,
         }),
--- a/crates/node/src/peers/actor.rs
+++ b/crates/node/src/peers/actor.rs
@@ -8,10 +8,12 @@
 
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, WrapFuture};
 use tansyhall_core::{Incarnation, Timestamp};
-use tansyhall_dissemination::{self as dissemination, Mark, Peer, PullOutcome, Spread, View};
+use tansyhall_dissemination::{
+    self as dissemination, Dissemination, MembershipView, Peer, PullOutcome, RevisionStatus,
+};
 use tansyhall_membership::{
-    self as membership, ConfigurationMark, MemberAddresses, MemberRecord, MemberState, Membership,
-    MembershipSettings,
+    self as membership, ConfigurationStatus, MemberAddresses, MemberRecord, MemberState,
+    Membership, MembershipSettings,
 };
 use tansyhall_proto::{encode_datagram, PullAnswer};
 use tansyhall_store::machines::MachineList;
@@ -44,8 +46,8 @@
 pub struct PeersActor {
     pub(super) node: Arc<Node>,
     pub(super) membership: Membership,
-    pub(super) spread: Spread,
-    spread_settings: dissemination::SpreadSettings,
+    pub(super) spread: Dissemination,
+    spread_settings: dissemination::DisseminationSettings,
     transport: Option<PeerTransport>,
     socket: Option<Rc<UdpSocket>>,
     list: MachineList,
@@ -69,7 +71,7 @@
         for seed in &settings.seeds {
             membership.add_contact(*seed);
         }
-        let spread_settings = dissemination::SpreadSettings::default();
+        let spread_settings = dissemination::DisseminationSettings::default();
         let schedule = MachineSchedule {
             period: settings.peer_limits.machines_period,
             next: Timestamp::default(),
@@ -77,7 +79,7 @@
         };
         Self {
             membership,
-            spread: Spread::new(spread_settings.clone(), rand::random()),
+            spread: Dissemination::new(spread_settings.clone(), rand::random()),
             spread_settings,
             transport: Some(transport),
             socket: None,
@@ -100,10 +102,10 @@
         self.publish(now);
     }
 
-    fn view(&self, now: Timestamp) -> View {
+    fn view(&self, now: Timestamp) -> MembershipView {
         let own = &self.node.settings.name;
         let neighbours = self.membership.reachable().filter(|it| it.name != *own);
-        View {
+        MembershipView {
             is_watcher: self.membership.is_watcher(now),
             is_settled: self.membership.is_settled(now),
             neighbours: neighbours.map(peer_of).collect(),
@@ -121,7 +123,8 @@
                     name: contact.name.clone(),
                     address: contact.peers,
                 };
-                self.spread.heard_of(&peer, contact.configuration_revision);
+                self.spread
+                    .handle_remote_revision(&peer, contact.configuration_revision);
             }
         }
     }
@@ -140,16 +143,16 @@
                     log_change(&record, before);
                     self.publish_at = now;
                 }
-                membership::Action::Heard { sender, from } => {
+                membership::Action::MessageReceived { sender, from } => {
                     let peer = Peer {
                         name: sender.name,
                         address: from,
                     };
-                    let mark = Mark {
+                    let mark = RevisionStatus {
                         revision: sender.configuration.revision,
                         confirmation_age: sender.configuration.confirmation_age,
                     };
-                    let actions = self.spread.heard(now, &peer, mark);
+                    let actions = self.spread.handle_status(now, &peer, mark);
                     self.carry_out_spread(now, actions, context);
                 }
                 membership::Action::ForeignSender { from } => foreign::note(&self.node, from),
@@ -178,12 +181,12 @@
                 } => self.pull(peer, held_revision, context),
                 dissemination::Action::PutInForce => {
                     let revision = configuration::put_held_in_force(&self.node);
-                    let actions = self.spread.in_force(revision);
+                    let actions = self.spread.handle_put_in_force(revision);
                     self.update_mark(now);
                     self.carry_out_spread(now, actions, context);
                 }
                 dissemination::Action::Announce { peers } => {
-                    let message = self.membership.notice(now);
+                    let message = self.membership.build_notice(now);
                     for peer in peers {
                         self.send(peer.address, &message);
                     }
@@ -244,7 +247,7 @@
             .with_label_values(&[label])
             .inc();
         let now = self.node.clock.now();
-        let actions = self.spread.pulled(now, &peer, outcome);
+        let actions = self.spread.handle_pull_outcome(now, &peer, outcome);
         self.carry_out_spread(now, actions, context);
     }
 
@@ -273,8 +276,8 @@
 
     /// Tells membership what is in force, so that every message says so.
     fn update_mark(&mut self, now: Timestamp) {
-        let mark = self.spread.mark(now);
-        let mark = ConfigurationMark {
+        let mark = self.spread.status(now);
+        let mark = ConfigurationStatus {
             revision: mark.revision,
             confirmation_age: mark.confirmation_age,
         };
--- a/crates/node/src/peers/handlers.rs
+++ b/crates/node/src/peers/handlers.rs
@@ -64,7 +64,7 @@
                 revision
             }
         };
-        let actions = self.spread.store_read(now, revision);
+        let actions = self.spread.handle_store_revision(now, revision);
         self.carry_out_spread(now, actions, context);
     }
 }
--- a/crates/node/src/peers/machines.rs
+++ b/crates/node/src/peers/machines.rs
@@ -25,7 +25,7 @@
         } else if machine.zone == zone.as_str() {
             listed.backends.push(KnownBackend {
                 name: EngineName::new(machine.name),
-                leaving: machine.leaving,
+                is_leaving: machine.leaving,
             });
         }
     }
@@ -37,7 +37,7 @@
         name: NodeId::new(machine.name),
         zone: ZoneName::new(machine.zone),
         peers: machine.address,
-        leaving: machine.leaving,
+        is_leaving: machine.leaving,
     }
 }
 
--- a/crates/node/src/peers/view.rs
+++ b/crates/node/src/peers/view.rs
@@ -125,7 +125,7 @@
         admin: record.addresses.admin,
         callers: record.addresses.callers,
         peers: record.addresses.peers,
-        takes_work: record.takes_work(),
+        takes_work: record.accepts_work(),
     }
 }
 
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -6,7 +6,7 @@
 use tansyhall_core::id::check_name;
 use tansyhall_core::{Duration, EngineName, FleetId, Incarnation, NodeId, ZoneName};
 use tansyhall_membership::{
-    BackendMark, Body, ConfigurationMark, Contact, LoadSummary, MemberAddresses, MemberRecord,
+    BackendMark, Body, ConfigurationStatus, Contact, LoadSummary, MemberAddresses, MemberRecord,
     MemberState, Message, Sender, ZoneDigest,
 };
 
@@ -50,7 +50,7 @@
         name: decode_node(datagram.sender)?,
         zone: decode_zone(datagram.zone)?,
         incarnation: Incarnation(datagram.incarnation),
-        configuration: ConfigurationMark {
+        configuration: ConfigurationStatus {
             revision: datagram.configuration_revision,
             confirmation_age,
         },
--- a/crates/proto/tests/builds_before.rs
+++ b/crates/proto/tests/builds_before.rs
@@ -2,7 +2,7 @@
 
 use tansyhall_core::{Duration, FleetId, Incarnation, RequestId};
 use tansyhall_journal::{AttemptId, RecordKey, ViewNumber};
-use tansyhall_membership::{Body, ConfigurationMark, Message, Sender};
+use tansyhall_membership::{Body, ConfigurationStatus, Message, Sender};
 use tansyhall_proto::{
     decode_datagram, decode_request, encode_datagram, encode_request, JournalCall, JournalRequest,
     PeerCall, PeerRequest,
@@ -43,7 +43,7 @@
             name: "node-1".into(),
             zone: "kalimati".into(),
             incarnation: Incarnation(1_000),
-            configuration: ConfigurationMark {
+            configuration: ConfigurationStatus {
                 revision: 7,
                 confirmation_age: Duration::from_millis(300),
             },
--- a/crates/proto/tests/codec.rs
+++ b/crates/proto/tests/codec.rs
@@ -10,7 +10,7 @@
 use tansyhall_dissemination::{Delta, Document, PullBody, ResourceChange};
 use tansyhall_fixed_cases::fixed_cases;
 use tansyhall_membership::{
-    BackendMark, Body, ConfigurationMark, Contact, LoadSummary, MemberAddresses, MemberRecord,
+    BackendMark, Body, ConfigurationStatus, Contact, LoadSummary, MemberAddresses, MemberRecord,
     MemberState, Message, Sender, ZoneDigest,
 };
 use tansyhall_proto::{
@@ -105,7 +105,7 @@
                 name: name.as_str().into(),
                 zone: zone.as_str().into(),
                 incarnation: Incarnation(incarnation),
-                configuration: ConfigurationMark {
+                configuration: ConfigurationStatus {
                     revision,
                     confirmation_age: Duration::from_millis(age.into()),
                 },
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -6,7 +6,9 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use tansyhall_core::{Duration, Timestamp};
-use tansyhall_dissemination::{Action, Mark, Peer, PullOutcome, Spread, SpreadSettings, View};
+use tansyhall_dissemination::{
+    Action, Dissemination, DisseminationSettings, MembershipView, Peer, PullOutcome, RevisionStatus,
+};
 
 use crate::cluster::NODES;
 use crate::oracle::Oracle;
@@ -31,7 +33,7 @@
     /// A node asks another for what is newer than it holds.
     Ask(Pull),
     /// The answer: what the other has in force.
-    Answer(Pull, Mark),
+    Answer(Pull, RevisionStatus),
     /// A node tells another what it has in force.
     Tell {
         /// Who tells.
@@ -39,7 +41,7 @@
         /// Who is told.
         target: usize,
         /// What is in force.
-        mark: Mark,
+        mark: RevisionStatus,
     },
     /// A node reads the store.
     ReadStore {
@@ -85,7 +87,7 @@
 
 /// Every node's revisions, and the store's.
 pub struct Configurations {
-    spreads: Vec<Spread>,
+    spreads: Vec<Dissemination>,
     store_revision: u64,
     pulls: u64,
     probes: usize,
@@ -105,8 +107,11 @@
     usize::from(peer.address.port()) - 1
 }
 
-fn spread(node: usize, run: u64) -> Spread {
-    Spread::new(SpreadSettings::default(), run * NODES as u64 + node as u64)
+fn spread(node: usize, run: u64) -> Dissemination {
+    Dissemination::new(
+        DisseminationSettings::default(),
+        run * NODES as u64 + node as u64,
+    )
 }
 
 impl Configurations {
@@ -153,7 +158,7 @@
         oracle: &mut Oracle,
     ) -> Vec<Message> {
         let others = (0..NODES).filter(|other| *other != node);
-        let view = View {
+        let view = MembershipView {
             is_watcher: up.iter().position(|is_up| *is_up) == Some(node),
             is_settled: true,
             neighbours: others.filter(|other| up[*other]).map(peer).collect(),
@@ -166,7 +171,7 @@
         // Membership's probes carry the revision in force to one other node at a time.
         self.probes += 1;
         let target = (node + 1 + self.probes % (NODES - 1)) % NODES;
-        let mark = self.spreads[node].mark(now);
+        let mark = self.spreads[node].status(now);
         messages.push(Message::Tell {
             from: node,
             target,
@@ -185,16 +190,16 @@
     ) -> Vec<Message> {
         match message {
             Message::Ask(pull) => {
-                let mark = self.spreads[pull.target].mark(now);
+                let mark = self.spreads[pull.target].status(now);
                 vec![Message::Answer(pull, mark)]
             }
             Message::Answer(pull, mark) => self.answered(now, pull, mark, oracle),
             Message::Tell { from, target, mark } => {
-                let actions = self.spreads[target].heard(now, &peer(from), mark);
+                let actions = self.spreads[target].handle_status(now, &peer(from), mark);
                 self.perform(now, target, run, actions, oracle)
             }
             Message::StoreRead { node, revision, .. } => {
-                let actions = self.spreads[node].store_read(now, revision);
+                let actions = self.spreads[node].handle_store_revision(now, revision);
                 self.perform(now, node, run, actions, oracle)
             }
             Message::ReadStore { .. } => Vec::new(),
@@ -207,20 +212,20 @@
             return Vec::new();
         }
         let outcome = PullOutcome::Failed;
-        let actions = self.spreads[pull.node].pulled(now, &peer(pull.target), outcome);
+        let actions = self.spreads[pull.node].handle_pull_outcome(now, &peer(pull.target), outcome);
         self.perform(now, pull.node, pull.run, actions, oracle)
     }
 
     /// How long a pull waits.
     pub fn pull_timeout() -> Duration {
-        SpreadSettings::default().pull_timeout
+        DisseminationSettings::default().pull_timeout
     }
 
     fn answered(
         &mut self,
         now: Timestamp,
         pull: Pull,
-        mark: Mark,
+        mark: RevisionStatus,
         oracle: &mut Oracle,
     ) -> Vec<Message> {
         if self.broken == Some(Rule::Monotonic) && mark.revision > 0 {
@@ -231,7 +236,7 @@
             return Vec::new();
         }
         let outcome = PullOutcome::Held(mark);
-        let actions = self.spreads[pull.node].pulled(now, &peer(pull.target), outcome);
+        let actions = self.spreads[pull.node].handle_pull_outcome(now, &peer(pull.target), outcome);
         self.perform(now, pull.node, pull.run, actions, oracle)
     }
 
@@ -262,11 +267,11 @@
                 Action::PutInForce => {
                     let revision = self.spreads[node].revision_held();
                     oracle.configuration_in_force(node, run, revision);
-                    let actions = self.spreads[node].in_force(revision);
+                    let actions = self.spreads[node].handle_put_in_force(revision);
                     messages.extend(self.perform(now, node, run, actions, oracle));
                 }
                 Action::Announce { peers } => {
-                    let mark = self.spreads[node].mark(now);
+                    let mark = self.spreads[node].status(now);
                     let told = peers.iter().map(index);
                     messages.extend(told.map(|target| Message::Tell {
                         from: node,
