--- a/crates/node/src/configuration/watcher.rs
+++ b/crates/node/src/configuration/watcher.rs
@@ -14,12 +14,12 @@
 use crate::peers::StoreRead;
 use crate::state::Node;
 
-/// Reads of the store are retried without limit. The longest wait is short enough that a change made
+/// Reads of the store are retried without limit. The maximum back-off is short enough that a change made
 /// right after an outage arrives without a noticeable delay.
 const READ_RETRY_POLICY: RetryPolicy = RetryPolicy {
-    max_tries: u32::MAX,
-    first_wait: Duration::from_millis(250),
-    longest_wait: Duration::from_secs(2),
+    max_attempts: u32::MAX,
+    initial_backoff: Duration::from_millis(250),
+    max_backoff: Duration::from_secs(2),
 };
 /// Interval of the check whether this node has to follow the store.
 const FOLLOW_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/node/src/peers/actor.rs
+++ b/crates/node/src/peers/actor.rs
@@ -8,10 +8,12 @@
 
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, WrapFuture};
 use tansyhall_core::{Incarnation, Timestamp};
-use tansyhall_dissemination::{self as dissemination, Mark, Peer, PullOutcome, Spread, View};
+use tansyhall_dissemination::{
+    self as dissemination, Dissemination, MembershipView, Peer, PullOutcome, RevisionStatus,
+};
 use tansyhall_membership::{
-    self as membership, ConfigurationMark, MemberAddresses, MemberRecord, MemberState, Membership,
-    MembershipSettings,
+    self as membership, ConfigurationStatus, MemberAddresses, MemberRecord, MemberState,
+    Membership, MembershipSettings,
 };
 use tansyhall_proto::{encode_datagram, PullAnswer};
 use tansyhall_store::machines::MachineList;
@@ -45,8 +47,8 @@
 pub struct PeersActor {
     pub(super) node: Arc<Node>,
     pub(super) membership: Membership,
-    pub(super) spread: Spread,
-    spread_settings: dissemination::SpreadSettings,
+    pub(super) dissemination: Dissemination,
+    dissemination_settings: dissemination::DisseminationSettings,
     transport: Option<PeerTransport>,
     socket: Option<Rc<UdpSocket>>,
     machine_list: MachineList,
@@ -70,7 +72,7 @@
         for seed in &settings.seeds {
             membership.add_contact(*seed);
         }
-        let spread_settings = dissemination::SpreadSettings::default();
+        let dissemination_settings = dissemination::DisseminationSettings::default();
         let machine_schedule = MachineSchedule {
             interval: settings.peer_limits.machines_period,
             next_read_at: Timestamp::default(),
@@ -78,8 +80,8 @@
         };
         Self {
             membership,
-            spread: Spread::new(spread_settings.clone(), rand::random()),
-            spread_settings,
+            dissemination: Dissemination::new(dissemination_settings.clone(), rand::random()),
+            dissemination_settings,
             transport: Some(transport),
             socket: None,
             machine_list: MachineList::new(settings.platform, settings.limits.platform_timeout),
@@ -95,19 +97,19 @@
         self.carry_out_membership(now, actions, context);
         self.record_revisions_of_other_zones();
         let view = self.membership_view(now);
-        let actions = self.spread.tick(now, view);
-        self.carry_out_spread(now, actions, context);
+        let actions = self.dissemination.tick(now, view);
+        self.carry_out_dissemination(now, actions, context);
         self.read_machines(now, context);
         self.publish(now);
     }
 
-    fn membership_view(&self, now: Timestamp) -> View {
+    fn membership_view(&self, now: Timestamp) -> MembershipView {
         let own = &self.node.settings.name;
         let neighbours = self
             .membership
             .reachable()
             .filter(|record| record.name != *own);
-        View {
+        MembershipView {
             is_watcher: self.membership.is_watcher(now),
             is_settled: self.membership.is_settled(now),
             neighbours: neighbours.map(peer_of).collect(),
@@ -126,7 +128,8 @@
                     name: contact.name.clone(),
                     address: contact.peers,
                 };
-                self.spread.heard_of(&peer, contact.configuration_revision);
+                self.dissemination
+                    .handle_remote_revision(&peer, contact.configuration_revision);
             }
         }
     }
@@ -145,23 +148,27 @@
                     log_member_change(&record, before);
                     self.next_publish_at = now;
                 }
-                membership::Action::Heard { sender, from } => {
+                membership::Action::MessageReceived { sender, from } => {
                     let peer = Peer {
                         name: sender.name,
                         address: from,
                     };
-                    let mark = Mark {
+                    let status = RevisionStatus {
                         revision: sender.configuration.revision,
                         confirmation_age: sender.configuration.confirmation_age,
                     };
-                    let actions = self.spread.heard(now, &peer, mark);
-                    self.carry_out_spread(now, actions, context);
+                    let actions = self.dissemination.handle_status(now, &peer, status);
+                    self.carry_out_dissemination(now, actions, context);
                 }
                 membership::Action::ForeignSender { from } => {
                     foreign::record_foreign_message(&self.node, from)
                 }
-                membership::Action::BackendChanged(mark) => {
-                    log::info!("back end {}: leaving = {}", mark.name, mark.is_leaving);
+                membership::Action::BackendChanged(backend) => {
+                    log::info!(
+                        "back end {}: leaving = {}",
+                        backend.name,
+                        backend.is_leaving
+                    );
                     self.next_publish_at = now;
                 }
                 membership::Action::AskedToLeave => {
@@ -171,7 +178,7 @@
         }
     }
 
-    pub(super) fn carry_out_spread(
+    pub(super) fn carry_out_dissemination(
         &mut self,
         now: Timestamp,
         actions: Vec<dissemination::Action>,
@@ -185,12 +192,12 @@
                 } => self.start_pull(peer, held_revision, context),
                 dissemination::Action::PutInForce => {
                     let revision = configuration::put_held_in_force(&self.node);
-                    let actions = self.spread.in_force(revision);
-                    self.update_mark(now);
-                    self.carry_out_spread(now, actions, context);
+                    let actions = self.dissemination.handle_put_in_force(revision);
+                    self.update_configuration_status(now);
+                    self.carry_out_dissemination(now, actions, context);
                 }
                 dissemination::Action::Announce { peers } => {
-                    let message = self.membership.notice(now);
+                    let message = self.membership.build_notice(now);
                     for peer in peers {
                         self.send_message(peer.address, &message);
                     }
@@ -220,7 +227,7 @@
     }
 
     fn start_pull(&self, peer: Peer, held_revision: u64, context: &mut Context<Self>) {
-        let timeout = self.spread_settings.pull_timeout;
+        let timeout = self.dissemination_settings.pull_timeout;
         let node = Arc::clone(&self.node);
         let pull = pull::pull_configuration(node, peer.address, held_revision, timeout);
         let pull = pull.into_actor(self);
@@ -254,8 +261,8 @@
             .with_label_values(&[label])
             .inc();
         let now = self.node.clock.now();
-        let actions = self.spread.pulled(now, &peer, outcome);
-        self.carry_out_spread(now, actions, context);
+        let actions = self.dissemination.handle_pull_outcome(now, &peer, outcome);
+        self.carry_out_dissemination(now, actions, context);
     }
 
     fn read_machines(&mut self, now: Timestamp, context: &mut Context<Self>) {
@@ -285,18 +292,18 @@
     }
 
     /// Passes the revision in force to membership, which states it in every message.
-    fn update_mark(&mut self, now: Timestamp) {
-        let mark = self.spread.mark(now);
-        let mark = ConfigurationMark {
-            revision: mark.revision,
-            confirmation_age: mark.confirmation_age,
+    fn update_configuration_status(&mut self, now: Timestamp) {
+        let status = self.dissemination.status(now);
+        let status = ConfigurationStatus {
+            revision: status.revision,
+            confirmation_age: status.confirmation_age,
         };
-        self.membership.set_configuration(now, mark);
+        self.membership.set_configuration(now, status);
     }
 
     fn publish(&mut self, now: Timestamp) {
-        self.update_mark(now);
-        let follows_store = self.spread.follows_store();
+        self.update_configuration_status(now);
+        let follows_store = self.dissemination.follows_store();
         self.node.peers.set_follows_store(follows_store);
         if now < self.next_publish_at {
             return;
@@ -305,7 +312,7 @@
         self.node.peers.publish(&self.membership);
         let metrics = &self.node.metrics.peers;
         metrics.follows_store.set(follows_store.into());
-        let staleness = self.spread.staleness(now);
+        let staleness = self.dissemination.staleness(now);
         let staleness = staleness.map_or(f64::INFINITY, |age| age.as_secs_f64());
         metrics.staleness_seconds.set(staleness);
         let leaving_backends = self.membership.leaving_backends().count();
--- a/crates/node/src/peers/handlers.rs
+++ b/crates/node/src/peers/handlers.rs
@@ -65,7 +65,7 @@
                 revision
             }
         };
-        let actions = self.spread.store_read(now, revision);
-        self.carry_out_spread(now, actions, context);
+        let actions = self.dissemination.handle_store_revision(now, revision);
+        self.carry_out_dissemination(now, actions, context);
     }
 }
