--- a/crates/node/src/admin/status.rs
+++ b/crates/node/src/admin/status.rs
@@ -13,7 +13,7 @@
 
 use super::access;
 use super::changes::Answer;
-use crate::configuration::InForce;
+use crate::configuration::ConfigurationInForce;
 use crate::peers::{MemberStatus, ZoneStatus};
 use crate::state::{EngineStatus, Node};
 
@@ -142,7 +142,10 @@
     }))
 }
 
-fn visible_pools<'a>(account: &OperatorAccount, in_force: &'a InForce) -> Vec<&'a Pool> {
+fn visible_pools<'a>(
+    account: &OperatorAccount,
+    in_force: &'a ConfigurationInForce,
+) -> Vec<&'a Pool> {
     let configuration = &in_force.configuration;
     let pools = configuration.pools.values();
     let is_visible = |pool: &&Pool| {
--- a/crates/node/src/at_most_once/members.rs
+++ b/crates/node/src/at_most_once/members.rs
@@ -42,7 +42,7 @@
         }
     };
     let request = PeerRequest::Journal(call);
-    let answer = exchange::ask(node, address, request, timeout).await?;
+    let answer = exchange::send_request(node, address, request, timeout).await?;
     Ok(decode_journal_answer(&answer)?)
 }
 
--- a/crates/node/src/callers/origin.rs
+++ b/crates/node/src/callers/origin.rs
@@ -118,7 +118,7 @@
 async fn query_peer(node: &Node, peer: SocketAddr, query: StatusQuery) -> StatusAnswer {
     let timeout = node.settings.limits.connect_timeout;
     let request = PeerRequest::Status(query);
-    let answer = exchange::ask(node, peer, request, timeout).await;
+    let answer = exchange::send_request(node, peer, request, timeout).await;
     let answer = answer
         .ok()
         .and_then(|bytes| decode_status_answer(&bytes).ok());
--- a/crates/node/src/configuration/held.rs
+++ b/crates/node/src/configuration/held.rs
@@ -10,13 +10,13 @@
 };
 use tansyhall_proto::PullAnswer;
 
-use super::in_force::InForce;
+use super::in_force::ConfigurationInForce;
 use crate::state::Node;
 
 /// The newest configuration, both encoded for peers and compiled for routing.
 pub struct HeldConfiguration {
     history: History,
-    compiled: Arc<InForce>,
+    compiled: Arc<ConfigurationInForce>,
 }
 
 /// A configuration was refused as a whole; the last valid one is kept.
@@ -56,7 +56,7 @@
     let Some(document) = encode_document(&configuration) else {
         return refuse(node, revision, "it cannot be encoded");
     };
-    match InForce::new(configuration) {
+    match ConfigurationInForce::new(configuration) {
         Ok(compiled) => {
             let mut held = node.held_configuration.lock();
             if held.history.push(document) {
--- a/crates/node/src/configuration/in_force.rs
+++ b/crates/node/src/configuration/in_force.rs
@@ -8,14 +8,14 @@
 
 /// A validated configuration with its compiled policies, by which requests are routed.
 #[derive(Debug, Clone, Default)]
-pub struct InForce {
+pub struct ConfigurationInForce {
     /// The resources.
     pub configuration: Configuration,
     programs: Programs,
     default_program: Arc<Program>,
 }
 
-impl InForce {
+impl ConfigurationInForce {
     /// Validates and compiles a configuration.
     pub fn new(configuration: Configuration) -> Result<Self, ConfigurationError> {
         let programs = configuration.compile()?;
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -15,6 +15,6 @@
 pub use held::{
     apply_pull_answer, hold_if_newer, put_held_in_force, ConfigurationRefused, HeldConfiguration,
 };
-pub use in_force::InForce;
+pub use in_force::ConfigurationInForce;
 pub use store::{CommittedChange, ConfigurationStore, Snapshot};
 pub use watcher::ConfigurationWatcher;
--- a/crates/node/src/limits/keys.rs
+++ b/crates/node/src/limits/keys.rs
@@ -7,7 +7,7 @@
 use tansyhall_shares::key::UNIT;
 use tansyhall_shares::{Amount, LimitKey, LimitKind};
 
-use crate::configuration::InForce;
+use crate::configuration::ConfigurationInForce;
 
 /// Keys of the limits that apply to one tenant at one service; absent if there is no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -23,7 +23,7 @@
 impl LimitKeys {
     /// Returns the keys of the limits of a tenant at a service. A limit in the service's policy
     /// replaces that in the tenant's resource.
-    pub fn of(in_force: &InForce, service: &ServiceName, tenant: &TenantName) -> Self {
+    pub fn of(in_force: &ConfigurationInForce, service: &ServiceName, tenant: &TenantName) -> Self {
         let own = in_force.configuration.tenants.get(tenant);
         let own = own.map(|tenant| tenant.limits).unwrap_or_default();
         let program = in_force.program(service);
@@ -42,7 +42,7 @@
 }
 
 /// Returns all limits in force.
-pub fn limits_in_force(in_force: &InForce) -> BTreeMap<LimitKey, Amount> {
+pub fn limits_in_force(in_force: &ConfigurationInForce) -> BTreeMap<LimitKey, Amount> {
     let mut limits = BTreeMap::new();
     for tenant in in_force.configuration.tenants.values() {
         insert(&mut limits, &tenant.name, None, &tenant.limits);
--- a/crates/node/src/limits/limiter.rs
+++ b/crates/node/src/limits/limiter.rs
@@ -15,7 +15,7 @@
 
 use super::keys::limits_in_force;
 use super::transport::ShareTransport;
-use crate::configuration::InForce;
+use crate::configuration::ConfigurationInForce;
 
 /// Divisor of the headroom that is requested in addition to the measured demand (a quarter of it),
 /// so that demand can grow before more is granted.
@@ -35,7 +35,7 @@
 struct Shares {
     node: ShareNode,
     /// Configuration whose limits are applied.
-    applied: Option<Arc<InForce>>,
+    applied: Option<Arc<ConfigurationInForce>>,
 }
 
 /// Enforces the limits of tenants at this node.
@@ -62,9 +62,9 @@
     }
 
     /// Applies the limits of a configuration, unless they are already applied.
-    pub fn apply_limits(&self, now: Timestamp, in_force: &Arc<InForce>) {
+    pub fn apply_limits(&self, now: Timestamp, in_force: &Arc<ConfigurationInForce>) {
         let mut shares = self.shares.lock();
-        let is_applied = |applied: &Arc<InForce>| Arc::ptr_eq(applied, in_force);
+        let is_applied = |applied: &Arc<ConfigurationInForce>| Arc::ptr_eq(applied, in_force);
         if shares.applied.as_ref().is_some_and(is_applied) {
             return;
         }
--- a/crates/node/src/limits/tenant.rs
+++ b/crates/node/src/limits/tenant.rs
@@ -3,7 +3,7 @@
 use actix_web::http::header::HeaderMap;
 use tansyhall_core::{ServiceName, TenantName};
 
-use crate::configuration::InForce;
+use crate::configuration::ConfigurationInForce;
 
 /// Header with the name of the caller's tenant.
 pub const TENANT_HEADER: &str = "tansyhall-tenant";
@@ -16,7 +16,7 @@
 /// Returns the tenant that the caller names or, if it names none, the one that owns the service, if
 /// any.
 pub fn tenant_of(
-    in_force: &InForce,
+    in_force: &ConfigurationInForce,
     service: &ServiceName,
     headers: &HeaderMap,
 ) -> Result<Option<TenantName>, UnknownTenant> {
--- a/crates/node/src/peers/exchange.rs
+++ b/crates/node/src/peers/exchange.rs
@@ -40,7 +40,7 @@
 }
 
 /// Sends a request to a peer and returns the encoded answer.
-pub async fn ask(
+pub async fn send_request(
     node: &Node,
     peer: SocketAddr,
     request: PeerRequest,
--- a/crates/node/src/peers/pull.rs
+++ b/crates/node/src/peers/pull.rs
@@ -19,7 +19,7 @@
     timeout: Duration,
 ) -> Result<PullAnswer> {
     let request = PeerRequest::Pull { held_revision };
-    let answer = exchange::ask(&node, peer, request, timeout).await?;
+    let answer = exchange::send_request(&node, peer, request, timeout).await?;
     Ok(decode_pull_answer(&answer)?)
 }
 
--- a/crates/node/src/state.rs
+++ b/crates/node/src/state.rs
@@ -14,7 +14,7 @@
 
 use crate::at_most_once::Journal;
 use crate::callers::CallersState;
-use crate::configuration::{HeldConfiguration, InForce};
+use crate::configuration::{ConfigurationInForce, HeldConfiguration};
 use crate::dispatch::{DispatchState, InFlight};
 use crate::limits::TenantLimiter;
 use crate::metrics::Metrics;
@@ -36,7 +36,7 @@
     /// The monotonic clock.
     pub clock: MonotonicClock,
     /// The configuration in force.
-    pub in_force: ArcSwap<InForce>,
+    pub in_force: ArcSwap<ConfigurationInForce>,
     /// The newest configuration that the node holds, which peers pull from it.
     pub held_configuration: Mutex<HeldConfiguration>,
     /// The view of other nodes.
@@ -71,7 +71,7 @@
             fleet: settings.fleet_id(),
             settings,
             clock,
-            in_force: ArcSwap::from_pointee(InForce::default()),
+            in_force: ArcSwap::from_pointee(ConfigurationInForce::default()),
             held_configuration: Mutex::new(HeldConfiguration::default()),
             peers: PeersView::default(),
             foreign_log_limiter: ForeignLogLimiter::default(),
--- a/crates/node/tests/applications.rs
+++ b/crates/node/tests/applications.rs
@@ -10,7 +10,7 @@
 use awc::http::Method;
 use bytes::Bytes;
 use futures_util::{stream, StreamExt};
-use support::{client, dead_address, header, json_of, listener, start_node};
+use support::{bind_listener, client, header, read_json, start_node, unused_address};
 use tansyhall_standin::app::{self, AppOptions};
 use tansyhall_testing::get_json;
 use tansyhall_twice_answering::{Second, TwiceAnswering, ARRIVAL};
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 
 fn start_worker(name: &str) -> SocketAddr {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     let options = AppOptions { name: name.into() };
     actix_rt::spawn(app::serve(listener, options).expect("a worker"));
     address
@@ -27,7 +27,7 @@
 /// Starts a worker that reads a request's head and closes the connection. Returns its address and
 /// its count of requests.
 fn start_broken_worker() -> (SocketAddr, Rc<Cell<u32>>) {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     listener.set_nonblocking(true).expect("a listener");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
     let requests = Rc::new(Cell::new(0));
@@ -54,14 +54,14 @@
 
 #[actix_rt::test]
 async fn a_refused_connection_is_retried_whatever_the_method() {
-    let workers = [dead_address(), start_worker("app-1")];
+    let workers = [unused_address(), start_worker("app-1")];
     let (node, address) = start_node(&[], &workers, "retry_reserve = 100");
     for _ in 0..20 {
         let mut response = send(address, Method::POST, "two sacks").await;
         assert_eq!(response.status(), 200);
         assert_eq!(header(&response, "tansyhall-verdict"), "completed");
         assert!(!header(&response, "tansyhall-request-id").is_empty());
-        let echo = json_of(&mut response).await;
+        let echo = read_json(&mut response).await;
         assert_eq!(echo["body"], "two sacks");
         assert_eq!(echo["method"], "POST");
     }
@@ -146,7 +146,7 @@
 
 /// Starts a worker that answers its first request with `part` and closes the connection.
 fn start_interrupting_worker(part: &'static [u8]) -> SocketAddr {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     listener.set_nonblocking(true).expect("a listener");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
     actix_rt::spawn(async move {
@@ -186,7 +186,7 @@
 
 #[actix_rt::test]
 async fn a_redirect_reaches_the_caller() {
-    let (listener, worker) = listener();
+    let (listener, worker) = bind_listener();
     let server = actix_web::HttpServer::new(|| {
         let moved = || async {
             let mut response = actix_web::HttpResponse::Found();
--- a/crates/node/tests/at_most_once_connections.rs
+++ b/crates/node/tests/at_most_once_connections.rs
@@ -26,7 +26,8 @@
         addressee: None,
         request: JournalRequest::Identify,
     });
-    let answer = exchange::ask(&running.node, running.peers, request, ANSWER_TIMEOUT).await;
+    let answer =
+        exchange::send_request(&running.node, running.peers, request, ANSWER_TIMEOUT).await;
     let answer =
         decode_journal_answer(&answer.expect("an answer")).expect("an answer of a replica");
     let JournalAnswer::Identity { member, .. } = answer else {
--- a/crates/node/tests/bad_input.rs
+++ b/crates/node/tests/bad_input.rs
@@ -8,7 +8,8 @@
 use proptest::prelude::*;
 use serde_json::json;
 use support::{
-    ask, body, client, expected, header, json_of, start_engine, start_node, Reader, MODEL,
+    client, completion_body, expected_text, header, read_json, request_completion, start_engine,
+    start_node, StreamReader, MODEL,
 };
 use tansyhall_node::callers::shape::CallerRequest;
 use tansyhall_node::Node;
@@ -57,7 +58,7 @@
     assert_invalid(&post(address, vec![b' '; 2_000]).await, 413);
     assert_eq!(refused(&node, "too-large"), 1);
     let unknown = json!({ "model": "nobody-has-it", "prompt": "x" });
-    assert_invalid(&ask(address, &[], &unknown).await, 404);
+    assert_invalid(&request_completion(address, &[], &unknown).await, 404);
     assert_eq!(refused(&node, "unknown-model"), 1);
     let bad_headers = [
         ("tansyhall-deadline-ms", "soon"),
@@ -67,7 +68,10 @@
         ("idempotency-key", "two words"),
     ];
     for bad in bad_headers {
-        assert_invalid(&ask(address, &[bad], &body(2, false)).await, 400);
+        assert_invalid(
+            &request_completion(address, &[bad], &completion_body(2, false)).await,
+            400,
+        );
     }
     assert_eq!(refused(&node, "option"), 5);
 }
@@ -76,7 +80,7 @@
 async fn an_engine_that_rejects_a_request_ends_it_at_once() {
     let engines = [start_engine("engine-0"), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
-    let response = ask(address, &[], &body(u32::MAX, false)).await;
+    let response = request_completion(address, &[], &completion_body(u32::MAX, false)).await;
     assert_invalid(&response, 413);
     let rejected = node.metrics.attempts.with_label_values(&["rejected"]);
     assert_eq!(rejected.get(), 1);
@@ -103,7 +107,7 @@
 #[actix_rt::test]
 async fn closing_the_callers_side_of_a_connection_cancels_its_request() {
     let (node, address) = start_node(&[start_engine("engine-0")], &[], "");
-    let body = body(50_000, false).to_string();
+    let body = completion_body(50_000, false).to_string();
     let request = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
@@ -133,19 +137,19 @@
     // Enough tokens to fill every buffer between the engine and the caller.
     const TOKENS: u32 = 150_000;
     let limits = "caller_stall = '200ms'";
-    let (listener, engine) = support::listener();
+    let (listener, engine) = support::bind_listener();
     let server = actix_web::HttpServer::new(|| {
         actix_web::App::new().default_service(actix_web::web::to(stream_endlessly))
     });
     let server = server.workers(1).disable_signals().listen(listener);
     actix_rt::spawn(server.expect("a server").run());
     let (node, address) = start_node(&[engine], &[], limits);
-    let response = ask(address, &[], &body(TOKENS, true)).await;
+    let response = request_completion(address, &[], &completion_body(TOKENS, true)).await;
     eventually("the caller is disconnected", || async {
         (node.metrics.callers_stalled.get() == 1).then_some(())
     })
     .await;
-    let reader = Reader::new(response).read_all().await;
+    let reader = StreamReader::new(response).read_all().await;
     assert_eq!(
         reader.verdict, None,
         "the partial answer does not look complete"
@@ -173,9 +177,12 @@
     let url = format!("http://{address}/v1/completions");
     let bad = client.post(&url).send_body("{").await;
     assert_eq!(bad.expect("an answer").status(), 400);
-    let good = client.post(&url).send_json(&body(3, false)).await;
-    let answer = json_of(&mut good.expect("an answer")).await;
-    assert_eq!(answer["choices"][0]["text"], expected(3));
+    let good = client
+        .post(&url)
+        .send_json(&completion_body(3, false))
+        .await;
+    let answer = read_json(&mut good.expect("an answer")).await;
+    assert_eq!(answer["choices"][0]["text"], expected_text(3));
 }
 
 proptest! {
@@ -226,7 +233,7 @@
         let refused = answer.is_empty() || answer.starts_with("HTTP/1.1 4");
         assert!(refused, "{answer}");
     }
-    let mut response = ask(address, &[], &body(3, false)).await;
-    let text = &json_of(&mut response).await["choices"][0]["text"];
-    assert_eq!(*text, expected(3));
+    let mut response = request_completion(address, &[], &completion_body(3, false)).await;
+    let text = &read_json(&mut response).await["choices"][0]["text"];
+    assert_eq!(*text, expected_text(3));
 }
--- a/crates/node/tests/dispatch_choice.rs
+++ b/crates/node/tests/dispatch_choice.rs
@@ -36,12 +36,12 @@
     let engine = start_engine("engine-0");
     let (node, address) = start_node(&[engine], &[], "");
     let deadline = [("tansyhall-deadline-ms", "300")];
-    let mut response = ask(address, &deadline, &body(200, false)).await;
+    let mut response = request_completion(address, &deadline, &completion_body(200, false)).await;
     assert_eq!(response.status(), 503);
     assert_eq!(header(&response, "tansyhall-verdict"), "not-run");
     assert_eq!(header(&response, "retry-after"), "1");
     // 200 iterations of 4.2 ms and those of the prompt, less four fifths of the time left.
-    let retry_after = json_of(&mut response).await["error"]["retry_after_ms"].as_u64();
+    let retry_after = read_json(&mut response).await["error"]["retry_after_ms"].as_u64();
     let retry_after = retry_after.expect("an advised wait");
     assert!((600..850).contains(&retry_after), "{retry_after} ms");
     assert_eq!(choices(&node, "refused"), 1);
@@ -56,7 +56,9 @@
     let (_, elsewhere) = start_node(&engines[..1], &[], "");
     let mut others = Vec::new();
     for _ in 0..8 {
-        let mut reader = Reader::new(ask(elsewhere, &[], &body(2_000, true)).await);
+        let mut reader = StreamReader::new(
+            request_completion(elsewhere, &[], &completion_body(2_000, true)).await,
+        );
         reader.read_text().await;
         others.push(reader);
     }
@@ -70,7 +72,7 @@
         async move { (estimate.decoding >= 8.0).then_some(()) }
     })
     .await;
-    let response = ask(address, &[], &body(4, false)).await;
+    let response = request_completion(address, &[], &completion_body(4, false)).await;
     assert_eq!(response.status(), 200);
     let records = get_records(engines[1]).await;
     assert_eq!(records["requests"].as_array().map(Vec::len), Some(1));
@@ -91,14 +93,19 @@
         async move { (!estimate.accepts_work).then_some(()) }
     })
     .await;
-    assert_eq!(ask(address, &[], &body(4, false)).await.status(), 200);
+    assert_eq!(
+        request_completion(address, &[], &completion_body(4, false))
+            .await
+            .status(),
+        200
+    );
     let unavailable = node.metrics.attempts.with_label_values(&["unavailable"]);
     assert_eq!(unavailable.get(), 0, "the draining engine got no request");
 }
 
 #[actix_rt::test]
 async fn an_engine_that_does_not_report_is_chosen_by_the_nodes_own_count() {
-    let engines = [dead_address(), start_engine("engine-1")];
+    let engines = [unused_address(), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
     LoadPoller::new(Arc::clone(&node)).start();
     eventually("a report fails", || {
@@ -113,7 +120,7 @@
     let breakers = node.metrics.breakers_opened.get();
     assert_eq!(breakers, 0, "a missing report opens no breaker");
     let _busy = node.track_in_flight(&"engine-1".into());
-    let response = ask(address, &[], &body(4, false)).await;
+    let response = request_completion(address, &[], &completion_body(4, false)).await;
     assert_eq!(response.status(), 200);
     let unreachable = node.metrics.attempts.with_label_values(&["unreachable"]);
     assert_eq!(unreachable.get(), 1, "it was tried first, as the idle one");
@@ -133,7 +140,12 @@
     })
     .await;
     for _ in 0..10 {
-        assert_eq!(ask(address, &[], &body(2, false)).await.status(), 200);
+        assert_eq!(
+            request_completion(address, &[], &completion_body(2, false))
+                .await
+                .status(),
+            200
+        );
     }
     let mut used = 0;
     for engine in &engines {
@@ -148,7 +160,12 @@
     let engine = start_engine_as("engine-0", Role::Mixed);
     let (node, address) = start_node(&[engine], &[], "");
     for _ in 0..3 {
-        assert_eq!(ask(address, &[], &body(20, false)).await.status(), 200);
+        assert_eq!(
+            request_completion(address, &[], &completion_body(20, false))
+                .await
+                .status(),
+            200
+        );
     }
     assert_eq!(choices(&node, "whole"), 3);
     assert_eq!(node.metrics.prediction_ratio.get_sample_count(), 3);
@@ -164,7 +181,7 @@
     let ledger: Vec<String> = (0..160).map(|word| format!("family{word}")).collect();
     let ask_ledger = async |node| {
         let body = json!({ "model": MODEL, "prompt": ledger.join(" "), "max_tokens": 2 });
-        assert_eq!(ask(node, &[], &body).await.status(), 200);
+        assert_eq!(request_completion(node, &[], &body).await.status(), 200);
     };
     ask_ledger(elsewhere).await;
     start_polling(&node, engines.len()).await;
--- a/crates/node/tests/limits_of_tenants.rs
+++ b/crates/node/tests/limits_of_tenants.rs
@@ -10,11 +10,14 @@
 use actix_web::{web, App, HttpResponse, HttpServer};
 use awc::ClientResponse;
 use futures_util::future::join_all;
-use support::{ask, body, header, json_of, listener, start_engine, start_node, Reader, MODEL};
+use support::{
+    bind_listener, completion_body, header, read_json, request_completion, start_engine,
+    start_node, StreamReader, MODEL,
+};
 use tansyhall_config::file::ResourceFile;
 use tansyhall_config::Configuration;
 use tansyhall_engine::protocol::{EngineRequest, COMPLETIONS_PATH};
-use tansyhall_node::configuration::InForce;
+use tansyhall_node::configuration::ConfigurationInForce;
 use tansyhall_node::Node;
 use tansyhall_testing::eventually;
 use tokio::sync::mpsc;
@@ -52,7 +55,7 @@
     for resource in resources.into_resources() {
         configuration.put(resource);
     }
-    let in_force = InForce::new(configuration).expect("a configuration");
+    let in_force = ConfigurationInForce::new(configuration).expect("a configuration");
     node.in_force.store(Arc::new(in_force));
     (node, address)
 }
@@ -65,10 +68,10 @@
 }
 
 /// Starts a long stream and reads its first text.
-async fn start_stream(address: SocketAddr, tenant: (&str, &str), tokens: u32) -> Reader {
-    let answer = ask(address, &[tenant], &body(tokens, true)).await;
+async fn start_stream(address: SocketAddr, tenant: (&str, &str), tokens: u32) -> StreamReader {
+    let answer = request_completion(address, &[tenant], &completion_body(tokens, true)).await;
     assert_eq!(answer.status(), 200);
-    let mut reader = Reader::new(answer);
+    let mut reader = StreamReader::new(answer);
     reader.read_text().await;
     reader
 }
@@ -78,8 +81,8 @@
     let policy = "tenant cooperative { limit 2 requests per s; }";
     let (node, address) = start(policy, "");
     let started_at = Instant::now();
-    let request = body(1, false);
-    let asks = (0..40).map(|_| ask(address, &[], &request));
+    let request = completion_body(1, false);
+    let asks = (0..40).map(|_| request_completion(address, &[], &request));
     let answers = join_all(asks).await;
     let allowed = 2 + 2 * (started_at.elapsed().as_secs() + 1);
     let admitted = answers.iter().filter(|answer| answer.status() == 200);
@@ -91,13 +94,13 @@
     assert_eq!(counted.get(), refused.len() as u64);
     for mut answer in refused {
         assert_over_limit(&answer);
-        let advised = json_of(&mut answer).await["error"]["retry_after_ms"].clone();
+        let advised = read_json(&mut answer).await["error"]["retry_after_ms"].clone();
         assert!(
             advised.as_u64().is_some_and(|millis| millis <= 500),
             "{advised}"
         );
     }
-    let unlimited = ask(address, &[REGISTRY], &request).await;
+    let unlimited = request_completion(address, &[REGISTRY], &request).await;
     assert_eq!(unlimited.status(), 200, "another tenant has its own limits");
 }
 
@@ -105,8 +108,8 @@
 async fn an_unknown_tenant_is_refused_and_a_known_one_is_seen_by_policies() {
     let policy = "class desk when tenant == \"registry\" { deadline 7s; }";
     let (node, address) = start(policy, "");
-    let request = body(1, false);
-    let unknown = ask(address, &[("tansyhall-tenant", "nobody")], &request).await;
+    let request = completion_body(1, false);
+    let unknown = request_completion(address, &[("tansyhall-tenant", "nobody")], &request).await;
     assert_eq!(unknown.status(), 400);
     assert_eq!(header(&unknown, "tansyhall-verdict"), "not-run");
     let counted = node.metrics.refused.with_label_values(&["unknown-tenant"]);
@@ -118,9 +121,14 @@
 /// Returns the deadline of a long request, as its status resource states it.
 async fn deadline_millis(address: SocketAddr, tenant: &[(&str, &str)]) -> u64 {
     let headers = [&[("prefer", "wait=0")], tenant].concat();
-    let mut answer = ask(address, &headers, &body(LONG_ANSWER_TOKENS, false)).await;
+    let mut answer = request_completion(
+        address,
+        &headers,
+        &completion_body(LONG_ANSWER_TOKENS, false),
+    )
+    .await;
     assert_eq!(answer.status(), 202);
-    let status = json_of(&mut answer).await;
+    let status = read_json(&mut answer).await;
     status["deadline_ms"].as_u64().expect("a deadline")
 }
 
@@ -129,7 +137,7 @@
     let policy = "tenant cooperative { limit 1 concurrent; }";
     let (node, address) = start(policy, "");
     let held = start_stream(address, COOPERATIVE, LONG_ANSWER_TOKENS).await;
-    assert_over_limit(&ask(address, &[], &body(1, false)).await);
+    assert_over_limit(&request_completion(address, &[], &completion_body(1, false)).await);
     let counted = node
         .metrics
         .refused
@@ -137,7 +145,7 @@
     assert_eq!(counted.get(), 1);
     drop(held);
     eventually("the slot is released", || async {
-        let answer = ask(address, &[], &body(1, false)).await;
+        let answer = request_completion(address, &[], &completion_body(1, false)).await;
         (answer.status() == 200).then_some(())
     })
     .await;
@@ -148,14 +156,14 @@
     let policy = "tenant cooperative { limit 100 tokens per s; }";
     let (_node, address) = start(policy, "");
     let held = start_stream(address, COOPERATIVE, LONG_ANSWER_TOKENS).await;
-    let mut refused = ask(address, &[], &body(1, false)).await;
+    let mut refused = request_completion(address, &[], &completion_body(1, false)).await;
     assert_over_limit(&refused);
-    let advised = json_of(&mut refused).await["error"]["retry_after_ms"].clone();
+    let advised = read_json(&mut refused).await["error"]["retry_after_ms"].clone();
     let debt_millis = u64::from(LONG_ANSWER_TOKENS) * 1_000 / 100;
     assert!(advised.as_u64() > Some(debt_millis / 2), "{advised}");
     drop(held);
     eventually("unused tokens are refunded", || async {
-        let answer = ask(address, &[], &body(1, false)).await;
+        let answer = request_completion(address, &[], &completion_body(1, false)).await;
         (answer.status() == 200).then_some(())
     })
     .await;
@@ -169,18 +177,18 @@
     for _ in 0..6 {
         held.push(start_stream(address, COOPERATIVE, SHARED_MEMORY_TOKENS).await);
     }
-    let refused = ask(address, &[], &body(1, false)).await;
+    let refused = request_completion(address, &[], &completion_body(1, false)).await;
     assert_eq!(refused.status(), 503);
     assert_eq!(header(&refused, "tansyhall-verdict"), "not-run");
     let counted = node.metrics.refused.with_label_values(&["fair-part"]);
     assert_eq!(counted.get(), 1);
-    let other = ask(address, &[REGISTRY], &body(1, true)).await;
+    let other = request_completion(address, &[REGISTRY], &completion_body(1, true)).await;
     assert_eq!(other.status(), 200);
 }
 
 #[actix_rt::test]
 async fn the_adapter_that_a_class_picks_reaches_the_engine() {
-    let (listener, engine) = listener();
+    let (listener, engine) = bind_listener();
     let (sender, mut received) = mpsc::unbounded_channel();
     let server = HttpServer::new(move || {
         let sender = sender.clone();
@@ -199,7 +207,7 @@
     actix_rt::spawn(server.expect("a server").run());
     let policy = "class counter { adapters tuned 100%; }";
     let (_node, address) = start_with_engine(engine, policy, "");
-    ask(address, &[], &body(1, false)).await;
+    request_completion(address, &[], &completion_body(1, false)).await;
     let adapter = received.recv().await.expect("a request");
     assert_eq!(adapter.as_deref(), Some("tuned"));
 }
--- a/crates/node/tests/limits_two_nodes.rs
+++ b/crates/node/tests/limits_two_nodes.rs
@@ -8,7 +8,7 @@
 use tansyhall_config::settings::Limits;
 use tansyhall_config::Configuration;
 use tansyhall_core::{NodeId, Timestamp};
-use tansyhall_node::configuration::InForce;
+use tansyhall_node::configuration::ConfigurationInForce;
 use tansyhall_node::limits::keys::limits_in_force;
 use tansyhall_node::limits::{ShareTransport, TenantLimiter};
 use tansyhall_shares::{Amount, FleetView, LimitKey, Message};
@@ -38,7 +38,7 @@
 }
 
 impl TwoNodes {
-    fn new(in_force: &Arc<InForce>) -> Self {
+    fn new(in_force: &Arc<ConfigurationInForce>) -> Self {
         let names = ["node-0", "node-1"].map(NodeId::from);
         let now = Timestamp::from_millis(1);
         let limits = Limits::default();
@@ -96,7 +96,7 @@
     for resource in resources.into_resources() {
         configuration.put(resource);
     }
-    let in_force = Arc::new(InForce::new(configuration).expect("a configuration"));
+    let in_force = Arc::new(ConfigurationInForce::new(configuration).expect("a configuration"));
     let limits = limits_in_force(&in_force);
     let (key, limit) = limits.first_key_value().expect("a limit");
     assert_eq!(*limit, LIMIT);
--- a/crates/node/tests/requests.rs
+++ b/crates/node/tests/requests.rs
@@ -8,8 +8,8 @@
 use futures_util::FutureExt;
 use serde_json::{json, Value};
 use support::{
-    ask, body, client, dead_address, expected, header, json_of, set_faults, start_engine,
-    start_node, Reader, MODEL,
+    client, completion_body, expected_text, header, read_json, request_completion, set_faults,
+    start_engine, start_node, unused_address, StreamReader, MODEL,
 };
 use tansyhall_admission::service_rate::DEFAULT_WAIT;
 use tansyhall_engine::protocol::{FenceToken, Order, OrderAction};
@@ -54,7 +54,7 @@
     order(&node, engine, OrderAction::Drain).await;
     for stream in [false, true] {
         let deadline = [("tansyhall-deadline-ms", "200")];
-        let response = ask(address, &deadline, &body(4, stream)).await;
+        let response = request_completion(address, &deadline, &completion_body(4, stream)).await;
         assert_eq!(response.status(), 504);
         assert_not_run_with_advice(&response);
     }
@@ -67,7 +67,8 @@
     let engine = start_engine("engine-0");
     let (node, address) = start_node(&[engine], &[], "");
     order(&node, engine, OrderAction::Drain).await;
-    let mut reader = Reader::new(ask(address, &[], &body(4, true)).await);
+    let mut reader =
+        StreamReader::new(request_completion(address, &[], &completion_body(4, true)).await);
     while reader.comments.is_empty() {
         assert!(reader.read().await);
     }
@@ -75,7 +76,7 @@
     assert!(reader.comments[0].ends_with(" deadline_ms=20000"));
     order(&node, engine, OrderAction::Resume).await;
     let reader = reader.read_all().await;
-    assert_eq!(reader.text, expected(4));
+    assert_eq!(reader.text, expected_text(4));
     assert_eq!(reader.verdict.as_deref(), Some("completed"));
 }
 
@@ -87,17 +88,18 @@
     let (elsewhere, _) = start_node(&engines, &[], "");
     order(&elsewhere, engines[0], OrderAction::Drain).await;
     for _ in 0..10 {
-        let response = ask(address, &[], &body(2, false)).await;
+        let response = request_completion(address, &[], &completion_body(2, false)).await;
         assert_eq!(response.status(), 200);
     }
     order(&elsewhere, engines[1], OrderAction::Drain).await;
-    let mut reader = Reader::new(ask(address, &[], &body(2, true)).await);
+    let mut reader =
+        StreamReader::new(request_completion(address, &[], &completion_body(2, true)).await);
     while reader.comments.is_empty() {
         assert!(reader.read().await);
     }
     assert!(reader.comments[0].starts_with(": tansyhall state=queued "));
     order(&elsewhere, engines[0], OrderAction::Resume).await;
-    assert_eq!(reader.read_all().await.text, expected(2));
+    assert_eq!(reader.read_all().await.text, expected_text(2));
 }
 
 #[actix_rt::test]
@@ -106,7 +108,7 @@
     let (node, address) = start_node(&[engine], &[], "");
     let request = client().post(format!("http://{address}/v1/completions"));
     let request = request.insert_header(("prefer", "wait=600"));
-    let mut unanswered = Box::pin(request.send_json(&body(50_000, false)));
+    let mut unanswered = Box::pin(request.send_json(&completion_body(50_000, false)));
     eventually("the request is at the engine", || {
         let _ = unanswered.as_mut().now_or_never();
         async { (records(engine).await["requests"].as_array()?.len() == 1).then_some(()) }
@@ -135,7 +137,9 @@
                 "model": MODEL, "prompt": prompt, "max_tokens": 100, "stream": true,
             });
             actix_rt::spawn(async move {
-                let reader = Reader::new(ask(address, &[], &body).await).read_all().await;
+                let reader = StreamReader::new(request_completion(address, &[], &body).await)
+                    .read_all()
+                    .await;
                 (reader, expected)
             })
         })
@@ -181,7 +185,7 @@
     let engine = start_engine("engine-0");
     let (_node, address) = start_node(&[engine], &[], "");
     set_faults(engine, json!({ "refuse_work": true })).await;
-    let response = ask(address, &[], &body(4, true)).await;
+    let response = request_completion(address, &[], &completion_body(4, true)).await;
     assert_eq!(response.status(), 503);
     assert_not_run_with_advice(&response);
 }
@@ -192,11 +196,16 @@
     let (node, address) = start_node(&[engine], &[], "engine_stall = '60s'");
     // The first answer is short, so that the node expects the long one to meet its deadline and
     // does not refuse it.
-    assert_eq!(ask(address, &[], &body(1, false)).await.status(), 200);
+    assert_eq!(
+        request_completion(address, &[], &completion_body(1, false))
+            .await
+            .status(),
+        200
+    );
     let deadline = [("tansyhall-deadline-ms", "400")];
-    let response = ask(address, &deadline, &body(100, true)).await;
+    let response = request_completion(address, &deadline, &completion_body(100, true)).await;
     let id = header(&response, "tansyhall-request-id").to_owned();
-    let mut reader = Reader::new(response);
+    let mut reader = StreamReader::new(response);
     reader.read_text().await;
     set_faults(engine, json!({ "frozen": true })).await;
     let late = |comment: &String| comment.starts_with(": tansyhall state=late waited_ms=");
@@ -210,7 +219,7 @@
     assert!(status["waited_ms"].as_u64() > Some(400));
     set_faults(engine, json!({})).await;
     let reader = reader.read_all().await;
-    assert_eq!(reader.text, expected(100));
+    assert_eq!(reader.text, expected_text(100));
     assert_eq!(node.metrics.late.get(), 1);
     let status = get_json(address, &format!("/v1/requests/{id}")).await;
     assert_eq!(status.expect("a status")["state"], "completed");
@@ -222,11 +231,11 @@
     let (_node, address) = start_node(&[engine], &[], "");
     set_faults(engine, json!({ "frozen": true })).await;
     let prefer = [("prefer", "respond-async, wait=0")];
-    let mut response = ask(address, &prefer, &body(5, false)).await;
+    let mut response = request_completion(address, &prefer, &completion_body(5, false)).await;
     assert_eq!(response.status(), 202);
     assert_eq!(header(&response, "tansyhall-verdict"), "may-have-run");
     let location = header(&response, "location").to_owned();
-    assert_eq!(json_of(&mut response).await["state"], "queued");
+    assert_eq!(read_json(&mut response).await["state"], "queued");
     let answer = format!("http://{address}{location}/answer");
     let early = client().get(&answer).send().await.expect("an answer");
     assert_eq!(early.status(), 202);
@@ -240,8 +249,8 @@
     assert_eq!(fetched.status(), 200);
     assert_eq!(header(&fetched, "tansyhall-verdict"), "completed");
     assert_eq!(
-        json_of(&mut fetched).await["choices"][0]["text"],
-        expected(5)
+        read_json(&mut fetched).await["choices"][0]["text"],
+        expected_text(5)
     );
 }
 
@@ -251,9 +260,9 @@
     let limits = "max_kept_answers = 1\nrequest_retention = '1h'";
     let (node, address) = start_node(&[engine], &[], limits);
     let prefer = [("prefer", "wait=0")];
-    let first = ask(address, &prefer, &body(5, false)).await;
+    let first = request_completion(address, &prefer, &completion_body(5, false)).await;
     assert_eq!(first.status(), 202);
-    let second = ask(address, &prefer, &body(5, false)).await;
+    let second = request_completion(address, &prefer, &completion_body(5, false)).await;
     assert_eq!(second.status(), 200, "no slot is free to keep its answer");
     eventually("the first request has its answer", || async {
         let status = get_json(address, header(&first, "location")).await?;
@@ -264,13 +273,13 @@
     let later = node.clock.now() + retention + retention;
     node.callers.requests.sweep(later);
     assert!(node.callers.requests.is_empty());
-    let third = ask(address, &prefer, &body(5, false)).await;
+    let third = request_completion(address, &prefer, &completion_body(5, false)).await;
     assert_eq!(third.status(), 202, "the slot is free again");
 }
 
 #[actix_rt::test]
 async fn an_unknown_request_has_no_status() {
-    let (_node, address) = start_node(&[dead_address()], &[], "");
+    let (_node, address) = start_node(&[unused_address()], &[], "");
     for id in ["x", "00000000000000000000000000000001"] {
         let url = format!("http://{address}/v1/requests/{id}");
         let response = client().get(url).send().await.expect("an answer");
@@ -282,11 +291,14 @@
 async fn a_caller_that_goes_away_cancels_its_work() {
     let engine = start_engine("engine-0");
     let (node, address) = start_node(&[engine], &[], "");
-    let mut reader = Reader::new(ask(address, &[], &body(50_000, true)).await);
+    let mut reader =
+        StreamReader::new(request_completion(address, &[], &completion_body(50_000, true)).await);
     reader.read_text().await;
     drop(reader);
     let url = format!("http://{address}/v1/completions");
-    let unanswered = client().post(url).send_json(&body(50_000, false));
+    let unanswered = client()
+        .post(url)
+        .send_json(&completion_body(50_000, false));
     let mut unanswered = Box::pin(unanswered);
     eventually("the second request is at the engine", || {
         let _ = unanswered.as_mut().now_or_never();
@@ -309,12 +321,13 @@
     let engines = [start_engine("engine-0"), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "engine_stall = '200ms'");
     let counted_at_other = node.track_in_flight(&"engine-1".into());
-    let mut reader = Reader::new(ask(address, &[], &body(200, true)).await);
+    let mut reader =
+        StreamReader::new(request_completion(address, &[], &completion_body(200, true)).await);
     reader.read_text().await;
     drop(counted_at_other);
     set_faults(engines[0], json!({ "frozen": true })).await;
     let reader = reader.read_all().await;
-    assert_eq!(reader.text, expected(200));
+    assert_eq!(reader.text, expected_text(200));
     assert_eq!(reader.verdict.as_deref(), Some("completed"));
     assert_eq!(node.metrics.resumed.get(), 1);
     let resumed = &records(engines[1]).await["requests"][0]["resume_after"];
@@ -326,15 +339,15 @@
 
 #[actix_rt::test]
 async fn an_unreachable_engine_is_avoided_after_a_few_failures() {
-    let engines = [dead_address(), start_engine("engine-1")];
+    let engines = [unused_address(), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
     // The first engine looks idle and is preferred: its failures open its circuit breaker.
     for _ in 0..8 {
         let counted_at_other = node.track_in_flight(&"engine-1".into());
-        let mut response = ask(address, &[], &body(2, false)).await;
+        let mut response = request_completion(address, &[], &completion_body(2, false)).await;
         assert_eq!(response.status(), 200);
-        let text = &json_of(&mut response).await["choices"][0]["text"];
-        assert_eq!(*text, expected(2));
+        let text = &read_json(&mut response).await["choices"][0]["text"];
+        assert_eq!(*text, expected_text(2));
         drop(counted_at_other);
     }
     assert_eq!(node.metrics.breakers_opened.get(), 1);
@@ -347,20 +360,22 @@
     let engine = start_engine("engine-0");
     let (node, address) = start_node(&[engine], &[], "max_requests = 2");
     for _ in 0..5 {
-        let served = ask(address, &[], &body(5, false)).await;
+        let served = request_completion(address, &[], &completion_body(5, false)).await;
         assert_eq!(served.status(), 200);
     }
     let mut readers = Vec::new();
     for _ in 0..2 {
-        let mut reader = Reader::new(ask(address, &[], &body(50_000, true)).await);
+        let mut reader = StreamReader::new(
+            request_completion(address, &[], &completion_body(50_000, true)).await,
+        );
         reader.read_text().await;
         readers.push(reader);
     }
-    let mut refused = ask(address, &[], &body(5, false)).await;
+    let mut refused = request_completion(address, &[], &completion_body(5, false)).await;
     assert_eq!(refused.status(), 503);
     assert_not_run_with_advice(&refused);
     let seconds: u64 = header(&refused, "retry-after").parse().expect("seconds");
-    let advised = json_of(&mut refused).await["error"]["retry_after_ms"].as_u64();
+    let advised = read_json(&mut refused).await["error"]["retry_after_ms"].as_u64();
     let advised = advised.expect("milliseconds");
     let observed = node.callers.health.advised_wait(&"assistant".into());
     assert_eq!(u128::from(advised), observed.as_millis());
@@ -370,10 +385,10 @@
 
 #[actix_rt::test]
 async fn the_retry_budget_ends_retries_when_it_is_spent() {
-    let engines = [dead_address(), dead_address()];
+    let engines = [unused_address(), unused_address()];
     let limits = "retries_per_thousand = 0\nretry_reserve = 0";
     let (node, address) = start_node(&engines, &[], limits);
-    let response = ask(address, &[], &body(2, false)).await;
+    let response = request_completion(address, &[], &completion_body(2, false)).await;
     assert_eq!(response.status(), 503);
     assert_not_run_with_advice(&response);
     let spent = node.metrics.retries.with_label_values(&["budget-spent"]);
@@ -389,16 +404,16 @@
         ("idempotency-key", "slip-7"),
     ];
     set_faults(engine, json!({ "refuse_work": true })).await;
-    let refused = ask(address, &once, &body(3, false)).await;
+    let refused = request_completion(address, &once, &completion_body(3, false)).await;
     assert_eq!(header(&refused, "tansyhall-verdict"), "not-run");
     set_faults(engine, json!({})).await;
-    let first = ask(address, &once, &body(3, false)).await;
+    let first = request_completion(address, &once, &completion_body(3, false)).await;
     assert_eq!(
         first.status(),
         200,
         "an attempt that did not run may be repeated"
     );
-    let second = ask(address, &once, &body(3, false)).await;
+    let second = request_completion(address, &once, &completion_body(3, false)).await;
     assert_eq!(second.status(), 409);
     assert_eq!(header(&second, "tansyhall-verdict"), "may-have-run");
     let runs = records(engine).await["requests"].as_array().map(Vec::len);
--- a/crates/node/tests/rogue_engine.rs
+++ b/crates/node/tests/rogue_engine.rs
@@ -8,7 +8,8 @@
 use actix_web::{web, App, HttpResponse, HttpServer};
 use serde_json::{json, Value};
 use support::{
-    ask, body, expected, header, listener, start_engine, start_node, Reader, MODEL, PROMPT,
+    bind_listener, completion_body, expected_text, header, request_completion, start_engine,
+    start_node, StreamReader, MODEL, PROMPT,
 };
 use tansyhall_engine::protocol::{EngineRequest, COMPLETIONS_PATH};
 use tansyhall_standin::engine::answer_text;
@@ -109,7 +110,7 @@
 }
 
 fn start_rogue(fault: Fault, correct_chunks: u32) -> SocketAddr {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     let server = HttpServer::new(move || {
         App::new()
             .app_data(web::Data::new((fault, correct_chunks)))
@@ -127,11 +128,11 @@
     correct_chunks: u32,
     headers: &[(&str, &str)],
     request: &Value,
-) -> (Reader, u64) {
+) -> (StreamReader, u64) {
     let engines = [start_rogue(fault, correct_chunks), start_engine("engine-1")];
     let (node, address) = start_node(&engines, &[], "");
     let _busy = node.track_in_flight(&"engine-1".into());
-    let reader = Reader::new(ask(address, headers, request).await)
+    let reader = StreamReader::new(request_completion(address, headers, request).await)
         .read_all()
         .await;
     let kinds = ["broken", "mismatch"];
@@ -143,7 +144,7 @@
 /// Starts an engine that reads a request, which it may run, and closes the connection without an
 /// answer.
 fn start_closing_engine() -> SocketAddr {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     listener.set_nonblocking(true).expect("a listener");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
     actix_rt::spawn(async move {
@@ -160,10 +161,10 @@
     let (node, address) = start_node(&engines, &[], "");
     let _busy = node.track_in_flight(&"engine-1".into());
     let once = [("tansyhall-not-repeatable", "true")];
-    let response = ask(address, &once, &body(TOKENS, false)).await;
+    let response = request_completion(address, &once, &completion_body(TOKENS, false)).await;
     assert_eq!(response.status(), 502);
     assert_eq!(header(&response, "tansyhall-verdict"), "may-have-run");
-    let repeatable = ask(address, &[], &body(TOKENS, false)).await;
+    let repeatable = request_completion(address, &[], &completion_body(TOKENS, false)).await;
     assert_eq!(repeatable.status(), 200);
 }
 
@@ -172,10 +173,10 @@
     for fault in FAULTS {
         for correct_chunks in [0, 3] {
             let (reader, errors) =
-                ask_rogue_first(fault, correct_chunks, &[], &body(TOKENS, true)).await;
+                ask_rogue_first(fault, correct_chunks, &[], &completion_body(TOKENS, true)).await;
             assert_eq!(
                 reader.text,
-                expected(TOKENS),
+                expected_text(TOKENS),
                 "{fault:?} after {correct_chunks}"
             );
             assert_eq!(reader.verdict.as_deref(), Some("completed"), "{fault:?}");
@@ -196,8 +197,8 @@
     for fault in FAULTS {
         for correct_chunks in [0, 3] {
             let (reader, errors) =
-                ask_rogue_first(fault, correct_chunks, &once, &body(TOKENS, true)).await;
-            let own = expected(TOKENS);
+                ask_rogue_first(fault, correct_chunks, &once, &completion_body(TOKENS, true)).await;
+            let own = expected_text(TOKENS);
             assert!(own.starts_with(&reader.text), "{fault:?}: {}", reader.text);
             if matches!(fault, Fault::LateChunk) {
                 assert_eq!(reader.verdict.as_deref(), Some("completed"), "{fault:?}");
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -16,22 +16,22 @@
 use tansyhall_engine::protocol::{FenceToken, Order, OrderAction, OrderReply};
 use tansyhall_engine::sse::SseDecoder;
 use tansyhall_engine::EngineClient;
-use tansyhall_node::configuration::InForce;
+use tansyhall_node::configuration::ConfigurationInForce;
 use tansyhall_node::Node;
 use tansyhall_standin::engine::{self, answer_text, EngineOptions};
 
 pub const MODEL: &str = "base";
 pub const PROMPT: &str = "which families receive rice and lentils";
 
-pub fn listener() -> (TcpListener, SocketAddr) {
+pub fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
 /// Returns an address at which no process listens.
-pub fn dead_address() -> SocketAddr {
-    listener().1
+pub fn unused_address() -> SocketAddr {
+    bind_listener().1
 }
 
 /// Starts a stand-in engine in the mixed role.
@@ -41,7 +41,7 @@
 
 /// Starts a stand-in engine in the given role.
 pub fn start_engine_as(name: &str, role: Role) -> SocketAddr {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     let options = EngineOptions {
         name: name.into(),
         role,
@@ -105,9 +105,10 @@
     );
     let settings = NodeSettings::parse("test", &text).expect("settings");
     let node = Node::new(settings).expect("a node");
-    let in_force = InForce::new(configuration(engines, workers)).expect("a configuration");
+    let in_force =
+        ConfigurationInForce::new(configuration(engines, workers)).expect("a configuration");
     node.in_force.store(Arc::new(in_force));
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     let server = tansyhall_node::server::serve_callers(listener, Arc::clone(&node));
     actix_rt::spawn(server.expect("a server"));
     (node, address)
@@ -121,16 +122,20 @@
         .finish()
 }
 
-pub fn body(max_tokens: u32, stream: bool) -> Value {
+pub fn completion_body(max_tokens: u32, stream: bool) -> Value {
     json!({ "model": MODEL, "prompt": PROMPT, "max_tokens": max_tokens, "stream": stream })
 }
 
-pub fn expected(tokens: u32) -> String {
+pub fn expected_text(tokens: u32) -> String {
     answer_text(MODEL, PROMPT, tokens)
 }
 
 /// Sends a request for a completion.
-pub async fn ask(node: SocketAddr, headers: &[(&str, &str)], body: &Value) -> ClientResponse {
+pub async fn request_completion(
+    node: SocketAddr,
+    headers: &[(&str, &str)],
+    body: &Value,
+) -> ClientResponse {
     let mut request = client().post(format!("http://{node}/v1/completions"));
     for (name, value) in headers {
         request = request.insert_header((*name, *value));
@@ -143,14 +148,14 @@
     value.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-pub async fn json_of(response: &mut ClientResponse) -> Value {
+pub async fn read_json(response: &mut ClientResponse) -> Value {
     response.json().await.expect("a JSON body")
 }
 
 /// Returns the requests and orders that a stand-in engine has recorded.
 pub async fn get_records(engine: SocketAddr) -> Value {
     let sent = client().get(format!("http://{engine}/standin/records"));
-    json_of(&mut sent.send().await.expect("an answer")).await
+    read_json(&mut sent.send().await.expect("an answer")).await
 }
 
 /// Orders an engine to drain, with the test as the holder of the authority.
@@ -175,7 +180,7 @@
 }
 
 /// Reads a streamed answer and holds what has been read so far.
-pub struct Reader {
+pub struct StreamReader {
     response: ClientResponse,
     decoder: SseDecoder,
     /// The generated text.
@@ -185,10 +190,10 @@
     /// The verdict, once the stream has stated it.
     pub verdict: Option<String>,
     /// Whether the connection was lost before the end of the stream.
-    pub broken: bool,
+    pub connection_lost: bool,
 }
 
-impl Reader {
+impl StreamReader {
     pub fn new(response: ClientResponse) -> Self {
         Self {
             response,
@@ -196,7 +201,7 @@
             text: String::new(),
             comments: Vec::new(),
             verdict: None,
-            broken: false,
+            connection_lost: false,
         }
     }
 
@@ -205,7 +210,7 @@
         let bytes = match self.response.next().await {
             None => return false,
             Some(Err(_)) => {
-                self.broken = true;
+                self.connection_lost = true;
                 return false;
             }
             Some(Ok(bytes)) => bytes,
