--- a/crates/engine-model/src/batch.rs
+++ b/crates/engine-model/src/batch.rs
@@ -1,6 +1,6 @@
-//! Continuous batching. Work advances in iterations; each decoding sequence gains one token an
-//! iteration, and the tokens left in the iteration's budget go to prefill in chunks. An
-//! iteration's length grows with both, which is how prefill and decode get in each other's way.
+//! Continuous batching. Work advances in iterations. In each iteration every decoding sequence gains
+//! one token, and a budget of tokens is prefilled in chunks. The duration of an iteration grows with
+//! both, which is how prefill and decode slow each other down.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use tansyhall_core::{RequestId, Role, Timestamp};
 
-/// Costs and sizes of one engine.
+/// Costs and capacities of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CostModel {
     /// Fixed cost of an iteration, in microseconds.
@@ -17,16 +17,17 @@
     pub prefill_token_nanos: u64,
     /// Cost of one decoding sequence in an iteration, in nanoseconds.
     pub decode_sequence_nanos: u64,
-    /// Most sequences in a batch.
+    /// Maximum number of sequences in a batch.
     pub max_sequences: usize,
-    /// Most prompt tokens prefilled in one iteration of a mixed engine; small, so that answers in
-    /// progress are not held up for long.
+    /// Maximum number of prompt tokens prefilled in one iteration of a mixed or decode engine. It is small
+    /// so that answers in progress are not delayed for long.
     pub prefill_chunk_tokens: u32,
-    /// Most prompt tokens prefilled in one iteration of a prefill engine, which holds nobody up.
+    /// Maximum number of prompt tokens prefilled in one iteration of a prefill engine, which has no answers
+    /// in progress to delay.
     pub prefill_role_chunk_tokens: u32,
     /// KV cache size, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Most requests waiting outside the batch.
+    /// Maximum number of requests waiting outside the batch.
     pub max_queue: usize,
 }
 
@@ -45,40 +46,40 @@
     }
 }
 
-/// One request as the engine sees it.
+/// The work of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Work {
     /// The request.
     pub id: RequestId,
-    /// Tokens to prefill: the prompt less what the prefix cache holds.
+    /// Tokens to prefill: those of the prompt that are not in the prefix cache.
     pub prefill_tokens: u32,
     /// Tokens the sequence holds in the KV cache once prefilled.
     pub context_tokens: u32,
     /// Tokens to generate.
     pub output_tokens: u32,
-    /// Queue order; lower runs first.
+    /// Priority in the queue; lower values run first.
     pub priority: u8,
 }
 
-/// Why work was not taken.
+/// Why work was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitError {
     /// The queue is full.
     QueueFull,
-    /// The request can never fit the KV cache.
+    /// The request is larger than the KV cache.
     TooLarge,
-    /// A request with this identifier is already in progress.
+    /// A request with this id is already in progress.
     Duplicate,
 }
 
-/// What one iteration gave one request.
+/// The progress of one request after an iteration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     /// The request.
     pub id: RequestId,
-    /// Generated tokens so far.
+    /// Number of tokens generated so far.
     pub generated: u32,
-    /// Whether that was the last token.
+    /// Whether the last token has been generated.
     pub finished: bool,
 }
 
@@ -96,54 +97,54 @@
     }
 
     fn kv_reserved(&self) -> u64 {
-        kv_need(&self.work)
+        kv_tokens_needed(&self.work)
     }
 }
 
-fn kv_need(work: &Work) -> u64 {
+fn kv_tokens_needed(work: &Work) -> u64 {
     u64::from(work.context_tokens) + u64::from(work.output_tokens)
 }
 
-/// The engine's queue and batch.
+/// The queue and the batch of an engine.
 #[derive(Debug)]
 pub struct Batch {
     costs: CostModel,
     queue: VecDeque<Work>,
     running: Vec<Sequence>,
-    known: HashMap<RequestId, ()>,
+    request_ids: HashMap<RequestId, ()>,
     kv_reserved: u64,
-    in_iteration: bool,
+    iteration_in_progress: bool,
     role: Role,
 }
 
 impl Batch {
-    /// An idle mixed engine.
+    /// Creates the empty batch of a mixed engine.
     pub fn new(costs: CostModel) -> Self {
         Self {
             costs,
             queue: VecDeque::new(),
             running: Vec::new(),
-            known: HashMap::new(),
+            request_ids: HashMap::new(),
             kv_reserved: 0,
-            in_iteration: false,
+            iteration_in_progress: false,
             role: Role::Mixed,
         }
     }
 
-    /// Changes the role, which sets how much is prefilled in one iteration.
+    /// Sets the role, which determines how many tokens are prefilled in one iteration.
     pub fn set_role(&mut self, role: Role) {
         self.role = role;
     }
 
-    /// Queues work behind everything of the same or a more urgent priority.
+    /// Queues work behind all work of the same or a more urgent priority.
     pub fn submit(&mut self, work: Work) -> Result<(), SubmitError> {
-        if kv_need(&work) > self.costs.kv_capacity_tokens {
+        if kv_tokens_needed(&work) > self.costs.kv_capacity_tokens {
             return Err(SubmitError::TooLarge);
         }
         if self.queue.len() >= self.costs.max_queue {
             return Err(SubmitError::QueueFull);
         }
-        if self.known.insert(work.id, ()).is_some() {
+        if self.request_ids.insert(work.id, ()).is_some() {
             return Err(SubmitError::Duplicate);
         }
         let position = self
@@ -155,9 +156,9 @@
         Ok(())
     }
 
-    /// Drops a request wherever it stands; unknown ones are ignored.
+    /// Removes a request from the queue or the batch. Unknown requests are ignored.
     pub fn cancel(&mut self, id: RequestId) {
-        if self.known.remove(&id).is_none() {
+        if self.request_ids.remove(&id).is_none() {
             return;
         }
         self.queue.retain(|work| work.id != id);
@@ -172,9 +173,9 @@
         self.kv_reserved -= sequence.kv_reserved();
     }
 
-    /// Begins an iteration and returns when it ends, or `None` if there is nothing to do.
+    /// Begins an iteration and returns when it ends, or `None` if there is no work.
     pub fn begin_iteration(&mut self, now: Timestamp) -> Option<Timestamp> {
-        self.admit();
+        self.admit_queued();
         if self.running.is_empty() {
             return None;
         }
@@ -194,14 +195,14 @@
             budget -= chunk;
             nanos += u64::from(chunk) * self.costs.prefill_token_nanos;
         }
-        self.in_iteration = true;
+        self.iteration_in_progress = true;
         Some(now + Duration::from_nanos(nanos))
     }
 
-    /// Ends the iteration and returns the requests that gained a token.
+    /// Finishes the iteration and returns the progress of the requests that gained a token.
     pub fn finish_iteration(&mut self) -> Vec<Progress> {
         let mut progress = Vec::new();
-        if !std::mem::take(&mut self.in_iteration) {
+        if !std::mem::take(&mut self.iteration_in_progress) {
             return progress;
         }
         for sequence in &mut self.running {
@@ -222,22 +223,22 @@
         progress
     }
 
-    /// Requests in progress, queued ones included.
+    /// Returns the number of requests in progress, including queued ones.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.request_ids.len()
     }
 
-    /// Whether no request is in progress.
+    /// Returns whether no request is in progress.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.request_ids.is_empty()
     }
 
-    /// Requests waiting outside the batch.
+    /// Returns the number of requests waiting outside the batch.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Sequences being decoded.
+    /// Returns the number of sequences being decoded.
     pub fn decoding(&self) -> usize {
         self.running
             .iter()
@@ -245,13 +246,14 @@
             .count()
     }
 
-    /// Room in the batch, in sequences; negative when requests queue for it.
+    /// Returns the free capacity of the batch in sequences. It is negative when more requests are queued
+    /// than fit.
     pub fn free_sequences(&self) -> i64 {
-        let taken = self.running.len() + self.queue.len();
-        self.costs.max_sequences as i64 - taken as i64
+        let occupied = self.running.len() + self.queue.len();
+        self.costs.max_sequences as i64 - occupied as i64
     }
 
-    /// Prompt tokens still to prefill, over all requests.
+    /// Returns the number of prompt tokens still to prefill over all requests.
     pub fn pending_prefill_tokens(&self) -> u64 {
         let queued: u64 = self
             .queue
@@ -266,28 +268,28 @@
         queued + running
     }
 
-    /// KV cache tokens reserved by the batch.
+    /// Returns the number of KV cache tokens reserved by the batch.
     pub fn kv_reserved(&self) -> u64 {
         self.kv_reserved
     }
 
-    /// KV cache size, in tokens.
+    /// Returns the KV cache size in tokens.
     pub fn kv_capacity(&self) -> u64 {
         self.costs.kv_capacity_tokens
     }
 
-    fn admit(&mut self) {
+    fn admit_queued(&mut self) {
         while self.running.len() < self.costs.max_sequences {
             let Some(next) = self.queue.front() else {
                 return;
             };
-            if self.kv_reserved + kv_need(next) > self.costs.kv_capacity_tokens {
+            if self.kv_reserved + kv_tokens_needed(next) > self.costs.kv_capacity_tokens {
                 return;
             }
             let Some(work) = self.queue.pop_front() else {
                 return;
             };
-            self.kv_reserved += kv_need(&work);
+            self.kv_reserved += kv_tokens_needed(&work);
             self.running.push(Sequence {
                 work,
                 prefilled: 0,
--- a/crates/engine-model/src/control.rs
+++ b/crates/engine-model/src/control.rs
@@ -1,19 +1,19 @@
-//! The engine's control side: a fence register that only grows, and one order at a time. A role
-//! or model change is refused while requests are in progress, so a planned change can cut none.
+//! The control state of an engine: a fence token that only grows, and one order at a time. A change of
+//! role or model is refused while requests are in progress, so that a planned change interrupts none.
 
 use std::time::Duration;
 
 use tansyhall_core::{EngineName, Incarnation, ModelName, Role, Timestamp};
 use tansyhall_engine::protocol::{EngineState, FenceToken, Order, OrderAction, OrderReply};
 
-/// How long changes take.
+/// Durations of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ControlTiming {
-    /// A change of role.
+    /// Duration of a role change.
     pub role_change: Duration,
-    /// Loading a model version once its weights are there.
+    /// Duration of loading a model version after its weights have been fetched.
     pub model_load: Duration,
-    /// Loading an adapter.
+    /// Duration of loading an adapter.
     pub adapter_load: Duration,
 }
 
@@ -30,21 +30,21 @@
 #[derive(Debug, Clone)]
 struct ActiveOrder {
     order: Order,
-    began: Timestamp,
-    ends: Timestamp,
+    started_at: Timestamp,
+    ends_at: Timestamp,
 }
 
 /// The control state of one incarnation of an engine.
 #[derive(Debug, Clone)]
 pub struct Control {
     timing: ControlTiming,
-    first_state: EngineState,
+    initial_state: EngineState,
     state: EngineState,
     active: Option<ActiveOrder>,
 }
 
 impl Control {
-    /// An engine that has just started.
+    /// Creates the state of an engine that has just started.
     pub fn new(
         engine: EngineName,
         incarnation: Incarnation,
@@ -67,26 +67,27 @@
         };
         Self {
             timing,
-            first_state: state.clone(),
+            initial_state: state.clone(),
             state,
             active: None,
         }
     }
 
-    /// A crash and a restart: the order in progress and everything loaded since the start are
-    /// lost, and so is the fence token, which the incarnation makes up for.
+    /// Simulates a crash and a restart. The order in progress and everything loaded since the start are
+    /// lost. The fence token is lost as well; the new incarnation makes orders from before the crash invalid
+    /// instead.
     pub fn restart(&mut self, incarnation: Incarnation) {
         *self = Self {
             state: EngineState {
                 incarnation,
-                ..self.first_state.clone()
+                ..self.initial_state.clone()
             },
             active: None,
             ..self.clone()
         };
     }
 
-    /// The control state, with `requests` in progress.
+    /// Returns the state with `requests` as the number of requests in progress.
     pub fn state(&self, requests: u32) -> EngineState {
         EngineState {
             requests,
@@ -94,17 +95,17 @@
         }
     }
 
-    /// Whether new work is accepted: not while draining or changing.
+    /// Returns whether new work is accepted. It is not accepted while draining or while an order is active.
     pub fn accepts_work(&self) -> bool {
         !self.state.draining && self.active.is_none()
     }
 
-    /// Raises the fence token; a lower one changes nothing.
+    /// Raises the fence token. A lower token has no effect.
     pub fn seal(&mut self, token: FenceToken) {
         self.state.fence_token = self.state.fence_token.max(token);
     }
 
-    /// Takes an order, or says why not.
+    /// Accepts an order or returns why it is refused.
     pub fn order(&mut self, now: Timestamp, order: Order, requests: u32) -> OrderReply {
         if order.fence_token < self.state.fence_token {
             return OrderReply::StaleToken {
@@ -132,29 +133,29 @@
         if needs_idle && requests > 0 {
             return OrderReply::WorkInProgress { requests };
         }
-        self.begin(now, order);
+        self.start(now, order);
         OrderReply::Accepted
     }
 
-    /// When the active order ends, if one is active.
+    /// Returns when the active order ends, if one is active.
     pub fn active_order_ends(&self) -> Option<Timestamp> {
-        self.active.as_ref().map(|active| active.ends)
+        self.active.as_ref().map(|active| active.ends_at)
     }
 
-    /// Makes the active order take longer, as a slow fetch of weights does.
+    /// Extends the duration of the active order by the time that fetching weights duration.
     pub fn extend_active_order(&mut self, by: Duration) {
         if let Some(active) = &mut self.active {
-            active.ends = active.ends + by;
+            active.ends_at = active.ends_at + by;
         }
     }
 
-    /// When half of the active order's time has passed, if an order is active.
+    /// Returns when half of the duration of the active order has passed, if one is active.
     pub fn active_order_halfway(&self) -> Option<Timestamp> {
         let active = self.active.as_ref()?;
-        Some(active.began + active.ends.since(active.began) / 2)
+        Some(active.started_at + active.ends_at.since(active.started_at) / 2)
     }
 
-    /// Ends the active order if its time has come, and returns it.
+    /// Finishes the active order if its end has been reached, and returns it.
     pub fn advance(&mut self, now: Timestamp) -> Option<Order> {
         let ends = self.active_order_ends()?;
         if now < ends {
@@ -166,27 +167,27 @@
     }
 
     fn is_repeat(&self, order: &Order) -> bool {
-        let same = |id: &String| *id == order.order_id;
-        self.state.active_order.as_ref().is_some_and(same)
-            || self.state.last_order.as_ref().is_some_and(same)
+        let is_same = |id: &String| *id == order.order_id;
+        self.state.active_order.as_ref().is_some_and(is_same)
+            || self.state.last_order.as_ref().is_some_and(is_same)
     }
 
-    fn begin(&mut self, now: Timestamp, order: Order) {
-        let takes = match order.action {
+    fn start(&mut self, now: Timestamp, order: Order) {
+        let duration = match order.action {
             OrderAction::Drain | OrderAction::Resume => Duration::ZERO,
             OrderAction::SetRole { .. } => self.timing.role_change,
             OrderAction::LoadModel { .. } => self.timing.model_load,
             OrderAction::LoadAdapter { .. } => self.timing.adapter_load,
         };
-        if takes.is_zero() {
+        if duration.is_zero() {
             self.apply(&order);
             return;
         }
         self.state.active_order = Some(order.order_id.clone());
         self.active = Some(ActiveOrder {
             order,
-            began: now,
-            ends: now + takes,
+            started_at: now,
+            ends_at: now + duration,
         });
     }
 
--- a/crates/engine-model/src/lib.rs
+++ b/crates/engine-model/src/lib.rs
@@ -1,6 +1,6 @@
-//! How an engine behaves: continuous batching with a cost for each iteration, and the control
-//! side with its fence register. The stand-in runs this model in real time and the emulator runs
-//! the same model in virtual time, so that their figures can be compared.
+//! Model of an engine: continuous batching with a cost for each iteration, and the control state with
+//! its fence token. The stand-in runs this model in real time and the emulator runs it in virtual time,
+//! so that their figures can be compared.
 
 #![forbid(unsafe_code)]
 
--- a/crates/engine-model/src/prefix_cache.rs
+++ b/crates/engine-model/src/prefix_cache.rs
@@ -1,42 +1,42 @@
-//! A bounded prefix cache. A prompt is cut into blocks; each block's hash covers everything before
-//! it, so that a run of known hashes from the start is a cached prefix. The blocks used longest ago
-//! are evicted first.
+//! A bounded prefix cache. A prompt is split into blocks. The hash of each block also covers all earlier
+//! blocks, so that a run of cached hashes from the start is a cached prefix. The least recently used
+//! blocks are evicted first.
 
 use std::collections::{BTreeMap, HashMap};
 
 pub use tansyhall_engine::blocks::{block_hashes, BlockHash, BLOCK_TOKENS};
 
-/// A change of what the cache holds.
+/// A change of the cache contents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The block is held from now on.
+    /// The block was added.
     Stored(BlockHash),
-    /// The block is no longer held.
+    /// The block was removed.
     Evicted(BlockHash),
 }
 
-/// The cache.
+/// A least-recently-used cache of prompt blocks.
 #[derive(Debug, Clone)]
 pub struct PrefixCache {
-    capacity: usize,
-    uses: u64,
+    capacity_blocks: usize,
+    use_count: u64,
     last_use: HashMap<BlockHash, u64>,
-    by_use: BTreeMap<u64, BlockHash>,
+    blocks_by_use: BTreeMap<u64, BlockHash>,
 }
 
 impl PrefixCache {
-    /// An empty cache for `capacity_tokens` tokens.
+    /// Creates an empty cache for `capacity_tokens` tokens.
     pub fn new(capacity_tokens: u64) -> Self {
         let blocks = capacity_tokens / u64::from(BLOCK_TOKENS);
         Self {
-            capacity: usize::try_from(blocks).unwrap_or(usize::MAX),
-            uses: 0,
+            capacity_blocks: usize::try_from(blocks).unwrap_or(usize::MAX),
+            use_count: 0,
             last_use: HashMap::new(),
-            by_use: BTreeMap::new(),
+            blocks_by_use: BTreeMap::new(),
         }
     }
 
-    /// Tokens of the longest cached prefix of a prompt's blocks.
+    /// Returns the length in tokens of the longest cached prefix of the blocks of a prompt.
     pub fn cached_tokens(&self, blocks: &[BlockHash]) -> u32 {
         let held = blocks
             .iter()
@@ -44,17 +44,17 @@
         u32::try_from(held.count()).unwrap_or(u32::MAX / BLOCK_TOKENS) * BLOCK_TOKENS
     }
 
-    /// Holds a prompt's blocks, and evicts others to make room.
+    /// Adds the blocks of a prompt, evicts others to make room, and returns the changes.
     pub fn insert(&mut self, blocks: &[BlockHash]) -> Vec<CacheChange> {
         let mut changes = Vec::new();
-        // What does not fit is the prompt's end: a block is worth nothing without those before it.
-        for block in blocks.iter().take(self.capacity) {
+        // If the prompt does not fit, its end is left out: a block is useless without the earlier ones.
+        for block in blocks.iter().take(self.capacity_blocks) {
             if !self.touch(*block) {
                 changes.push(CacheChange::Stored(*block));
             }
         }
-        while self.last_use.len() > self.capacity {
-            let Some((_, evicted)) = self.by_use.pop_first() else {
+        while self.last_use.len() > self.capacity_blocks {
+            let Some((_, evicted)) = self.blocks_by_use.pop_first() else {
                 break;
             };
             self.last_use.remove(&evicted);
@@ -63,31 +63,31 @@
         changes
     }
 
-    /// Drops everything, as a change of model does.
+    /// Removes all blocks, as loading another model does, and returns the changes.
     pub fn clear(&mut self) -> Vec<CacheChange> {
-        self.by_use.clear();
+        self.blocks_by_use.clear();
         let held = self.last_use.drain();
         held.map(|(block, _)| CacheChange::Evicted(block)).collect()
     }
 
-    /// Blocks held.
+    /// Returns the number of cached blocks.
     pub fn len(&self) -> usize {
         self.last_use.len()
     }
 
-    /// Whether no block is held.
+    /// Returns whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.last_use.is_empty()
     }
 
-    /// Marks a block as used now; true if it was held before.
+    /// Marks a block as most recently used and adds it if needed. Returns whether it was cached already.
     fn touch(&mut self, block: BlockHash) -> bool {
-        self.uses += 1;
-        let before = self.last_use.insert(block, self.uses);
-        if let Some(before) = before {
-            self.by_use.remove(&before);
+        self.use_count += 1;
+        let previous_use = self.last_use.insert(block, self.use_count);
+        if let Some(previous_use) = previous_use {
+            self.blocks_by_use.remove(&previous_use);
         }
-        self.by_use.insert(self.uses, block);
-        before.is_some()
+        self.blocks_by_use.insert(self.use_count, block);
+        previous_use.is_some()
     }
 }
--- a/crates/engine-model/tests/batch.rs
+++ b/crates/engine-model/tests/batch.rs
@@ -1,4 +1,5 @@
-//! Stateful properties of the batch: nothing is lost, nothing is generated twice.
+//! Property tests of the batch: every token of a request that is not cancelled is generated
+//! exactly once.
 
 use std::collections::HashMap;
 
@@ -16,7 +17,7 @@
     }
 }
 
-fn small() -> CostModel {
+fn small_engine() -> CostModel {
     CostModel {
         max_sequences: 4,
         max_queue: 8,
@@ -26,8 +27,8 @@
 }
 
 #[test]
-fn a_duplicate_and_an_oversize_request_are_refused() {
-    let mut batch = Batch::new(small());
+fn duplicate_and_oversized_requests_are_rejected() {
+    let mut batch = Batch::new(small_engine());
     assert_eq!(batch.submit(work(1, 10, 5)), Ok(()));
     assert_eq!(batch.submit(work(1, 10, 5)), Err(SubmitError::Duplicate));
     assert_eq!(batch.submit(work(2, 6_000, 5)), Err(SubmitError::TooLarge));
@@ -39,7 +40,7 @@
     fn every_request_gets_each_token_once_unless_it_is_cancelled(
         requests in prop::collection::vec((1_u32..2_000, 1_u32..30, any::<bool>()), 1..12),
     ) {
-        let mut batch = Batch::new(small());
+        let mut batch = Batch::new(small_engine());
         let mut generated: HashMap<RequestId, u32> = HashMap::new();
         let mut accepted = Vec::new();
         for (index, (prefill, output, cancelled)) in requests.iter().enumerate() {
--- a/crates/engine-model/tests/prefix_cache.rs
+++ b/crates/engine-model/tests/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache against an oracle: what its changes say is what it holds, within its bound.
+//! Compares the prefix cache with a reference set that is built from the changes that it reports.
 
 use std::collections::HashSet;
 
@@ -7,8 +7,8 @@
 
 const CAPACITY_BLOCKS: usize = 8;
 
-/// Prompts that share prefixes: runs of a few distinct words.
-fn prompt() -> impl Strategy<Value = String> {
+/// Generates prompts that share prefixes: blocks that each repeat one of three words.
+fn prompt_strategy() -> impl Strategy<Value = String> {
     prop::collection::vec(0_u8..3, 0..12).prop_map(|blocks| {
         let words = blocks
             .iter()
@@ -19,31 +19,31 @@
 
 proptest! {
     #[test]
-    fn changes_tell_exactly_what_is_held(prompts in prop::collection::vec(prompt(), 0..60)) {
+    fn reported_changes_match_the_cache_contents(prompts in prop::collection::vec(prompt_strategy(), 0..60)) {
         let mut cache = PrefixCache::new(CAPACITY_BLOCKS as u64 * u64::from(BLOCK_TOKENS));
-        let mut held = HashSet::new();
+        let mut cached = HashSet::new();
         for prompt in prompts {
             let blocks = block_hashes("base", &prompt);
             for change in cache.insert(&blocks) {
                 match change {
-                    CacheChange::Stored(block) => prop_assert!(held.insert(block)),
-                    CacheChange::Evicted(block) => prop_assert!(held.remove(&block)),
+                    CacheChange::Stored(block) => prop_assert!(cached.insert(block)),
+                    CacheChange::Evicted(block) => prop_assert!(cached.remove(&block)),
                 }
             }
-            prop_assert_eq!(held.len(), cache.len());
+            prop_assert_eq!(cached.len(), cache.len());
             prop_assert!(cache.len() <= CAPACITY_BLOCKS);
-            let prefix = blocks.iter().take_while(|block| held.contains(block)).count();
+            let prefix = blocks.iter().take_while(|block| cached.contains(block)).count();
             prop_assert_eq!(cache.cached_tokens(&blocks), prefix as u32 * BLOCK_TOKENS);
-            let just_used = blocks.len().min(CAPACITY_BLOCKS);
-            prop_assert!(prefix >= just_used, "the latest prompt is held as far as it fits");
+            let expected_blocks = blocks.len().min(CAPACITY_BLOCKS);
+            prop_assert!(prefix >= expected_blocks, "the latest prompt is cached as far as it fits");
         }
-        prop_assert_eq!(cache.clear().len(), held.len());
+        prop_assert_eq!(cache.clear().len(), cached.len());
         prop_assert!(cache.is_empty());
     }
 }
 
 #[test]
-fn models_share_no_blocks() {
+fn models_do_not_share_blocks() {
     let prompt = "word ".repeat(BLOCK_TOKENS as usize);
     assert_ne!(
         block_hashes("base", &prompt),
--- a/crates/fixed-cases/src/lib.rs
+++ b/crates/fixed-cases/src/lib.rs
@@ -1,10 +1,12 @@
-//! Property tests whose cases are the same on every run, so that a test's verdict is too.
+//! Configuration of property tests that run the same cases every time, so that their results are
+//! reproducible.
 
 #![forbid(unsafe_code)]
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// As many cases as by default, drawn by this seed. Failures are not kept in files: the seed finds them again.
+/// Returns a configuration with the default number of cases, which are generated from `seed`. Failing cases are
+/// not saved in files, because the seed reproduces them.
 pub fn fixed_cases(seed: u64) -> Config {
     Config {
         rng_seed: RngSeed::Fixed(seed),
@@ -13,7 +15,7 @@
     }
 }
 
-/// So many cases, drawn by this seed.
+/// Returns a configuration with `cases` cases, which are generated from `seed`.
 pub fn fixed_number_of_cases(seed: u64, cases: u32) -> Config {
     Config {
         cases,
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole small fleet in one process, over real loopback TCP.
+//! A small fleet in one process, whose parts communicate over loopback TCP.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
@@ -14,33 +14,34 @@
 
 use crate::{Summary, Workload};
 
-/// The model that the fleet's engines load.
+/// The model that the engines of the fleet load.
 pub const MODEL: &str = "base";
-/// Bearer token of the fleet's operator.
+/// Bearer token of the operator account of the fleet.
 pub const TOKEN: &str = "dev-token";
-/// Nodes of the fleet.
+/// Number of nodes in the fleet.
 pub const NODES: usize = 2;
-/// Engines of the fleet, each of them mixed.
+/// Number of engines in the fleet, all with the mixed role.
 pub const ENGINES: usize = 4;
-/// How long an engine is away for a change of role.
+/// Time for which an engine is unavailable during a role change.
 pub const ROLE_CHANGE: Duration = Duration::from_secs(3);
-/// Longest wait for the fleet to be ready.
+/// Timeout for the configuration to be in force on every node.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A platform, engines, an application worker and nodes in this process.
+/// A platform stand-in, engines, an application worker and nodes in this process.
 pub struct Fleet {
     nodes: Vec<RunningNode>,
     engines: Vec<SocketAddr>,
 }
 
 fn free_listener() -> Result<(TcpListener, SocketAddr)> {
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).context("no free port")?;
+    let listener =
+        TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).context("cannot bind a free port")?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
 impl Fleet {
-    /// Starts everything on the current actix system, and waits until the configuration is in force.
+    /// Starts the fleet on the current actix system and waits until the configuration is in force.
     pub async fn start() -> Result<Self> {
         let (listener, platform) = free_listener()?;
         actix_rt::spawn(platform::serve(listener)?);
@@ -80,12 +81,13 @@
     async fn configure(&self, worker: SocketAddr) -> Result<()> {
         let resources = resources(&self.engines, worker);
         let url = format!("http://{}/admin/v1/apply", self.nodes[0].admin);
-        let sent = awc::Client::default()
+        let result = awc::Client::default()
             .post(url)
             .bearer_auth(TOKEN)
             .send_body(resources)
             .await;
-        let mut response = sent.map_err(|error| anyhow::anyhow!("no answer: {error}"))?;
+        let mut response =
+            result.map_err(|error| anyhow::anyhow!("configuration request failed: {error}"))?;
         if !response.status().is_success() {
             let body = response.body().await?;
             bail!(
@@ -101,32 +103,36 @@
             }
         };
         let waited = actix_rt::time::timeout(READY_TIMEOUT, ready).await;
-        waited.map_err(|_| anyhow::anyhow!("the configuration did not reach every node"))
+        waited.map_err(|_| {
+            anyhow::anyhow!("timed out waiting for every node to apply the configuration")
+        })
     }
 
     async fn role_changes(&self) -> Result<u64> {
         let mut changes = 0;
         for engine in &self.engines {
             let url = format!("http://{engine}/standin/records");
-            let sent = awc::Client::default().get(url).send().await;
-            let mut response = sent.map_err(|error| anyhow::anyhow!("no answer: {error}"))?;
+            let result = awc::Client::default().get(url).send().await;
+            let mut response = result.map_err(|error| {
+                anyhow::anyhow!("reading the records of an engine failed: {error}")
+            })?;
             let records: engine::Records = response.json().limit(64 << 20).await?;
             changes += records.role_changes();
         }
         Ok(changes)
     }
 
-    /// Where callers connect, one address for each node.
+    /// Returns the address for callers of each node.
     pub fn callers(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.callers).collect()
     }
 
-    /// Where operators connect at the first node.
+    /// Returns the administration address of the first node.
     pub fn admin(&self) -> SocketAddr {
         self.nodes[0].admin
     }
 
-    /// Runs a load, and counts the changes of role that engines carried out for it.
+    /// Runs a load and adds the number of role changes that the engines have accepted since their start.
     pub async fn run_load(
         &self,
         load: &Workload,
@@ -137,7 +143,7 @@
         Ok(summary)
     }
 
-    /// Stops the nodes as planned stops do.
+    /// Shuts the nodes down gracefully.
     pub async fn stop(self) {
         for node in self.nodes {
             node.stop().await;
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -1,4 +1,4 @@
-//! Sends a workload's requests and judges the answers.
+//! Sends the requests of a workload and checks the answers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,33 +17,32 @@
 use crate::summary::Summary;
 use crate::workload::{Phase, RequestShape, Workload};
 
-/// Header that tells the node when the whole answer is due, in milliseconds.
+/// Header with the time in milliseconds within which the answer must be complete.
 const DEADLINE_HEADER: &str = "tansyhall-deadline-ms";
-/// Longest wait for any one answer.
+/// Timeout for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest first-token time recorded, in milliseconds.
+/// Upper bound of recorded latencies, in milliseconds. Longer ones are recorded as this.
 const MAX_RECORDED_MS: u64 = 120_000;
 
 struct Totals {
     summary: Summary,
     first_token: Histogram<u64>,
-    whole: Histogram<u64>,
+    complete_answer: Histogram<u64>,
 }
 
-/// Runs a workload against nodes, in turn, and returns what came of it. `progress` is called about
-/// once a second with the counts so far.
+/// Sends the requests of a workload to the nodes in turn and returns the results. Calls `progress` with the
+/// counts so far about once a second.
 pub async fn run(
     workload: &Workload,
     nodes: &[SocketAddr],
     model: &str,
     mut progress: impl FnMut(&Summary),
 ) -> Summary {
-    let times =
-        || Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).expect("constant bounds are valid");
+    let times = || Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).expect("the bounds are valid");
     let totals = Rc::new(RefCell::new(Totals {
         summary: Summary::default(),
         first_token: times(),
-        whole: times(),
+        complete_answer: times(),
     }));
     let started = Instant::now();
     let mut reported = Duration::ZERO;
@@ -60,7 +59,7 @@
         let totals = Rc::clone(&totals);
         let model = model.to_owned();
         tasks.push(actix_rt::spawn(async move {
-            let outcome = ask(node, &model, &prompt, &shape).await;
+            let outcome = send_request(node, &model, &prompt, &shape).await;
             record(&mut totals.borrow_mut(), &shape, &outcome);
         }));
     }
@@ -71,12 +70,12 @@
     let mut summary = totals.summary.clone();
     summary.p50_first_token_ms = totals.first_token.value_at_quantile(0.50);
     summary.p95_first_token_ms = totals.first_token.value_at_quantile(0.95);
-    summary.p50_whole_ms = totals.whole.value_at_quantile(0.50);
-    summary.p95_whole_ms = totals.whole.value_at_quantile(0.95);
+    summary.p50_whole_ms = totals.complete_answer.value_at_quantile(0.50);
+    summary.p95_whole_ms = totals.complete_answer.value_at_quantile(0.95);
     summary
 }
 
-/// Poisson arrivals of every phase, in order of time, each with what is asked.
+/// Returns the Poisson arrivals of all phases in order of time, each with the shape of its request.
 pub fn arrivals(workload: &Workload) -> Vec<(Duration, RequestShape)> {
     let mut random = ChaCha8Rng::seed_from_u64(workload.seed);
     let mut arrivals = Vec::new();
@@ -123,7 +122,7 @@
     expected: String,
     verdict: Option<String>,
     first_token: Option<Duration>,
-    whole: Duration,
+    duration: Duration,
 }
 
 #[derive(Deserialize)]
@@ -146,7 +145,12 @@
     verdict: String,
 }
 
-async fn ask(node: SocketAddr, model: &str, prompt: &str, shape: &RequestShape) -> Outcome {
+async fn send_request(
+    node: SocketAddr,
+    model: &str,
+    prompt: &str,
+    shape: &RequestShape,
+) -> Outcome {
     let mut outcome = Outcome {
         expected: answer_text(model, prompt, shape.output_tokens),
         ..Outcome::default()
@@ -183,14 +187,14 @@
             .filter_map(|data| serde_json::from_str::<Event>(data).ok())
         {
             outcome.first_token.get_or_insert_with(|| started.elapsed());
-            take_event(&mut outcome, event);
+            apply_event(&mut outcome, event);
         }
     }
-    outcome.whole = started.elapsed();
+    outcome.duration = started.elapsed();
     outcome
 }
 
-fn take_event(outcome: &mut Outcome, event: Event) {
+fn apply_event(outcome: &mut Outcome, event: Event) {
     for choice in &event.choices {
         outcome.text.push_str(&choice.text);
     }
@@ -231,16 +235,20 @@
             return;
         }
     }
-    if outcome.whole <= shape.deadline {
+    if outcome.duration <= shape.deadline {
         summary.in_deadline += 1;
     }
     if let Some(first_token) = outcome.first_token {
-        totals.first_token.saturating_record(millis(first_token));
+        totals
+            .first_token
+            .saturating_record(clamped_millis(first_token));
     }
-    totals.whole.saturating_record(millis(outcome.whole));
+    totals
+        .complete_answer
+        .saturating_record(clamped_millis(outcome.duration));
 }
 
-fn millis(duration: Duration) -> u64 {
+fn clamped_millis(duration: Duration) -> u64 {
     let millis = u64::try_from(duration.as_millis()).unwrap_or(MAX_RECORDED_MS);
     millis.max(1)
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,6 +1,6 @@
-//! A load generator that checks every answer. Arrivals follow a workload's phases by a seeded
-//! random source; the expected answer to each prompt is known, so a wrong, cut or foreign answer
-//! is seen at once.
+//! A load generator that checks every answer. Requests arrive at the rates of the phases of a workload,
+//! drawn from a seeded random number generator. The expected answer to each prompt is known, so that a
+//! wrong, truncated or mismatched answer is detected.
 
 #![forbid(unsafe_code)]
 
--- a/crates/load/src/summary.rs
+++ b/crates/load/src/summary.rs
@@ -1,27 +1,29 @@
-//! What came of a load.
+//! The results of a load run.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// Counts over all requests.
+/// Counts and latencies over all requests.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Summary {
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// Whole answers.
+    /// Number of complete answers.
     pub completed: u64,
-    /// Whole answers that met their deadlines.
+    /// Number of complete answers that met their deadlines.
     pub in_deadline: u64,
-    /// Requests answered `not-run`.
+    /// Number of requests with the verdict `not-run`.
     pub not_run: u64,
-    /// Requests answered `may-have-run`, or with no verdict because the connection broke.
+    /// Number of requests with another verdict, such as `may-have-run`, or with neither text nor verdict
+    /// because the connection failed.
     pub may_have_run: u64,
-    /// Answers that hold text of another request, or text that was never generated.
+    /// Number of answers that contain text of another request or text that was never generated.
     pub wrong_answers: u64,
-    /// Answers that ended before their last token and without a verdict.
+    /// Number of answers that ended before their last token without a verdict, or with the verdict
+    /// `completed`.
     pub cut_short: u64,
-    /// Changes of role that engines carried out.
+    /// Number of role changes that engines accepted.
     pub role_changes: u64,
     /// Median time to the first token, in milliseconds.
     pub p50_first_token_ms: u64,
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -1,42 +1,42 @@
-//! Workloads: phases that shift the mix of long prompts and long outputs.
+//! Workloads whose phases vary the mix of long prompts and long outputs.
 
 use std::time::Duration;
 
 /// One kind of request.
 #[derive(Debug, Clone)]
 pub struct RequestShape {
-    /// The kind's name.
+    /// The name of the kind.
     pub name: &'static str,
-    /// Words in the prompt.
+    /// Number of words in the prompt.
     pub prompt_tokens: u32,
-    /// Tokens to generate.
+    /// Number of tokens to generate.
     pub output_tokens: u32,
-    /// When the whole answer is due.
+    /// Time after sending by which the answer must be complete.
     pub deadline: Duration,
 }
 
-/// A stretch of time with one mix.
+/// A part of a workload with one mix of requests.
 #[derive(Debug, Clone)]
 pub struct Phase {
-    /// Its part of the workload's duration.
+    /// The fraction of the duration of the workload.
     pub part: f64,
-    /// Requests a second of each shape.
+    /// Requests per second of each shape.
     pub rates: Vec<(RequestShape, f64)>,
 }
 
-/// A whole workload.
+/// A workload.
 #[derive(Debug, Clone)]
 pub struct Workload {
-    /// Its phases, in order.
+    /// The phases, in order.
     pub phases: Vec<Phase>,
-    /// How long it lasts.
+    /// The duration of the workload.
     pub duration: Duration,
-    /// Seed of the arrivals.
+    /// Random seed of the arrivals.
     pub seed: u64,
 }
 
-/// A long prompt with a short answer.
-fn review() -> RequestShape {
+/// Returns the shape of requests with a long prompt and a short answer.
+fn review_shape() -> RequestShape {
     RequestShape {
         name: "review",
         prompt_tokens: 1_500,
@@ -45,8 +45,8 @@
     }
 }
 
-/// A short prompt with an answer of some length.
-fn counter() -> RequestShape {
+/// Returns the shape of requests with a short prompt and a longer answer.
+fn counter_shape() -> RequestShape {
     RequestShape {
         name: "counter",
         prompt_tokens: 20,
@@ -59,42 +59,42 @@
 pub const NAMES: [&str; 3] = ["mix-shift", "mix-surge", "steady"];
 
 impl Workload {
-    /// A built-in workload by name.
+    /// Returns the built-in workload with this name, or `None` if there is none.
     pub fn named(name: &str, duration: Duration, seed: u64) -> Option<Self> {
         let phases = match name {
             "mix-shift" => vec![
                 Phase {
                     part: 0.3,
-                    rates: vec![(review(), 4.0), (counter(), 4.0)],
+                    rates: vec![(review_shape(), 4.0), (counter_shape(), 4.0)],
                 },
                 Phase {
                     part: 0.4,
-                    rates: vec![(review(), 1.0), (counter(), 16.0)],
+                    rates: vec![(review_shape(), 1.0), (counter_shape(), 16.0)],
                 },
                 Phase {
                     part: 0.3,
-                    rates: vec![(review(), 8.0), (counter(), 2.0)],
+                    rates: vec![(review_shape(), 8.0), (counter_shape(), 2.0)],
                 },
             ],
-            // The same shifts with many times the requests.
+            // Shifts the mix like `mix-shift`, at many times its request rate.
             "mix-surge" => vec![
                 Phase {
                     part: 0.3,
-                    rates: vec![(review(), 25.0), (counter(), 60.0)],
+                    rates: vec![(review_shape(), 25.0), (counter_shape(), 60.0)],
                 },
                 Phase {
                     part: 0.4,
-                    rates: vec![(review(), 5.0), (counter(), 150.0)],
+                    rates: vec![(review_shape(), 5.0), (counter_shape(), 150.0)],
                 },
                 Phase {
                     part: 0.3,
-                    rates: vec![(review(), 45.0), (counter(), 20.0)],
+                    rates: vec![(review_shape(), 45.0), (counter_shape(), 20.0)],
                 },
             ],
             "steady" => {
                 vec![Phase {
                     part: 1.0,
-                    rates: vec![(review(), 2.0), (counter(), 8.0)],
+                    rates: vec![(review_shape(), 2.0), (counter_shape(), 8.0)],
                 }]
             }
             _ => return None,
--- a/crates/load/tests/summary.rs
+++ b/crates/load/tests/summary.rs
@@ -1,4 +1,4 @@
-//! The summary's two forms: aligned lines for people, one object for programs.
+//! Tests of the two forms of the summary: aligned text and JSON.
 
 use tansyhall_load::Summary;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn people_read_aligned_lines() {
+fn the_text_form_has_aligned_lines() {
     let expected = "\
 requests              200
 completed             190    95.0 %
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn programs_read_every_field() {
+fn the_json_form_has_every_field() {
     let json = serde_json::to_value(summary()).expect("JSON");
     let fields = [
         "requests",
--- a/crates/standin/src/app.rs
+++ b/crates/standin/src/app.rs
@@ -1,4 +1,4 @@
-//! The application worker's stand-in: echoes what it was asked, and records each request.
+//! Stand-in for an application worker: echoes and records each request.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -10,30 +10,30 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// Query parameter that makes the worker wait this many milliseconds.
+/// Query parameter that delays the answer by this many milliseconds.
 const DELAY_PARAMETER: &str = "delay_ms";
-/// Most requests recorded.
+/// Maximum number of recorded requests.
 const MAX_RECORDS: usize = 100_000;
-/// Largest body read, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// How one worker is set up.
+/// Options of a worker.
 #[derive(Debug, Clone)]
 pub struct AppOptions {
-    /// Its name.
+    /// The name of the worker.
     pub name: String,
 }
 
-/// What the worker answers.
+/// The answer to a request, which repeats its contents.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Echo {
-    /// The worker.
+    /// The name of the worker.
     pub worker: String,
-    /// The request's method.
+    /// The method of the request.
     pub method: String,
-    /// The request's path and query.
+    /// The path and query of the request.
     pub path: String,
-    /// The request's body, as text.
+    /// The body of the request as text; invalid UTF-8 is replaced.
     pub body: String,
 }
 
@@ -42,7 +42,7 @@
     records: Mutex<Vec<Echo>>,
 }
 
-/// Serves a worker on a listener.
+/// Starts a worker on a listener.
 pub fn serve(listener: TcpListener, options: AppOptions) -> std::io::Result<Server> {
     let worker = Arc::new(Worker {
         options,
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The engine's prefix cache with its log of events, and the KV caches it can hand over.
+//! The prefix cache of the engine with its event log, and the KV caches that other engines can fetch.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,14 +11,15 @@
 
 use super::Engine;
 
-/// Cache events kept; older ones are lost to readers that lag so far behind.
+/// Maximum number of events in the log. Readers that lag further behind miss the older events.
 const MAX_EVENTS: usize = 10_000;
-/// Most events in one answer.
+/// Maximum number of events in one answer.
 const MAX_EVENTS_IN_ANSWER: usize = 1_000;
-/// Prompts whose KV caches can be exported; older ones are forgotten.
+/// Maximum number of requests whose KV caches can be exported_blocks; older ones are removed.
 const MAX_EXPORTABLE: usize = 1_024;
 
-/// The log: sequence numbers grow by one for each change, also for events that are lost.
+/// The event log. The sequence number grows by one for each change, including those whose event is lost
+/// by fault injection.
 #[derive(Debug, Default)]
 struct EventLog {
     events: VecDeque<(Timestamp, CacheEvent)>,
@@ -48,18 +49,18 @@
     }
 
     fn read(&self, after: u64, now: Timestamp, lag: Duration) -> Vec<CacheEvent> {
-        let wanted = |(at, event): &&(Timestamp, CacheEvent)| {
+        let is_visible = |(at, event): &&(Timestamp, CacheEvent)| {
             event.sequence > after && now.since(*at) >= lag
         };
-        let events = self.events.iter().filter(wanted);
+        let events = self.events.iter().filter(is_visible);
         let events = events.map(|(_, event)| *event);
         events.take(MAX_EVENTS_IN_ANSWER).collect()
     }
 }
 
-/// One engine's caches.
+/// The caches of one engine.
 pub(super) struct Caches {
-    prefixes: PrefixCache,
+    prefix_cache: PrefixCache,
     log: EventLog,
     exportable: VecDeque<(RequestId, Vec<BlockHash>)>,
 }
@@ -67,25 +68,25 @@
 impl Caches {
     pub(super) fn new(capacity_tokens: u64) -> Self {
         Self {
-            prefixes: PrefixCache::new(capacity_tokens),
+            prefix_cache: PrefixCache::new(capacity_tokens),
             log: EventLog::default(),
             exportable: VecDeque::new(),
         }
     }
 
-    /// Tokens of the longest cached prefix.
+    /// Returns the length of the longest cached prefix, in tokens.
     pub(super) fn cached_tokens(&self, blocks: &[BlockHash]) -> u32 {
-        self.prefixes.cached_tokens(blocks)
+        self.prefix_cache.cached_tokens(blocks)
     }
 
-    /// Holds a prompt's blocks.
+    /// Stores the blocks of a prompt and logs the changes.
     pub(super) fn insert(&mut self, now: Timestamp, blocks: &[BlockHash], lose_one_in: u64) {
-        for change in self.prefixes.insert(blocks) {
+        for change in self.prefix_cache.insert(blocks) {
             self.log.push(now, change, lose_one_in);
         }
     }
 
-    /// Lets a request's KV cache be exported.
+    /// Makes the KV cache of a request available for export.
     pub(super) fn make_exportable(&mut self, id: RequestId, blocks: Vec<BlockHash>) {
         if self.exportable.len() >= MAX_EXPORTABLE {
             self.exportable.pop_front();
@@ -93,16 +94,16 @@
         self.exportable.push_back((id, blocks));
     }
 
-    /// The blocks of a request's KV cache.
-    pub(super) fn exported(&self, id: RequestId) -> Option<Vec<BlockHash>> {
+    /// Returns the blocks of the KV cache of a request if it can be exported_blocks.
+    pub(super) fn exported_blocks(&self, id: RequestId) -> Option<Vec<BlockHash>> {
         let mut newest_first = self.exportable.iter().rev();
-        let entry = newest_first.find(|(exported, _)| *exported == id)?;
+        let entry = newest_first.find(|(entry_id, _)| *entry_id == id)?;
         Some(entry.1.clone())
     }
 
-    /// Drops everything, as a change of model does.
+    /// Removes everything, as loading another model does.
     pub(super) fn clear(&mut self, now: Timestamp) {
-        for change in self.prefixes.clear() {
+        for change in self.prefix_cache.clear() {
             self.log.push(now, change, 0);
         }
         self.exportable.clear();
@@ -115,8 +116,8 @@
     after: u64,
 }
 
-/// Answers with the cache events after a sequence number.
-pub(super) async fn events(
+/// Returns the cache events after a sequence number.
+pub(super) async fn get_events(
     engine: web::Data<Engine>,
     query: web::Query<EventsQuery>,
 ) -> HttpResponse {
--- a/crates/standin/src/engine/faults.rs
+++ b/crates/standin/src/engine/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that a test switches on and off at run time with `POST /standin/faults`.
+//! Faults that a test sets at run time with `POST /standin/faults`.
 
 use std::time::Duration;
 
@@ -10,46 +10,46 @@
 
 use super::Engine;
 
-/// Paths below this one answer even while the engine is frozen.
-pub(super) const SWITCHES_PREFIX: &str = "/standin/";
-/// How often a frozen engine looks whether it has been thawed.
-const THAW_POLL: Duration = Duration::from_millis(10);
+/// Requests to paths with this prefix are answered even while the engine is frozen.
+pub(super) const STANDIN_PATH_PREFIX: &str = "/standin/";
+/// How often a frozen engine checks whether it is still frozen.
+const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The faults in force; whatever a request leaves out is off.
+/// The faults in force. Faults that a request omits are off.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineFaults {
-    /// The engine neither answers nor generates, and keeps its connections open.
+    /// The engine neither answers nor generates tokens, but keeps its connections open.
     pub frozen: bool,
-    /// The next order that takes time ends halfway in a crash and a restart.
+    /// The engine crashes and restarts halfway through the next order that is not instantaneous.
     pub crash_halfway: bool,
-    /// Work is refused as if the queue were full.
+    /// Requests are refused as if the queue were full.
     pub refuse_work: bool,
-    /// KV caches are not handed over: exports, and reads by other engines, are refused.
+    /// Exports of KV caches, and reads of them by other engines, are refused.
     pub forget_kv_caches: bool,
-    /// Load reports are at least this old, in milliseconds.
+    /// Minimum age of load reports, in milliseconds, as far as samples reach back.
     pub load_lag_ms: u64,
-    /// Cache events are published at least this late, in milliseconds.
+    /// Minimum delay before cache events are published, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// One in this many cache events is lost; zero loses none.
+    /// One of every this many cache events is lost; zero loses none.
     pub lose_one_cache_event_in: u64,
 }
 
-/// Holds a request back for as long as the engine is frozen.
-pub(super) async fn hold_while_frozen(
+/// Delays a request while the engine is frozen.
+pub(super) async fn delay_while_frozen(
     engine: web::Data<Engine>,
     request: ServiceRequest,
     next: Next<impl MessageBody>,
 ) -> Result<ServiceResponse<impl MessageBody>, actix_web::Error> {
-    if !request.path().starts_with(SWITCHES_PREFIX) {
-        while_frozen(&engine).await;
+    if !request.path().starts_with(STANDIN_PATH_PREFIX) {
+        wait_while_frozen(&engine).await;
     }
     next.call(request).await
 }
 
-/// Returns once the engine is not frozen.
-pub(super) async fn while_frozen(engine: &Engine) {
+/// Waits until the engine is not frozen.
+pub(super) async fn wait_while_frozen(engine: &Engine) {
     while engine.faults.lock().frozen {
-        actix_rt::time::sleep(THAW_POLL).await;
+        actix_rt::time::sleep(FROZEN_POLL_INTERVAL).await;
     }
 }
--- a/crates/standin/src/engine/http.rs
+++ b/crates/standin/src/engine/http.rs
@@ -21,7 +21,7 @@
 use super::cache::{self, Caches};
 use super::faults::EngineFaults;
 use super::kv;
-use super::load::SAMPLE_PERIOD;
+use super::load::SAMPLE_INTERVAL;
 use super::{next_incarnation, Engine, RecordedOrder, RecordedRequest};
 
 pub(super) fn routes(config: &mut web::ServiceConfig) {
@@ -33,7 +33,7 @@
         .route(SEAL_PATH, web::post().to(seal))
         .route(STATE_PATH, web::get().to(state))
         .route(LOAD_PATH, web::get().to(load))
-        .route(CACHE_EVENTS_PATH, web::get().to(cache::events))
+        .route(CACHE_EVENTS_PATH, web::get().to(cache::get_events))
         .route(KV_EXPORT_PATH, web::post().to(kv::export))
         .route(KV_IMPORT_PATH, web::post().to(kv::import))
         .route(&format!("{KV_PATH}/{{handle}}"), web::get().to(kv::read))
@@ -48,7 +48,7 @@
     })
 }
 
-/// Cancels the request when its caller goes away.
+/// Cancels the request when dropped, which happens when its caller disconnects.
 struct CancelOnDrop {
     engine: web::Data<Engine>,
     id: RequestId,
@@ -66,7 +66,7 @@
     }
 }
 
-struct Answer {
+struct AnswerStream {
     progress: mpsc::Receiver<Progress>,
     request: EngineRequest,
     hash: u64,
@@ -76,9 +76,9 @@
     cancel: CancelOnDrop,
 }
 
-impl Answer {
-    /// Holds the prompt in the caches, now that it has been prefilled.
-    fn prefilled(&mut self) {
+impl AnswerStream {
+    /// Stores the prompt in the caches once it has been prefilled.
+    fn record_prefill(&mut self) {
         let engine = &self.cancel.engine;
         let lose_one_in = engine.faults.lock().lose_one_cache_event_in;
         let mut caches = engine.caches.lock();
@@ -142,7 +142,7 @@
         engine: engine.clone(),
         id,
     };
-    let answer = Answer {
+    let answer = AnswerStream {
         progress,
         request,
         hash,
@@ -156,14 +156,16 @@
         .streaming(stream::unfold(answer, next_chunk))
 }
 
-async fn next_chunk(mut answer: Answer) -> Option<(Result<Bytes, std::io::Error>, Answer)> {
+async fn next_chunk(
+    mut answer: AnswerStream,
+) -> Option<(Result<Bytes, std::io::Error>, AnswerStream)> {
     if answer.finished {
         return None;
     }
     let step = answer.progress.recv().await?;
     answer.finished = step.finished;
     if step.generated == 1 {
-        answer.prefilled();
+        answer.record_prefill();
     }
     let index = answer.request.resume_after + step.generated - 1;
     let chunk = EngineChunk {
@@ -194,14 +196,14 @@
 async fn order(engine: web::Data<Engine>, order: web::Json<Order>) -> HttpResponse {
     let order = order.into_inner();
     let now = engine.clock.now();
-    advance(&engine);
+    finish_due_order(&engine);
     let (reply, requests) = {
         let mut control = engine.control.lock();
-        let requests = engine.runner.requests();
+        let requests = engine.runner.request_count();
         let was_idle = control.active_order_ends().is_none();
         let reply = control.order(now, order.clone(), requests);
         if was_idle && control.active_order_ends().is_some() {
-            control.extend_active_order(fetch_weights(&engine, &order.action));
+            control.extend_active_order(queue_weights_fetch(&engine, &order.action));
         }
         (reply, requests)
     };
@@ -212,15 +214,15 @@
         requests,
     };
     engine.records.lock().push_order(record);
-    schedule_end(&engine);
+    schedule_order_end(&engine);
     match reply {
         OrderReply::Accepted => HttpResponse::Ok().json(reply),
         _ => HttpResponse::Conflict().json(reply),
     }
 }
 
-/// Ends the active order if its time has come; another model begins with empty caches.
-fn advance(engine: &Engine) {
+/// Finishes the active order if its time has come. Loading a model clears the caches.
+fn finish_due_order(engine: &Engine) {
     let now = engine.clock.now();
     let ended = engine.control.lock().advance(now);
     if ended.is_some_and(|order| matches!(order.action, OrderAction::LoadModel { .. })) {
@@ -228,8 +230,8 @@
     }
 }
 
-/// Time to fetch what an order loads.
-fn fetch_weights(engine: &Engine, action: &OrderAction) -> Duration {
+/// Queues the fetch of the weights that an order loads, and returns how long it takes.
+fn queue_weights_fetch(engine: &Engine, action: &OrderAction) -> Duration {
     let weights = &engine.weights;
     match action {
         OrderAction::LoadModel { .. } => weights.store.fetch(weights.model_bytes),
@@ -238,8 +240,8 @@
     }
 }
 
-/// Ends the active order in time, or crashes halfway through it.
-fn schedule_end(engine: &web::Data<Engine>) {
+/// Schedules the end of the active order, or a crash halfway through it if that fault is set.
+fn schedule_order_end(engine: &web::Data<Engine>) {
     let (ends, halfway) = {
         let control = engine.control.lock();
         (control.active_order_ends(), control.active_order_halfway())
@@ -259,39 +261,39 @@
             return;
         }
         actix_rt::time::sleep(ends.since(engine.clock.now())).await;
-        advance(&engine);
+        finish_due_order(&engine);
     });
 }
 
 async fn seal(engine: web::Data<Engine>, seal: web::Json<Seal>) -> HttpResponse {
     let mut control = engine.control.lock();
     control.seal(seal.fence_token);
-    HttpResponse::Ok().json(control.state(engine.runner.requests()))
+    HttpResponse::Ok().json(control.state(engine.runner.request_count()))
 }
 
 async fn state(engine: web::Data<Engine>) -> HttpResponse {
-    advance(&engine);
+    finish_due_order(&engine);
     let control = engine.control.lock();
-    HttpResponse::Ok().json(control.state(engine.runner.requests()))
+    HttpResponse::Ok().json(control.state(engine.runner.request_count()))
 }
 
 async fn load(engine: web::Data<Engine>) -> HttpResponse {
     let lag = Duration::from_millis(engine.faults.lock().load_lag_ms);
     let report = engine.load.lock().report(engine.clock.now(), lag);
-    HttpResponse::Ok().json(report.unwrap_or_else(|| load_now(&engine)))
+    HttpResponse::Ok().json(report.unwrap_or_else(|| current_load(&engine)))
 }
 
-/// Samples the load for as long as the engine runs.
+/// Samples the load periodically while the engine runs.
 pub(super) async fn sample_load(engine: web::Data<Engine>) {
-    let mut ticks = actix_rt::time::interval(SAMPLE_PERIOD);
+    let mut ticks = actix_rt::time::interval(SAMPLE_INTERVAL);
     loop {
         ticks.tick().await;
-        let report = load_now(&engine);
+        let report = current_load(&engine);
         engine.load.lock().push(engine.clock.now(), report);
     }
 }
 
-fn load_now(engine: &Engine) -> LoadReport {
+fn current_load(engine: &Engine) -> LoadReport {
     let (role, accepts_work) = {
         let control = engine.control.lock();
         (control.state(0).role, control.accepts_work())
@@ -299,13 +301,13 @@
     let accepted_prompt_tokens = engine.accepted_prompt_tokens.load(Ordering::Relaxed);
     engine.runner.with_batch(|batch| LoadReport {
         age_ms: 0,
-        running: count(batch.len() - batch.queued()),
-        queued: count(batch.queued()),
+        running: saturating_u32(batch.len() - batch.queued()),
+        queued: saturating_u32(batch.queued()),
         pending_prefill_tokens: batch.pending_prefill_tokens(),
         kv_used_tokens: batch.kv_reserved(),
         kv_capacity_tokens: batch.kv_capacity(),
-        decoding: count(batch.decoding()),
-        waiting: count(batch.len() - batch.decoding()),
+        decoding: saturating_u32(batch.decoding()),
+        waiting: saturating_u32(batch.len() - batch.decoding()),
         free_sequences: batch.free_sequences(),
         accepted_prompt_tokens,
         role,
@@ -313,7 +315,7 @@
     })
 }
 
-fn count(requests: usize) -> u32 {
+fn saturating_u32(requests: usize) -> u32 {
     u32::try_from(requests).unwrap_or(u32::MAX)
 }
 
--- a/crates/standin/src/engine/kv.rs
+++ b/crates/standin/src/engine/kv.rs
@@ -1,5 +1,5 @@
-//! Export and import of KV caches: the importing engine fetches from the exporting one, and the
-//! node in between passes a handle only.
+//! Export and import of KV caches. The importing engine fetches the cache directly from the exporting
+//! engine; the node between them forwards only a handle.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use super::http::refuse;
 use super::Engine;
 
-/// Time to move one token's KV cache between engines.
-const TRANSFER_PER_TOKEN: Duration = Duration::from_micros(10);
-/// Longest wait for a connection to the exporting engine.
+/// Time to transfer the KV cache of one token between engines.
+const TRANSFER_TIME_PER_TOKEN: Duration = Duration::from_micros(10);
+/// Timeout for connecting to the exporting engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers with a handle to a request's KV cache.
+/// Returns a handle to the KV cache of a request.
 pub(super) async fn export(engine: web::Data<Engine>, export: web::Json<KvExport>) -> HttpResponse {
-    let blocks = blocks_of(&engine, &export.request_id);
+    let blocks = exportable_blocks(&engine, &export.request_id);
     let Some(blocks) = blocks else {
         return refuse(StatusCode::NOT_FOUND, "no KV cache of this request");
     };
@@ -28,14 +28,14 @@
     HttpResponse::Ok().json(KvHandle {
         handle: export.into_inner().request_id,
         incarnation,
-        tokens: tokens_of(blocks.len()),
+        tokens: tokens_in_blocks(blocks.len()),
     })
 }
 
-/// Answers another engine with the blocks behind a handle.
+/// Returns the blocks of the KV cache behind a handle to another engine.
 pub(super) async fn read(engine: web::Data<Engine>, handle: web::Path<String>) -> HttpResponse {
     let incarnation = engine.control.lock().state(0).incarnation;
-    match blocks_of(&engine, &handle) {
+    match exportable_blocks(&engine, &handle) {
         Some(blocks) => HttpResponse::Ok().json(KvBlocks {
             incarnation,
             blocks,
@@ -55,8 +55,8 @@
     if fetched.incarnation != import.handle.incarnation {
         return refuse(StatusCode::CONFLICT, "the exporting engine has restarted");
     }
-    let tokens = tokens_of(fetched.blocks.len());
-    actix_rt::time::sleep(TRANSFER_PER_TOKEN * tokens).await;
+    let tokens = tokens_in_blocks(fetched.blocks.len());
+    actix_rt::time::sleep(TRANSFER_TIME_PER_TOKEN * tokens).await;
     let lose_one_in = engine.faults.lock().lose_one_cache_event_in;
     let now = engine.clock.now();
     engine
@@ -66,15 +66,15 @@
     HttpResponse::Ok().json(KvImported { tokens })
 }
 
-fn blocks_of(engine: &Engine, request_id: &str) -> Option<Vec<u64>> {
+fn exportable_blocks(engine: &Engine, request_id: &str) -> Option<Vec<u64>> {
     if engine.faults.lock().forget_kv_caches {
         return None;
     }
     let id = RequestId::parse(request_id)?;
-    engine.caches.lock().exported(id)
+    engine.caches.lock().exported_blocks(id)
 }
 
-fn tokens_of(blocks: usize) -> u32 {
+fn tokens_in_blocks(blocks: usize) -> u32 {
     u32::try_from(blocks)
         .unwrap_or(u32::MAX)
         .saturating_mul(BLOCK_TOKENS)
--- a/crates/standin/src/engine/load.rs
+++ b/crates/standin/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load reports as a lagging engine publishes them: the figures of a while ago, with their age.
+//! Load reports of an engine whose figures may lag: past samples of the load with their age.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use tansyhall_engine::protocol::LoadReport;
 
 /// How often the load is sampled.
-pub(super) const SAMPLE_PERIOD: Duration = Duration::from_millis(20);
-/// Samples kept; with [`SAMPLE_PERIOD`] it bounds the longest lag at about 20 seconds.
+pub(super) const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of samples. With [`SAMPLE_INTERVAL`] it limits the lag to about 20 seconds.
 const MAX_SAMPLES: usize = 1_000;
 
-/// The latest samples of an engine's load.
+/// The latest load samples of an engine.
 #[derive(Debug, Default)]
 pub(super) struct LoadHistory {
     samples: VecDeque<(Timestamp, LoadReport)>,
@@ -26,7 +26,7 @@
         self.samples.push_back((now, report));
     }
 
-    /// The newest sample that is at least `lag` old, or the oldest there is.
+    /// Returns the newest sample that is at least `lag` old, or the oldest sample if none is.
     pub(super) fn report(&self, now: Timestamp, lag: Duration) -> Option<LoadReport> {
         let old_enough = |(at, _): &&(Timestamp, LoadReport)| now.since(*at) >= lag;
         let sample = self.samples.iter().rev().find(old_enough);
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! The engine's stand-in: the engine model in real time behind the engine protocol. It records
-//! every order and every request, so that a test can judge what happened.
+//! Stand-in for a model engine: runs the engine model in real time behind the engine protocol. It
+//! records every order and every request, so that a test can check what the engine received.
 
 mod answer;
 mod cache;
@@ -32,27 +32,27 @@
 use runner::Runner;
 pub use weights::WeightsStore;
 
-/// How one engine is set up.
+/// Options of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Its name.
+    /// The name of the engine.
     pub name: EngineName,
-    /// Its first role.
+    /// The initial role.
     pub role: Role,
-    /// Its first model.
+    /// The initial model.
     pub model: ModelName,
-    /// How long role changes take.
+    /// Duration of a role change.
     pub role_change: Duration,
-    /// Its speed and sizes.
+    /// Costs and capacities of the engine.
     pub costs: CostModel,
-    /// Where it fetches models from.
+    /// Source and sizes of models and adapters.
     pub weights: Weights,
 }
 
-/// Where an engine fetches models from, and how large they are.
+/// The store from which an engine fetches models and adapters, and their sizes.
 #[derive(Debug, Clone)]
 pub struct Weights {
-    /// The store.
+    /// The weight store.
     pub store: Arc<WeightsStore>,
     /// Size of a model, in bytes.
     pub model_bytes: u64,
@@ -70,54 +70,54 @@
     }
 }
 
-/// An order as the engine saw it.
+/// An order that the engine received.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RecordedOrder {
     /// Milliseconds since the engine's start.
     pub at_millis: u64,
     /// The order.
     pub order: Order,
-    /// The engine's answer.
+    /// The answer of the engine.
     pub reply: OrderReply,
-    /// Requests in progress at that moment.
+    /// Number of requests in progress when the order was received.
     pub requests: u32,
 }
 
-/// A request as the engine saw it.
+/// A request that the engine accepted.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RecordedRequest {
     /// Milliseconds since the engine's start.
     pub at_millis: u64,
-    /// The request.
+    /// The request id.
     pub request_id: String,
     /// Hash of the model and prompt.
     pub prompt_hash: u64,
-    /// Tokens the caller already had.
+    /// Number of tokens that the caller already had.
     pub resume_after: u32,
 }
 
-/// Most records kept of each kind; older ones are dropped.
+/// Maximum number of records of each kind. When it is exceeded, the oldest half is removed.
 const MAX_RECORDS: usize = 100_000;
 
-/// Everything recorded.
+/// All records of an engine.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Records {
     /// Orders, oldest first.
     pub orders: Vec<RecordedOrder>,
-    /// Requests begun, oldest first.
+    /// Accepted requests, oldest first.
     pub requests: Vec<RecordedRequest>,
-    /// Requests cancelled, or left by their callers, before their last token.
+    /// Number of requests that were cancelled, or whose callers disconnected, before the last token.
     pub cancelled: u64,
 }
 
 impl Records {
-    /// Changes of role that were begun.
+    /// Returns the number of role changes that the engine accepted.
     pub fn role_changes(&self) -> u64 {
-        let begun = |record: &&RecordedOrder| {
+        let is_started = |record: &&RecordedOrder| {
             matches!(record.order.action, OrderAction::SetRole { .. })
                 && record.reply == OrderReply::Accepted
         };
-        self.orders.iter().filter(begun).count() as u64
+        self.orders.iter().filter(is_started).count() as u64
     }
 
     fn push_order(&mut self, order: RecordedOrder) {
@@ -137,7 +137,7 @@
     }
 }
 
-/// State shared by the stand-in's handlers.
+/// State shared by the handlers of the stand-in.
 pub struct Engine {
     clock: MonotonicClock,
     control: Mutex<Control>,
@@ -156,7 +156,7 @@
     }
 }
 
-/// An incarnation that is larger than those of earlier starts.
+/// Returns an incarnation that is larger than those of earlier starts: the time in microseconds.
 fn next_incarnation() -> Incarnation {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -164,7 +164,7 @@
     Incarnation(u64::try_from(since_epoch.as_micros()).unwrap_or(0))
 }
 
-/// Serves an engine on a listener.
+/// Starts an engine on a listener.
 pub fn serve(listener: TcpListener, options: EngineOptions) -> std::io::Result<Server> {
     let timing = ControlTiming {
         role_change: options.role_change,
@@ -196,7 +196,7 @@
         App::new()
             .app_data(web::Data::from(Arc::clone(&engine)))
             .app_data(web::JsonConfig::default().limit(MAX_BODY_BYTES))
-            .wrap(from_fn(faults::hold_while_frozen))
+            .wrap(from_fn(faults::delay_while_frozen))
             .configure(http::routes)
     });
     Ok(server.workers(1).disable_signals().listen(listener)?.run())
--- a/crates/standin/src/engine/runner.rs
+++ b/crates/standin/src/engine/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the batch model in real time on a thread of its own, and sends each request its progress.
+//! Runs the batch model in real time in a task of its own and sends each request its progress.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use tansyhall_engine_model::{Batch, CostModel, Progress, SubmitError, Work};
 use tokio::sync::{mpsc, Notify};
 
-use super::faults::while_frozen;
+use super::faults::wait_while_frozen;
 use super::Engine;
 
-/// Progress messages a request may lag behind before it is cancelled.
+/// Capacity of the progress channel of a request. The request is cancelled when the channel is full.
 const PROGRESS_BUFFER: usize = 65_536;
 
-/// Lateness of timers that is made up for by the next iterations.
-const MAX_TIMER_DELAY: Duration = Duration::from_millis(20);
+/// Maximum lateness of a timer for which the next iteration starts earlier to compensate.
+const MAX_TIMER_LATENESS: Duration = Duration::from_millis(20);
 
 struct Shared {
     batch: Mutex<Batch>,
@@ -32,7 +32,7 @@
 }
 
 impl Runner {
-    /// An idle batch, advanced by [`run`].
+    /// Creates an idle batch, which [`run`] advances.
     pub fn new(costs: CostModel) -> Self {
         let shared = Arc::new(Shared {
             batch: Mutex::new(Batch::new(costs)),
@@ -42,7 +42,7 @@
         Self { shared }
     }
 
-    /// Drops every request, so that each answer breaks off.
+    /// Cancels every request, which interrupts its answer.
     pub fn crash(&self) {
         let mut listeners = self.shared.listeners.lock();
         let mut batch = self.shared.batch.lock();
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Submits work and returns its progress.
+    /// Submits work and returns the receiver of its progress.
     pub fn submit(&self, work: Work) -> Result<mpsc::Receiver<Progress>, SubmitError> {
         let (sender, receiver) = mpsc::channel(PROGRESS_BUFFER);
-        // Held over both steps, so that no progress is reported before its listener is there.
+        // Locked during both steps, so that no progress is sent before its listener is registered.
         let mut listeners = self.shared.listeners.lock();
         self.shared.batch.lock().submit(work)?;
         listeners.insert(work.id, sender);
@@ -63,55 +63,56 @@
         Ok(receiver)
     }
 
-    /// Cancels a request; false if it had ended before.
+    /// Cancels a request. Returns false if it had already finished.
     pub fn cancel(&self, id: RequestId) -> bool {
         self.shared.batch.lock().cancel(id);
         self.shared.listeners.lock().remove(&id).is_some()
     }
 
-    /// Requests in progress.
-    pub fn requests(&self) -> u32 {
+    /// Returns the number of requests in progress.
+    pub fn request_count(&self) -> u32 {
         u32::try_from(self.shared.batch.lock().len()).unwrap_or(u32::MAX)
     }
 
-    /// Reads the batch.
+    /// Calls `read` with the locked batch.
     pub fn with_batch<R>(&self, read: impl FnOnce(&Batch) -> R) -> R {
         read(&self.shared.batch.lock())
     }
 }
 
-/// Advances the batch for as long as the engine runs. An iteration begins when the one before it
-/// was due to end, so that late timers hold up single tokens and do not slow the engine down.
+/// Advances the batch while the engine runs. An iteration starts at the scheduled end of the previous one, so
+/// that late timers delay single tokens but do not slow the engine down.
 pub(super) async fn run(engine: web::Data<Engine>) {
     let shared = &engine.runner.shared;
-    let mut due = None;
+    let mut previous_end = None;
     loop {
-        while_frozen(&engine).await;
-        let begins = begin_at(due, engine.clock.now());
-        let ends = shared.batch.lock().begin_iteration(begins);
-        due = ends;
-        let Some(ends) = ends else {
+        wait_while_frozen(&engine).await;
+        let start = iteration_start(previous_end, engine.clock.now());
+        let end = shared.batch.lock().begin_iteration(start);
+        previous_end = end;
+        let Some(end) = end else {
             shared.wake.notified().await;
             continue;
         };
-        actix_rt::time::sleep(ends.since(engine.clock.now())).await;
+        actix_rt::time::sleep(end.since(engine.clock.now())).await;
         let progress = shared.batch.lock().finish_iteration();
         for step in progress {
-            shared.report(step);
+            shared.send_progress(step);
         }
     }
 }
 
-/// When an iteration begins: when the one before it was due to end, unless the engine was held up
-/// for longer than timers are late.
-fn begin_at(due: Option<Timestamp>, now: Timestamp) -> Timestamp {
-    due.filter(|due| now.since(*due) <= MAX_TIMER_DELAY)
+/// Returns the start time of an iteration: the scheduled end of the previous one, or `now` if there is none or
+/// it is more than [`MAX_TIMER_LATENESS`] ago.
+fn iteration_start(previous_end: Option<Timestamp>, now: Timestamp) -> Timestamp {
+    previous_end
+        .filter(|previous_end| now.since(*previous_end) <= MAX_TIMER_LATENESS)
         .unwrap_or(now)
 }
 
 impl Shared {
-    /// Sends a request its progress; one that nobody listens to is cancelled.
-    fn report(&self, step: Progress) {
+    /// Sends a request its progress. Cancels the request if its listener is gone or too far behind.
+    fn send_progress(&self, step: Progress) {
         let delivered = {
             let mut listeners = self.listeners.lock();
             let listener = listeners.get(&step.id);
--- a/crates/standin/src/engine/weights.rs
+++ b/crates/standin/src/engine/weights.rs
@@ -1,4 +1,4 @@
-//! The store of model weights: everyone who fetches shares its rate, first come first served.
+//! The store of model weights. All fetches share its bandwidth and are served in order of arrival.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use tansyhall_core::time::MonotonicClock;
 use tansyhall_core::Timestamp;
 
-/// A rate-limited store. Engines of one process may share one; separate processes cannot.
+/// A store with limited bandwidth. Engines in one process may share a store; separate processes cannot.
 #[derive(Debug)]
 pub struct WeightsStore {
     bytes_per_second: u64,
@@ -15,7 +15,7 @@
 }
 
 impl WeightsStore {
-    /// A store that hands out `bytes_per_second` in all.
+    /// Creates a store that serves `bytes_per_second` in total.
     pub fn new(bytes_per_second: u64) -> Self {
         Self {
             bytes_per_second: bytes_per_second.max(1),
@@ -24,13 +24,13 @@
         }
     }
 
-    /// Queues a fetch of `bytes`, and returns how long it takes from now, the wait for those
-    /// before it included.
+    /// Queues a fetch of `bytes` and returns how long it duration from now, including the wait for earlier
+    /// fetches.
     pub fn fetch(&self, bytes: u64) -> Duration {
         let now = self.clock.now();
-        let takes = Duration::from_secs_f64(bytes as f64 / self.bytes_per_second as f64);
+        let duration = Duration::from_secs_f64(bytes as f64 / self.bytes_per_second as f64);
         let mut free_at = self.free_at.lock();
-        *free_at = (*free_at).max(now) + takes;
+        *free_at = (*free_at).max(now) + duration;
         free_at.since(now)
     }
 }
--- a/crates/standin/src/platform/backup.rs
+++ b/crates/standin/src/platform/backup.rs
@@ -1,5 +1,5 @@
-//! A copy of the key space, and the return to it: what was written since is gone, and revisions are given
-//! out again. `POST /standin/backup` takes the copy, `POST /standin/restore` returns to it.
+//! Backup and restore of the key space. `POST /standin/backup` saves a copy and `POST /standin/restore`
+//! restores it: later writes are lost, and their revision numbers are assigned again.
 
 use actix_web::{web, HttpResponse};
 
--- a/crates/standin/src/platform/faults.rs
+++ b/crates/standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Switches that make the platform slow, limited, forgetful or absent.
+//! Fault switches that make the platform slow, rate-limited or unreachable, or lose answers.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 
 use super::Platform;
 
-/// What the switches are set to; `POST /standin/faults` sets all of them at once.
+/// The switch settings; `POST /standin/faults` sets all of them at once.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultSwitches {
-    /// Every call waits until its caller gives up, and watches fall silent.
+    /// Calls are not answered until their callers give up, and watches send no events.
     pub outage: bool,
-    /// Added to each call.
+    /// Delay added to each call, in milliseconds.
     pub delay_millis: u64,
-    /// This many of the next writes take effect and lose their answer.
+    /// The number of next writes that take effect but are not answered.
     pub lose_answers: u32,
-    /// Most calls in a second; zero for no limit.
+    /// Maximum number of calls per second; zero means no limit.
     pub calls_per_second: u32,
 }
 
-/// The switches and the running counts behind them.
+/// The switches and the state that they need.
 #[derive(Debug, Default)]
 pub struct Faults {
     switches: FaultSwitches,
@@ -30,23 +30,23 @@
     calls: u64,
 }
 
-/// What happens to one call.
+/// How one call is handled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallFate {
-    /// It is served after a delay.
+pub enum CallDecision {
+    /// The call is served after a delay.
     Serve(Duration),
-    /// It is refused: too many calls.
-    Limited,
-    /// It is never answered.
-    Silence,
+    /// The call is rejected because it exceeds the rate limit.
+    Reject,
+    /// The call is not answered.
+    NeverAnswer,
 }
 
 impl Faults {
-    /// Decides the fate of a call.
-    pub fn admit(&mut self, now_millis: u64) -> CallFate {
+    /// Counts a call and decides how it is handled.
+    pub fn admit(&mut self, now_millis: u64) -> CallDecision {
         self.calls += 1;
         if self.switches.outage {
-            return CallFate::Silence;
+            return CallDecision::NeverAnswer;
         }
         let window = now_millis / 1_000;
         if window != self.window {
@@ -56,25 +56,25 @@
         self.calls_in_window += 1;
         let limit = self.switches.calls_per_second;
         if limit > 0 && self.calls_in_window > limit {
-            return CallFate::Limited;
+            return CallDecision::Reject;
         }
-        CallFate::Serve(Duration::from_millis(self.switches.delay_millis))
+        CallDecision::Serve(Duration::from_millis(self.switches.delay_millis))
     }
 
-    /// Whether a write that took effect loses its answer.
-    pub fn loses_answer(&mut self) -> bool {
+    /// Returns whether the answer of a write is lost, and counts it against [`FaultSwitches::lose_answers`].
+    pub fn take_lost_answer(&mut self) -> bool {
         let loses = self.switches.lose_answers > 0;
         self.switches.lose_answers = self.switches.lose_answers.saturating_sub(1);
         loses
     }
 
-    /// Whether nothing is answered.
-    pub fn outage(&self) -> bool {
+    /// Returns whether the platform is in an outage.
+    pub fn is_outage(&self) -> bool {
         self.switches.outage
     }
 }
 
-/// What `GET /standin/faults` answers.
+/// The answer to `GET /standin/faults`.
 #[derive(Debug, Serialize)]
 struct FaultReport {
     switches: FaultSwitches,
--- a/crates/standin/src/platform/gateway.rs
+++ b/crates/standin/src/platform/gateway.rs
@@ -1,4 +1,4 @@
-//! The etcd v3 JSON gateway's calls.
+//! The calls of the etcd v3 JSON gateway.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 use serde_json::{json, Value};
 use tokio::sync::watch;
 
-use super::faults::CallFate;
-use super::keyspace::{Change, Condition, Event, Stored};
+use super::faults::CallDecision;
+use super::keyspace::{Change, Condition, Event, StoredValue};
 use super::Platform;
 
-/// Longest silence of an unanswered call; callers give up sooner.
-const SILENCE: Duration = Duration::from_secs(60);
+/// Time after which an unanswered call fails. Callers time out earlier.
+const UNANSWERED_CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 pub(super) fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/v3/kv/range", web::post().to(range))
         .route("/v3/kv/put", web::post().to(put))
         .route("/v3/kv/txn", web::post().to(transact))
-        .route("/v3/lease/grant", web::post().to(lease_grant))
-        .route("/v3/lease/keepalive", web::post().to(lease_keep_alive))
-        .route("/v3/lease/revoke", web::post().to(lease_revoke))
+        .route("/v3/lease/grant", web::post().to(grant_lease))
+        .route("/v3/lease/keepalive", web::post().to(keep_lease_alive))
+        .route("/v3/lease/revoke", web::post().to(revoke_lease))
         .route("/v3/watch", web::post().to(watch_range));
 }
 
@@ -68,26 +68,26 @@
 
 async fn admit(platform: &Platform) -> Result<(), GatewayError> {
     let now = platform.now_millis();
-    let fate = platform.faults.lock().admit(now);
-    match fate {
-        CallFate::Serve(delay) => {
+    let decision = platform.faults.lock().admit(now);
+    match decision {
+        CallDecision::Serve(delay) => {
             if !delay.is_zero() {
                 actix_rt::time::sleep(delay).await;
             }
             Ok(())
         }
-        CallFate::Limited => Err(GatewayError::Limited),
-        CallFate::Silence => {
-            actix_rt::time::sleep(SILENCE).await;
+        CallDecision::Reject => Err(GatewayError::Limited),
+        CallDecision::NeverAnswer => {
+            actix_rt::time::sleep(UNANSWERED_CALL_TIMEOUT).await;
             Err(GatewayError::Unavailable)
         }
     }
 }
 
 async fn answer_write(platform: &Platform, body: Value) -> Result<HttpResponse, GatewayError> {
-    let loses = platform.faults.lock().loses_answer();
-    if loses {
-        actix_rt::time::sleep(SILENCE).await;
+    let is_lost = platform.faults.lock().take_lost_answer();
+    if is_lost {
+        actix_rt::time::sleep(UNANSWERED_CALL_TIMEOUT).await;
         return Err(GatewayError::Unavailable);
     }
     Ok(HttpResponse::Ok().json(body))
@@ -99,7 +99,7 @@
         .map_err(|error| GatewayError::Invalid(error.to_string()))
 }
 
-fn number(value: &Value) -> i64 {
+fn parse_number(value: &Value) -> i64 {
     match value {
         Value::String(text) => text.parse().unwrap_or(0),
         other => other.as_i64().unwrap_or(0),
@@ -110,7 +110,7 @@
     json!({ "cluster_id": "1", "member_id": "1", "revision": revision.to_string() })
 }
 
-fn encode_key_value(key: &[u8], stored: &Stored) -> Value {
+fn encode_key_value(key: &[u8], stored: &StoredValue) -> Value {
     json!({
         "key": STANDARD.encode(key),
         "value": STANDARD.encode(&stored.value),
@@ -161,7 +161,7 @@
         Ok(Change::Put {
             key: decode(&self.key)?,
             value: decode(&self.value)?,
-            lease: number(&self.lease),
+            lease: parse_number(&self.lease),
         })
     }
 }
@@ -192,7 +192,7 @@
 impl CompareRequest {
     fn condition(&self) -> Result<Condition, GatewayError> {
         let key = decode(&self.key)?;
-        let revision = |value: &Value| u64::try_from(number(value)).unwrap_or(0);
+        let revision = |value: &Value| u64::try_from(parse_number(value)).unwrap_or(0);
         match self.target.as_str() {
             "CREATE" => Ok(Condition::Created(key, revision(&self.create_revision))),
             "MOD" => Ok(Condition::Modified(key, revision(&self.mod_revision))),
@@ -261,12 +261,12 @@
     ttl: Value,
 }
 
-async fn lease_grant(
+async fn grant_lease(
     platform: web::Data<Platform>,
     request: web::Json<LeaseRequest>,
 ) -> Result<HttpResponse, GatewayError> {
     admit(&platform).await?;
-    let ttl = number(&request.ttl).max(1);
+    let ttl = parse_number(&request.ttl).max(1);
     let now = platform.now_millis();
     let id = platform.with_keyspace(|keyspace| keyspace.grant(now, ttl));
     answer_write(
@@ -276,12 +276,12 @@
     .await
 }
 
-async fn lease_keep_alive(
+async fn keep_lease_alive(
     platform: web::Data<Platform>,
     request: web::Json<LeaseRequest>,
 ) -> Result<HttpResponse, GatewayError> {
     admit(&platform).await?;
-    let id = number(&request.id);
+    let id = parse_number(&request.id);
     let now = platform.now_millis();
     let ttl = platform
         .with_keyspace(|keyspace| keyspace.keep_alive(now, id))
@@ -290,12 +290,12 @@
     Ok(HttpResponse::Ok().json(json!({ "result": result })))
 }
 
-async fn lease_revoke(
+async fn revoke_lease(
     platform: web::Data<Platform>,
     request: web::Json<LeaseRequest>,
 ) -> Result<HttpResponse, GatewayError> {
     admit(&platform).await?;
-    let id = number(&request.id);
+    let id = parse_number(&request.id);
     if !platform.with_keyspace(|keyspace| keyspace.revoke(id)) {
         return Err(GatewayError::LeaseNotFound);
     }
@@ -330,21 +330,23 @@
 ) -> Result<HttpResponse, GatewayError> {
     admit(&platform).await?;
     let create = &request.create_request;
-    let requested = u64::try_from(number(&create.start_revision)).unwrap_or(0);
-    let present = platform.with_keyspace(|keyspace| keyspace.revision());
+    let requested = u64::try_from(parse_number(&create.start_revision)).unwrap_or(0);
+    let current_revision = platform.with_keyspace(|keyspace| keyspace.revision());
     let state = WatchState {
         changed: platform.changed.subscribe(),
         start: decode(&create.key)?,
         end: decode(&create.range_end)?,
         next_revision: if requested == 0 {
-            present + 1
+            current_revision + 1
         } else {
             requested
         },
         platform,
     };
-    let created = json!({ "result": { "header": header(present), "created": true } });
-    let first = stream::once(std::future::ready(Ok::<_, GatewayError>(line(&created))));
+    let created = json!({ "result": { "header": header(current_revision), "created": true } });
+    let first = stream::once(std::future::ready(Ok::<_, GatewayError>(json_line(
+        &created,
+    ))));
     let events = stream::unfold(state, next_events);
     use futures_util::StreamExt;
     Ok(HttpResponse::Ok().streaming(first.chain(events)))
@@ -353,33 +355,33 @@
 async fn next_events(mut state: WatchState) -> Option<(Result<Bytes, GatewayError>, WatchState)> {
     loop {
         state.changed.borrow_and_update();
-        let outage = state.platform.faults.lock().outage();
-        let (events, present) = state.platform.with_keyspace(|keyspace| {
+        let is_outage = state.platform.faults.lock().is_outage();
+        let (events, current_revision) = state.platform.with_keyspace(|keyspace| {
             let events = keyspace.events(&state.start, &state.end, state.next_revision);
             (events, keyspace.revision())
         });
         match events {
-            Ok(events) if !events.is_empty() && !outage => {
-                state.next_revision = present + 1;
+            Ok(events) if !events.is_empty() && !is_outage => {
+                state.next_revision = current_revision + 1;
                 let events: Vec<Value> = events.iter().map(encode_event).collect();
-                let result = json!({ "header": header(present), "events": events });
-                return Some((Ok(line(&json!({ "result": result }))), state));
+                let result = json!({ "header": header(current_revision), "events": events });
+                return Some((Ok(json_line(&json!({ "result": result }))), state));
             }
             Err(compacted) => {
                 let result = json!({ "canceled": true, "compact_revision": compacted.to_string() });
-                return Some((Ok(line(&json!({ "result": result }))), state));
+                return Some((Ok(json_line(&json!({ "result": result }))), state));
             }
             Ok(_) => {}
         }
-        let wait = actix_rt::time::timeout(OUTAGE_POLL, state.changed.changed()).await;
+        let wait = actix_rt::time::timeout(OUTAGE_POLL_INTERVAL, state.changed.changed()).await;
         if matches!(wait, Ok(Err(_))) {
             return None;
         }
     }
 }
 
-/// How often a silent watch looks whether an outage has ended.
-const OUTAGE_POLL: Duration = Duration::from_millis(200);
+/// How often a watch without new events checks whether an is_outage has ended.
+const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 fn encode_event(event: &Event) -> Value {
     match &event.stored {
@@ -391,7 +393,7 @@
     }
 }
 
-fn line(value: &Value) -> Bytes {
+fn json_line(value: &Value) -> Bytes {
     let mut text = value.to_string();
     text.push('\n');
     Bytes::from(text)
--- a/crates/standin/src/platform/keyspace.rs
+++ b/crates/standin/src/platform/keyspace.rs
@@ -1,22 +1,22 @@
-//! Keys with revisions, leases and a bounded history of events for watches.
+//! Key-value store with revisions, leases and a bounded history of events for watches.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// Events kept for watches that start in the past.
-const HISTORY: usize = 10_000;
+/// Maximum number of past events, which watches with an earlier start revision read.
+const MAX_HISTORY_EVENTS: usize = 10_000;
 
-/// A stored key.
+/// The value of a key with its metadata.
 #[derive(Debug, Clone)]
-pub struct Stored {
+pub struct StoredValue {
     /// The value.
     pub value: Vec<u8>,
-    /// Revision at creation.
+    /// Revision at which the key was created.
     pub created: u64,
-    /// Revision at the last change.
+    /// Revision of the last change.
     pub modified: u64,
-    /// Changes since creation.
+    /// Number of writes since the creation, including it.
     pub version: u64,
-    /// The lease it vanishes with; zero for none.
+    /// The lease whose end deletes the key; zero means none.
     pub lease: i64,
 }
 
@@ -25,55 +25,55 @@
 pub struct Event {
     /// The key.
     pub key: Vec<u8>,
-    /// The new state; `None` for a deletion.
-    pub stored: Option<Stored>,
-    /// When.
+    /// The new value; `None` for a deletion.
+    pub stored: Option<StoredValue>,
+    /// The revision of the change.
     pub revision: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     ttl_seconds: i64,
-    expires_millis: u64,
+    expires_at_millis: u64,
 }
 
 /// A condition on one key.
 #[derive(Debug, Clone)]
 pub enum Condition {
-    /// The creation revision equals this; zero for an absent key.
+    /// The creation revision of the key equals this; zero means that the key does not exist.
     Created(Vec<u8>, u64),
-    /// The modification revision equals this; zero for an absent key.
+    /// The modification revision of the key equals this; zero means that the key does not exist.
     Modified(Vec<u8>, u64),
 }
 
 /// A change to one key.
 #[derive(Debug, Clone)]
 pub enum Change {
-    /// Write.
+    /// Writes a key.
     Put {
         /// The key.
         key: Vec<u8>,
         /// The value.
         value: Vec<u8>,
-        /// The lease; zero for none.
+        /// The lease; zero means none.
         lease: i64,
     },
-    /// Delete.
+    /// Deletes a key.
     Delete {
         /// The key.
         key: Vec<u8>,
     },
 }
 
-/// The whole key space.
+/// All keys and leases.
 #[derive(Debug, Clone, Default)]
 pub struct Keyspace {
-    keys: BTreeMap<Vec<u8>, Stored>,
+    keys: BTreeMap<Vec<u8>, StoredValue>,
     leases: HashMap<i64, Lease>,
     next_lease: i64,
     revision: u64,
     history: VecDeque<Event>,
-    compacted: u64,
+    compacted_revision: u64,
 }
 
 /// The named lease does not exist.
@@ -81,20 +81,20 @@
 pub struct LeaseNotFound;
 
 impl Keyspace {
-    /// The present revision.
+    /// Returns the current revision.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Keys from `start` up to but not including `end`; `end` empty means `start` alone.
-    pub fn range(&self, start: &[u8], end: &[u8]) -> Vec<(&Vec<u8>, &Stored)> {
+    /// Returns the keys from `start` up to but not including `end`. An empty `end` selects `start` alone.
+    pub fn range(&self, start: &[u8], end: &[u8]) -> Vec<(&Vec<u8>, &StoredValue)> {
         let matching = self.keys.range(start.to_vec()..);
         matching
             .take_while(|(key, _)| in_range(key, start, end))
             .collect()
     }
 
-    /// Runs the changes at one revision if every condition holds.
+    /// Applies the changes at one revision if every condition holds. Returns whether they all hold.
     pub fn transact(
         &mut self,
         conditions: &[Condition],
@@ -103,36 +103,36 @@
         if !conditions.iter().all(|condition| self.holds(condition)) {
             return Ok(false);
         }
-        let lease_known = |change: &Change| match change {
+        let lease_exists = |change: &Change| match change {
             Change::Put { lease, .. } => *lease == 0 || self.leases.contains_key(lease),
             Change::Delete { .. } => true,
         };
-        if !changes.iter().all(lease_known) {
+        if !changes.iter().all(lease_exists) {
             return Err(LeaseNotFound);
         }
         self.apply(changes);
         Ok(true)
     }
 
-    /// Creates a lease.
+    /// Creates a lease and returns its id.
     pub fn grant(&mut self, now_millis: u64, ttl_seconds: i64) -> i64 {
         self.next_lease += 1;
         let lease = Lease {
             ttl_seconds,
-            expires_millis: expiry(now_millis, ttl_seconds),
+            expires_at_millis: expiry_millis(now_millis, ttl_seconds),
         };
         self.leases.insert(self.next_lease, lease);
         self.next_lease
     }
 
-    /// Renews a lease; returns its time to live, or `None` if it is gone.
+    /// Renews a lease. Returns its time to live in seconds, or `None` if it does not exist.
     pub fn keep_alive(&mut self, now_millis: u64, id: i64) -> Option<i64> {
         let lease = self.leases.get_mut(&id)?;
-        lease.expires_millis = expiry(now_millis, lease.ttl_seconds);
+        lease.expires_at_millis = expiry_millis(now_millis, lease.ttl_seconds);
         Some(lease.ttl_seconds)
     }
 
-    /// Ends a lease and deletes its keys.
+    /// Ends a lease and deletes its keys. Returns whether the lease existed.
     pub fn revoke(&mut self, id: i64) -> bool {
         if self.leases.remove(&id).is_none() {
             return false;
@@ -145,25 +145,27 @@
         true
     }
 
-    /// Ends every lease whose time has passed.
+    /// Ends every lease that has expired.
     pub fn expire_leases(&mut self, now_millis: u64) {
-        let lapsed = self
+        let expired = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.expires_millis <= now_millis);
-        let lapsed: Vec<i64> = lapsed.map(|(id, _)| *id).collect();
-        for id in lapsed {
+            .filter(|(_, lease)| lease.expires_at_millis <= now_millis);
+        let expired: Vec<i64> = expired.map(|(id, _)| *id).collect();
+        for id in expired {
             self.revoke(id);
         }
     }
 
-    /// Events in the key range from a revision on; `Err` holds the compaction revision.
+    /// Returns the events in the key range from revision `from` on, or the compaction revision as an error if
+    /// `from` has been compacted_revision.
     pub fn events(&self, start: &[u8], end: &[u8], from: u64) -> Result<Vec<Event>, u64> {
-        if from <= self.compacted {
-            return Err(self.compacted);
+        if from <= self.compacted_revision {
+            return Err(self.compacted_revision);
         }
-        let wanted = |event: &&Event| event.revision >= from && in_range(&event.key, start, end);
-        Ok(self.history.iter().filter(wanted).cloned().collect())
+        let is_requested =
+            |event: &&Event| event.revision >= from && in_range(&event.key, start, end);
+        Ok(self.history.iter().filter(is_requested).cloned().collect())
     }
 
     fn holds(&self, condition: &Condition) -> bool {
@@ -203,12 +205,12 @@
         }
     }
 
-    fn put(&mut self, key: &[u8], value: Vec<u8>, lease: i64) -> Stored {
+    fn put(&mut self, key: &[u8], value: Vec<u8>, lease: i64) -> StoredValue {
         let revision = self.revision;
         let previous = self.keys.get(key);
         let created = previous.map_or(revision, |stored| stored.created);
         let version = previous.map_or(1, |stored| stored.version + 1);
-        let stored = Stored {
+        let stored = StoredValue {
             value,
             created,
             modified: revision,
@@ -221,15 +223,15 @@
 
     fn record(&mut self, event: Event) {
         self.history.push_back(event);
-        if self.history.len() > HISTORY {
+        if self.history.len() > MAX_HISTORY_EVENTS {
             if let Some(dropped) = self.history.pop_front() {
-                self.compacted = dropped.revision;
+                self.compacted_revision = dropped.revision;
             }
         }
     }
 }
 
-fn expiry(now_millis: u64, ttl_seconds: i64) -> u64 {
+fn expiry_millis(now_millis: u64, ttl_seconds: i64) -> u64 {
     now_millis + u64::try_from(ttl_seconds).unwrap_or(0) * 1_000
 }
 
--- a/crates/standin/src/platform/machines.rs
+++ b/crates/standin/src/platform/machines.rs
@@ -1,14 +1,14 @@
-//! The list of machines. Changes show after a lag, as on the real platform.
+//! The list of machines. Changes become visible after a delay, as on the real platform.
 
 use actix_web::{web, HttpResponse};
 use tansyhall_store::machines::{Machine, MACHINES_PATH};
 
 use super::Platform;
 
-/// How long a change takes to show, in milliseconds.
-const LAG_MILLIS: u64 = 500;
+/// Delay until a change becomes visible, in milliseconds.
+const VISIBILITY_DELAY_MILLIS: u64 = 500;
 
-/// The list, with the changes that do not show yet.
+/// The visible list and the changes that are not visible yet.
 #[derive(Debug, Default)]
 pub struct Machines {
     visible: Vec<Machine>,
@@ -17,14 +17,15 @@
 
 impl Machines {
     fn replace(&mut self, now_millis: u64, machines: Vec<Machine>) {
-        self.pending.push((now_millis + LAG_MILLIS, machines));
+        self.pending
+            .push((now_millis + VISIBILITY_DELAY_MILLIS, machines));
     }
 
     fn visible(&mut self, now_millis: u64) -> &[Machine] {
         while self
             .pending
             .first()
-            .is_some_and(|(shows, _)| *shows <= now_millis)
+            .is_some_and(|(visible_at, _)| *visible_at <= now_millis)
         {
             self.visible = self.pending.remove(0).1;
         }
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's stand-in: a key-value service behind the etcd v3 JSON gateway, and the list of
-//! machines.
+//! Stand-in for the platform: a key-value store with the API of the etcd v3 JSON gateway, and the list
+//! of machines.
 
 mod backup;
 mod faults;
@@ -19,7 +19,7 @@
 pub use faults::{FaultSwitches, Faults};
 pub use keyspace::Keyspace;
 
-/// State shared by the stand-in's handlers.
+/// State shared by the handlers of the stand-in.
 pub struct Platform {
     keyspace: Mutex<Keyspace>,
     backup: Mutex<Option<Keyspace>>,
@@ -47,7 +47,8 @@
         u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Runs `access` on the key space after lapsed leases were removed, then wakes watches.
+    /// Removes expired leases, calls `access` with the key space, and then wakes the watches if the revision
+    /// changed.
     fn with_keyspace<R>(&self, access: impl FnOnce(&mut Keyspace) -> R) -> R {
         let now = self.now_millis();
         let mut keyspace = self.keyspace.lock();
@@ -55,20 +56,21 @@
         let result = access(&mut keyspace);
         let revision = keyspace.revision();
         drop(keyspace);
-        self.changed
-            .send_if_modified(|seen| std::mem::replace(seen, revision) != revision);
+        self.changed.send_if_modified(|last_revision| {
+            std::mem::replace(last_revision, revision) != revision
+        });
         result
     }
 }
 
-/// Serves the platform on a listener.
+/// Starts the platform on a listener.
 pub fn serve(listener: TcpListener) -> std::io::Result<Server> {
     let platform = Arc::new(Platform::default());
-    let expiry = Rc::new(Arc::clone(&platform));
+    let expiry_platform = Rc::new(Arc::clone(&platform));
     actix_rt::spawn(async move {
         loop {
-            actix_rt::time::sleep(LEASE_EXPIRY_PERIOD).await;
-            expiry.with_keyspace(|_| ());
+            actix_rt::time::sleep(LEASE_EXPIRY_INTERVAL).await;
+            expiry_platform.with_keyspace(|_| ());
         }
     });
     let server = HttpServer::new(move || {
@@ -83,5 +85,5 @@
     Ok(server.workers(1).disable_signals().listen(listener)?.run())
 }
 
-const LEASE_EXPIRY_PERIOD: std::time::Duration = std::time::Duration::from_millis(50);
+const LEASE_EXPIRY_INTERVAL: std::time::Duration = std::time::Duration::from_millis(50);
 const MAX_BODY_BYTES: usize = 16 << 20;
--- a/crates/standin/tests/engine_protocol.rs
+++ b/crates/standin/tests/engine_protocol.rs
@@ -1,5 +1,5 @@
-//! The engine stand-in's protocol: lagging load reports, cache events with gaps, KV export and
-//! import, crashes halfway through an order, and the store of weights.
+//! Tests of the engine stand-in: delayed load reports, cache events with gaps, KV cache export and import,
+//! crashes halfway through an order, and the weight store.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use tansyhall_standin::engine::{self, EngineOptions, Weights, WeightsStore};
 use tansyhall_testing::eventually;
 
-/// Words in a prompt: four blocks of the prefix cache.
+/// Number of words in a prompt, which fill four blocks of the prefix cache.
 const PROMPT_TOKENS: usize = 64;
 
-fn start(costs: CostModel) -> SocketAddr {
+fn start_engine(costs: CostModel) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     let options = EngineOptions {
@@ -58,12 +58,21 @@
     }
 }
 
-/// Runs a request to its first token and returns its stream and its cached tokens.
+/// Runs a request up to its first token. Returns the stream and the number of cached tokens.
 async fn first_token(engine: SocketAddr, request: &EngineRequest) -> (EngineStream, u32) {
     let stream = client().complete(engine, request).await;
     let mut stream = stream.expect("the engine accepts");
-    let chunk = stream.next().await.expect("a chunk").expect("not the end");
-    (stream, chunk.cached_tokens.expect("on the first chunk"))
+    let chunk = stream
+        .next()
+        .await
+        .expect("a chunk")
+        .expect("not the end of the stream");
+    (
+        stream,
+        chunk
+            .cached_tokens
+            .expect("the first chunk has cached_tokens"),
+    )
 }
 
 async fn order(engine: SocketAddr, id: &str, action: OrderAction) -> OrderReply {
@@ -78,9 +87,9 @@
 }
 
 #[actix_rt::test]
-async fn load_reports_lag_and_tell_their_age() {
-    let engine = start(CostModel::default());
-    // Older than the engine itself: the oldest sample is told, from before any work.
+async fn delayed_load_reports_contain_their_age() {
+    let engine = start_engine(CostModel::default());
+    // The lag exceeds the uptime of the engine, so it reports its oldest sample, from before any work.
     set_faults(engine, json!({ "load_lag_ms": 600_000 })).await;
     eventually("a load report", || async {
         let report = client().load(engine).await.ok()?;
@@ -103,8 +112,8 @@
 }
 
 #[actix_rt::test]
-async fn cached_prefixes_are_told_by_events_in_sequence() {
-    let engine = start(CostModel::default());
+async fn cached_prefixes_are_published_as_events_in_sequence() {
+    let engine = start_engine(CostModel::default());
     let (_first, cached) = first_token(engine, &request(1, "rice", 2)).await;
     assert_eq!(cached, 0);
     let (_second, cached) = first_token(engine, &request(2, "rice", 2)).await;
@@ -123,16 +132,16 @@
 
     set_faults(engine, json!({ "cache_event_lag_ms": 600_000 })).await;
     let late = client().cache_events(engine, 0).await.expect("events");
-    assert_eq!(late.events, [], "late events are not told yet");
+    assert_eq!(late.events, [], "delayed events are not published yet");
 }
 
 #[actix_rt::test]
-async fn a_full_cache_evicts_and_says_so() {
+async fn a_full_cache_publishes_its_evictions() {
     let costs = CostModel {
         kv_capacity_tokens: PROMPT_TOKENS as u64 + 16,
         ..CostModel::default()
     };
-    let engine = start(costs);
+    let engine = start_engine(costs);
     for (id, word) in [(1, "rice"), (2, "lentils")] {
         let (mut stream, _) = first_token(engine, &request(id, word, 2)).await;
         while stream.next().await.expect("a chunk").is_some() {}
@@ -151,8 +160,11 @@
 }
 
 #[actix_rt::test]
-async fn a_kv_cache_moves_from_engine_to_engine() {
-    let engines = [start(CostModel::default()), start(CostModel::default())];
+async fn an_engine_imports_the_kv_cache_of_another_engine() {
+    let engines = [
+        start_engine(CostModel::default()),
+        start_engine(CostModel::default()),
+    ];
     let (_stream, _) = first_token(engines[0], &request(1, "rice", 2)).await;
     let export = KvExport {
         request_id: RequestId(1).to_string(),
@@ -188,7 +200,7 @@
 
 #[actix_rt::test]
 async fn a_crash_halfway_through_an_order_shows_as_a_new_incarnation() {
-    let engine = start(CostModel::default());
+    let engine = start_engine(CostModel::default());
     let before = client().state(engine).await.expect("a state");
     set_faults(engine, json!({ "crash_halfway": true })).await;
     let change = OrderAction::SetRole { role: Role::Decode };
@@ -201,7 +213,7 @@
         (state.incarnation > before.incarnation).then_some(state)
     })
     .await;
-    assert_eq!(after.role, Role::Mixed, "the change was lost");
+    assert_eq!(after.role, Role::Mixed, "the role change was lost");
     assert_eq!((after.active_order, after.last_order), (None, None));
     let stale = Order {
         order_id: "b".to_owned(),
@@ -220,7 +232,7 @@
 }
 
 #[test]
-fn fetches_of_weights_share_the_stores_rate() {
+fn weight_fetches_share_the_bandwidth_of_the_store() {
     let store = WeightsStore::new(1_000);
     let first = store.fetch(1_000_000);
     let second = store.fetch(1_000_000);
--- a/crates/testing/src/completion.rs
+++ b/crates/testing/src/completion.rs
@@ -1,4 +1,4 @@
-//! A caller of streamed completions.
+//! Client for streamed completions.
 
 use std::net::SocketAddr;
 
@@ -6,53 +6,56 @@
 use serde_json::{json, Value};
 use tansyhall_engine::sse::SseDecoder;
 
-/// What a test asks for.
+/// A streamed completion request.
 #[derive(Debug, Clone, Copy)]
 pub struct StreamRequest<'a> {
     /// The model.
     pub model: &'a str,
     /// The prompt.
     pub prompt: &'a str,
-    /// Tokens of the answer.
+    /// Number of tokens to generate.
     pub tokens: u32,
-    /// Whether the request may be attempted again after it may have run.
+    /// Whether the request may be retried after an attempt that may have run.
     pub repeatable: bool,
 }
 
-/// What came of it.
+/// The result of a streamed completion.
 #[derive(Debug, Default)]
 pub struct StreamOutcome {
-    /// The text of the answer.
+    /// The generated text.
     pub text: String,
-    /// The verdict's name.
+    /// The name of the verdict, if the stream contained one.
     pub verdict: Option<String>,
 }
 
-/// Asks a node for a streamed completion; `on_text` is called once, after the first text. Fails the
-/// test if the stream is cut or holds no text.
+/// Requests a streamed completion from a node and reads it to its end. Calls `on_text` once, after the
+/// first text. Panics if the stream is interrupted or contains no text.
 pub async fn stream_completion(
     node: SocketAddr,
-    asked: &StreamRequest<'_>,
+    stream_request: &StreamRequest<'_>,
     on_text: impl AsyncFnOnce(),
 ) -> StreamOutcome {
     let body = json!({
-        "model": asked.model, "stream": true, "max_tokens": asked.tokens, "prompt": asked.prompt,
+        "model": stream_request.model, "stream": true, "max_tokens": stream_request.tokens, "prompt": stream_request.prompt,
     });
     let client = awc::Client::builder().disable_timeout().finish();
     let request = client
         .post(format!("http://{node}/v1/completions"))
-        .insert_header(("tansyhall-not-repeatable", (!asked.repeatable).to_string()));
+        .insert_header((
+            "tansyhall-not-repeatable",
+            (!stream_request.repeatable).to_string(),
+        ));
     let mut response = request.send_json(&body).await.expect("an answer");
     assert_eq!(response.status(), 200);
     let mut decoder = SseDecoder::default();
     let mut outcome = StreamOutcome::default();
     let mut on_text = Some(on_text);
     while let Some(bytes) = response.next().await {
-        let bytes = bytes.expect("the stream is not cut");
+        let bytes = bytes.expect("the stream is not interrupted");
         for data in decoder.push(&bytes).expect("an event stream") {
-            take_event(&mut outcome, &data);
+            apply_event(&mut outcome, &data);
         }
-        // The first bytes may be a comment.
+        // The first bytes may be an SSE comment without text.
         if outcome.text.is_empty() {
             continue;
         }
@@ -60,11 +63,11 @@
             on_text().await;
         }
     }
-    assert!(on_text.is_none(), "some text came");
+    assert!(on_text.is_none(), "the stream contains text");
     outcome
 }
 
-fn take_event(outcome: &mut StreamOutcome, data: &str) {
+fn apply_event(outcome: &mut StreamOutcome, data: &str) {
     let event: Value = serde_json::from_str(data).unwrap_or_default();
     let text = event["choices"][0]["text"].as_str();
     outcome.text.push_str(text.unwrap_or(""));
--- a/crates/testing/src/fleet.rs
+++ b/crates/testing/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Several nodes as separate processes that know each other.
+//! A cluster of nodes that run as separate processes.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -10,117 +10,119 @@
     NodeProcess, Standin,
 };
 
-/// The zone of nodes for which no other is given.
-const ZONE: &str = "kalimati";
-/// The gauge of members by state; the label follows.
-const MEMBERS: &str = "tansyhall_members";
-/// The gauge of the revision in force.
-const REVISION: &str = "tansyhall_configuration_revision";
+/// The zone of nodes that are started without a zone.
+const DEFAULT_ZONE: &str = "kalimati";
+/// Gauge of members by state, without its label.
+const MEMBERS_METRIC: &str = "tansyhall_members";
+/// Gauge of the configuration revision in force.
+const REVISION_METRIC: &str = "tansyhall_configuration_revision";
 
-/// What is to be started as one node.
+/// Start options of one node.
 #[derive(Debug, Clone, Copy)]
 pub struct NodePlan {
-    /// Its zone.
+    /// The zone of the node.
     pub zone: &'static str,
-    /// Where it reaches the platform.
+    /// The address at which the node reaches the platform.
     pub platform: SocketAddr,
 }
 
-/// A platform stand-in and nodes. Every node knows the first two as contacts.
+/// A platform stand-in and nodes. Every node has the first two nodes as seeds.
 pub struct Fleet {
-    /// Its name, which no other fleet of a test has.
+    /// The name of the fleet, which is unique among the fleets of all test processes.
     name: String,
-    /// The nodes, by index. They end before the platform: its port may be another process's at once,
-    /// which would get their calls.
+    /// The nodes, by index. They are dropped before the platform: as soon as the platform ends, another
+    /// process may bind its port and would receive the calls of nodes that still run.
     pub nodes: Vec<NodeProcess>,
-    /// The platform.
+    /// The platform stand-in.
     pub platform: Standin,
     directory: TempDir,
     peers: Vec<SocketAddr>,
-    plans: Vec<NodePlan>,
+    node_options: Vec<NodePlan>,
 }
 
-/// Fleets started so far by this process.
-static FLEETS: AtomicU32 = AtomicU32::new(0);
+/// Number of fleets that this process has started.
+static STARTED_FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// Nodes that each node is told of.
-const SEEDS: usize = 2;
+/// Maximum number of seed addresses in the settings of each node.
+const MAX_SEEDS: usize = 2;
 
 impl Fleet {
-    /// Starts this many nodes of one zone and waits until they know each other.
+    /// Starts `size` nodes in one zone and waits until each sees all others as alive.
     pub async fn start(size: usize) -> Self {
         let platform = standin(&["platform"]);
         let plan = NodePlan {
-            zone: ZONE,
+            zone: DEFAULT_ZONE,
             platform: platform.address,
         };
         Self::start_planned(platform, vec![plan; size]).await
     }
 
-    /// Starts nodes and waits until those of each zone know each other.
-    pub async fn start_planned(platform: Standin, plans: Vec<NodePlan>) -> Self {
-        let peers = plans.iter().map(|_| free_peer_address()).collect();
-        Self::start_at(platform, plans, peers).await
+    /// Starts one node for each element of the list and waits until each sees all nodes of its zone as alive.
+    pub async fn start_planned(platform: Standin, node_options: Vec<NodePlan>) -> Self {
+        let peers = node_options.iter().map(|_| free_peer_address()).collect();
+        Self::start_at(platform, node_options, peers).await
     }
 
-    /// Starts nodes that others reach at these addresses, one for each plan, and waits until those
-    /// of each zone know each other.
-    pub async fn start_at(platform: Standin, plans: Vec<NodePlan>, peers: Vec<SocketAddr>) -> Self {
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+    /// Starts one node for each element of the list with the peer address at the same index of `peers`,
+    /// and waits until each node sees all nodes of its zone as alive.
+    pub async fn start_at(
+        platform: Standin,
+        node_options: Vec<NodePlan>,
+        peers: Vec<SocketAddr>,
+    ) -> Self {
+        let number = STARTED_FLEETS.fetch_add(1, Ordering::Relaxed);
         let mut fleet = Self {
             name: format!("fleet-{}-{number}", std::process::id()),
             platform,
             nodes: Vec::new(),
-            directory: tempfile::tempdir().expect("a directory"),
+            directory: tempfile::tempdir().expect("a temporary directory is created"),
             peers,
-            plans,
+            node_options,
         };
-        for index in 0..fleet.plans.len() {
-            let node = fleet.process(index);
+        for index in 0..fleet.node_options.len() {
+            let node = fleet.spawn_node(index);
             fleet.nodes.push(node);
         }
-        for (index, plan) in fleet.plans.iter().enumerate() {
-            let neighbours = fleet.plans.iter().filter(|it| it.zone == plan.zone);
-            fleet
-                .await_members(index, "alive", neighbours.count())
-                .await;
+        for (index, plan) in fleet.node_options.iter().enumerate() {
+            let same_zone = fleet.node_options.iter().filter(|it| it.zone == plan.zone);
+            fleet.await_members(index, "alive", same_zone.count()).await;
         }
         fleet
     }
 
-    fn process(&self, index: usize) -> NodeProcess {
+    fn spawn_node(&self, index: usize) -> NodeProcess {
         let name = format!("node-{index}");
-        let seeds = &self.peers[..SEEDS.min(self.peers.len())];
-        let NodePlan { zone, platform } = self.plans[index];
+        let seeds = &self.peers[..MAX_SEEDS.min(self.peers.len())];
+        let NodePlan { zone, platform } = self.node_options[index];
         let peers = self.peers[index];
         let settings = peer_node_settings(&self.name, &name, zone, platform, peers, seeds);
         node(self.directory.path(), &name, &settings)
     }
 
-    /// Kills a node's process and starts a new one with the same name and peer address.
+    /// Kills the process of a node and starts a new one with the same name and peer address.
     pub fn restart(&mut self, index: usize) {
         self.kill(index);
-        self.nodes[index] = self.process(index);
+        self.nodes[index] = self.spawn_node(index);
     }
 
-    /// Kills a node's process and waits until it has ended.
+    /// Kills the process of a node and waits until it has exited.
     pub fn kill(&mut self, index: usize) {
         let child = &mut self.nodes[index].process.child;
         child.kill().expect("the process is killed");
-        child.wait().expect("the process ends");
+        child.wait().expect("the process exits");
     }
 
-    /// Where other nodes reach a node.
+    /// Returns the address at which other nodes reach a node.
     pub fn peers(&self, index: usize) -> SocketAddr {
         self.peers[index]
     }
 
-    /// Where operators reach a node.
+    /// Returns the administration address of a node.
     pub fn admin(&self, index: usize) -> SocketAddr {
         self.nodes[index].admin
     }
 
-    /// Applies a configuration with one site of this name, through a node.
+    /// Applies a configuration with one site called `name` through a node.
     pub fn apply_site(&self, index: usize, name: &str) {
         let text =
             format!("[[site]]\nname = '{name}'\nregion = 'valley'\nzones = ['{name}-zone']\n");
@@ -136,7 +138,8 @@
         ]);
     }
 
-    /// Applies a site through the first node, and returns the revision that every node then has in force.
+    /// Applies a site through the first node, waits until every node has the new revision in force, and
+    /// returns that revision.
     pub async fn apply_everywhere(&self, name: &str) -> u64 {
         let before = self.revision(0).await.unwrap_or(0);
         self.apply_site(0, name);
@@ -148,50 +151,52 @@
         revision
     }
 
-    /// Sets the platform stand-in's fault switches.
+    /// Sets the fault switches of the platform stand-in.
     pub async fn set_faults(&self, switches: serde_json::Value) {
         self.platform.set_faults(switches).await;
     }
 
-    /// Copies what the platform stand-in's store holds.
+    /// Saves a copy of the platform stand-in's store.
     pub async fn back_up_store(&self) {
         self.platform.command("backup").await;
     }
 
-    /// Returns the platform stand-in's store to its copy: what was written since is gone.
+    /// Restores the platform stand-in's store from the saved copy; later writes are lost.
     pub async fn restore_store(&self) {
         self.platform.command("restore").await;
     }
 
-    /// Replaces the platform stand-in's list of machines; it shows after the stand-in's lag.
+    /// Replaces the machine list of the platform stand-in. The stand-in publishes the new list after a
+    /// delay.
     pub async fn list_machines(&self, machines: serde_json::Value) {
         let url = format!("http://{}/standin/machines", self.platform.address);
         let answer = awc::Client::default().put(url).send_json(&machines).await;
         assert!(answer.expect("an answer").status().is_success());
     }
 
-    /// Members in a state, as a node counts them.
+    /// Returns the number of members that a node sees in a state.
     pub async fn members(&self, index: usize, state: &str) -> Option<usize> {
-        let name = format!("{MEMBERS}{{state=\"{state}\"}}");
+        let name = format!("{MEMBERS_METRIC}{{state=\"{state}\"}}");
         let count = get_metric(self.admin(index), &name).await?;
         Some(count as usize)
     }
 
-    /// Waits until a node counts this many members in a state.
+    /// Waits until a node sees `count` members in a state.
     pub async fn await_members(&self, index: usize, state: &str, count: usize) {
-        eventually(&format!("node {index} sees {count} {state}"), || async {
-            (self.members(index, state).await? == count).then_some(())
-        })
+        eventually(
+            &format!("node {index} sees {count} members in state {state}"),
+            || async { (self.members(index, state).await? == count).then_some(()) },
+        )
         .await;
     }
 
-    /// The revision that a node has in force; zero for none.
+    /// Returns the configuration revision that a node has in force; zero means none.
     pub async fn revision(&self, index: usize) -> Option<u64> {
-        let revision = get_metric(self.admin(index), REVISION).await?;
+        let revision = get_metric(self.admin(index), REVISION_METRIC).await?;
         Some(revision as u64)
     }
 
-    /// Waits until a node has this revision, or a newer one, in force.
+    /// Waits until a node has this configuration revision or a later one in force.
     pub async fn await_revision(&self, index: usize, revision: u64) {
         let what = format!("node {index} has revision {revision} in force");
         eventually(&what, || async {
@@ -200,7 +205,7 @@
         .await;
     }
 
-    /// Nodes that follow the configuration store.
+    /// Returns the number of nodes that follow the configuration store.
     pub async fn followers(&self) -> usize {
         let mut followers = 0;
         for index in 0..self.nodes.len() {
--- a/crates/testing/src/gateway.rs
+++ b/crates/testing/src/gateway.rs
@@ -1,27 +1,27 @@
-//! Gateways as separate processes.
+//! Gateways that run as separate processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use crate::{free_peer_address, program, Process};
+use crate::{free_peer_address, program_path, Process};
 
-/// The addresses of a gateway.
+/// The addresses at which a gateway listens.
 #[derive(Debug, Clone, Copy)]
 pub struct GatewayAddresses {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Health checks.
+    /// Address for health checks.
     pub ready: SocketAddr,
-    /// Other gateways.
+    /// Address for other gateways.
     pub peers: SocketAddr,
-    /// Reports of load.
+    /// Address for load reports.
     pub load: SocketAddr,
-    /// Metrics.
+    /// Address for metrics.
     pub metrics: SocketAddr,
 }
 
 impl GatewayAddresses {
-    /// Free addresses on loopback.
+    /// Returns free loopback addresses.
     pub fn free() -> Self {
         Self {
             callers: free_peer_address(),
@@ -34,7 +34,8 @@
 }
 
 impl GatewayAddresses {
-    /// Whether another process listens at one of them: it took the port between the look at it and its use.
+    /// Returns whether another process listens at one of the addresses. It can bind a port after the
+    /// port was found free and before the gateway binds it.
     pub fn is_any_taken(&self) -> bool {
         let all = [self.callers, self.ready, self.peers, self.metrics];
         let mut all = all.into_iter();
@@ -46,23 +47,30 @@
 pub struct GatewayProcess {
     /// The process.
     pub process: Process,
-    /// Its addresses.
+    /// The addresses at which it listens.
     pub addresses: GatewayAddresses,
-    /// Its settings file.
+    /// The path of its settings file.
     pub settings: PathBuf,
 }
 
-/// Starts a gateway with these settings, which name these addresses.
+/// Starts a gateway. `settings` must contain `addresses`.
 pub fn gateway(
     directory: &Path,
     name: &str,
     settings: &str,
     addresses: GatewayAddresses,
 ) -> GatewayProcess {
-    gateway_of(program("tansyhall"), directory, name, settings, addresses)
+    gateway_of(
+        program_path("tansyhall"),
+        directory,
+        name,
+        settings,
+        addresses,
+    )
 }
 
-/// The same with the program of another build.
+/// Starts a gateway from the program at this path, such as one of another build. `settings` must contain
+/// `addresses`.
 pub fn gateway_of(
     program: PathBuf,
     directory: &Path,
@@ -71,7 +79,7 @@
     addresses: GatewayAddresses,
 ) -> GatewayProcess {
     let file = directory.join(format!("{name}.toml"));
-    std::fs::write(&file, settings).expect("the settings are written");
+    std::fs::write(&file, settings).expect("the settings file is written");
     let path = file.to_str().expect("a UTF-8 path");
     let process = Process::spawn(program, &["gateway", "--settings", path]);
     GatewayProcess {
--- a/crates/testing/src/lib.rs
+++ b/crates/testing/src/lib.rs
@@ -1,4 +1,4 @@
-//! Runs the built programs as separate processes on loopback, and stops them when a test ends.
+//! Runs the built programs as separate processes on loopback and kills them when a test ends.
 
 #![forbid(unsafe_code)]
 
@@ -24,20 +24,20 @@
 
 pub use completion::{stream_completion, StreamOutcome, StreamRequest};
 
-/// Bearer token of the operator account in [`node_settings`].
+/// Bearer token of the operator account in the settings from [`node_settings`].
 pub const TOKEN: &str = "secret";
 /// SHA-256 of [`TOKEN`].
 const TOKEN_SHA256: &str = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
-/// Longest wait for a condition; reached only when the test fails.
+/// Maximum time to wait for a condition. A wait that reaches it fails the test.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A process that is killed when the test ends.
 pub struct Process {
     /// The process.
     pub child: Child,
-    /// Its standard output after the first line, which nobody reads.
-    unread: Option<BufReader<std::process::ChildStdout>>,
-    /// The first line it printed.
+    /// The unread_stdout rest of its standard output, after the first line.
+    unread_stdout: Option<BufReader<std::process::ChildStdout>>,
+    /// The first line of its standard output.
     pub first_line: String,
 }
 
@@ -57,14 +57,14 @@
         Self {
             child,
             first_line,
-            unread: Some(output),
+            unread_stdout: Some(output),
         }
     }
 
-    /// Everything that it prints after its first line, once it has ended.
+    /// Reads standard output after the first line until the process closes it.
     pub fn output_to_end(&mut self) -> String {
         let mut text = String::new();
-        if let Some(mut output) = self.unread.take() {
+        if let Some(mut output) = self.unread_stdout.take() {
             output
                 .read_to_string(&mut text)
                 .expect("the process prints UTF-8");
@@ -72,19 +72,20 @@
         text
     }
 
-    /// Appends what it prints after its first line to a file, until it ends.
+    /// Appends the first line of standard output to a file, and the rest in the background until the
+    /// process closes it.
     pub fn copy_output_to(&mut self, file: &Path) -> std::io::Result<()> {
         let mut file = OpenOptions::new().create(true).append(true).open(file)?;
         file.write_all(self.first_line.as_bytes())?;
-        if let Some(mut output) = self.unread.take() {
+        if let Some(mut output) = self.unread_stdout.take() {
             std::thread::spawn(move || std::io::copy(&mut output, &mut file));
         }
         Ok(())
     }
 
-    /// Closes the reading end of its standard output.
+    /// Closes the read end of its standard output.
     pub fn close_output(&mut self) {
-        self.unread = None;
+        self.unread_stdout = None;
     }
 
     /// Sends a signal by name, such as `TERM` or `STOP`.
@@ -105,11 +106,11 @@
     }
 }
 
-/// The program built beside the running one, or beside the running test's directory; tests of the
-/// package `tansyhall` have all of them.
-fn program(name: &str) -> PathBuf {
-    let running = std::env::current_exe().expect("the running program's own path");
-    let directory = running.parent().expect("a target directory");
+/// Returns the path of a built program in the directory of the running program or, for a test, in its
+/// parent directory. Cargo builds all programs for the tests of the package `tansyhall`.
+fn program_path(name: &str) -> PathBuf {
+    let running = std::env::current_exe().expect("the path of the running program");
+    let directory = running.parent().expect("the program is in a directory");
     let beside = directory.join(name);
     if beside.exists() {
         return beside;
@@ -121,19 +122,19 @@
 pub struct Standin {
     /// The process.
     pub process: Process,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
 impl Standin {
-    /// Gives a stand-in of the platform a command without a body, such as `backup` or `restore`.
+    /// Sends the platform stand-in a command without a body, such as `backup` or `restore`.
     pub async fn command(&self, command: &str) {
         let url = format!("http://{}/standin/{command}", self.address);
         let answer = awc::Client::default().post(url).send().await;
         assert!(answer.expect("an answer").status().is_success());
     }
 
-    /// Sets a stand-in's fault switches.
+    /// Sets the fault switches of the stand-in.
     pub async fn set_faults(&self, switches: Value) {
         let url = format!("http://{}/standin/faults", self.address);
         let answer = awc::Client::default().post(url).send_json(&switches).await;
@@ -146,18 +147,18 @@
     standin_at(arguments, SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
-/// Starts a stand-in at an address, such as that of one which has been killed.
+/// Starts a stand-in at an address, such as the address of a stand-in that has been killed.
 pub fn standin_at(arguments: &[&str], address: SocketAddr) -> Standin {
     let listen = address.to_string();
     let mut all = arguments.to_vec();
     all.extend(["--listen", &listen]);
-    let mut process = Process::spawn(program("tansyhall-standin"), &all);
+    let mut process = Process::spawn(program_path("tansyhall-standin"), &all);
     process.close_output();
     let address = process
         .first_line
         .trim()
         .strip_prefix("listening ")
-        .expect("a listening line");
+        .expect("the first line starts with `listening `");
     let address = address.parse().expect("an address");
     Standin { process, address }
 }
@@ -166,13 +167,13 @@
 pub struct NodeProcess {
     /// The process.
     pub process: Process,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// The administration address.
     pub admin: SocketAddr,
 }
 
-/// Settings of a node, in TOML.
+/// Returns the settings of a node in TOML.
 pub fn node_settings(name: &str, zone: &str, platform: SocketAddr) -> String {
     format!(
         "name = '{name}'\nzone = '{zone}'\nplatform = '{platform}'\nthreads = 2\n\
@@ -181,24 +182,25 @@
     )
 }
 
-/// First of the ports handed out by [`free_peer_address`]. They lie below those that the system
-/// gives to outgoing connections, so that none is taken between two runs of a node.
+/// First port of the range from which [`free_peer_address`] allocates. The range lies below the ephemeral
+/// ports, so that no outgoing connection takes a node's port while the node restarts.
 const FIRST_PEER_PORT: u32 = 16_000;
-/// Ports handed out by [`free_peer_address`].
-const PEER_PORTS: u32 = 16_000;
-/// Distance between the first ports of two test processes with neighbouring numbers: more than a minute of
-/// the fault soak hands out. Between the look at a port and its use, another process may take it.
-const PORTS_PER_PROCESS: u32 = 1_009;
-/// Ports handed out so far by this process.
-static PEER_PORTS_USED: AtomicU32 = AtomicU32::new(0);
-
-/// An address on loopback that is free for both UDP and TCP.
+/// Number of ports in the range from which [`free_peer_address`] allocates.
+const PEER_PORT_COUNT: u32 = 16_000;
+/// Distance between the first ports of two test processes with consecutive process ids. It is larger than the
+/// number of ports that the fault soak allocates in a minute, because another process may bind a port after
+/// it was found free and before it is used.
+const PROCESS_PORT_STRIDE: u32 = 1_009;
+/// Number of ports that this process has tried.
+static ALLOCATED_PEER_PORTS: AtomicU32 = AtomicU32::new(0);
+
+/// Returns a loopback address whose port is free for both UDP and TCP.
 pub fn free_peer_address() -> SocketAddr {
-    let first = std::process::id().wrapping_mul(PORTS_PER_PROCESS);
+    let first = std::process::id().wrapping_mul(PROCESS_PORT_STRIDE);
     loop {
-        let next = PEER_PORTS_USED.fetch_add(1, Ordering::Relaxed);
-        let port = FIRST_PEER_PORT + first.wrapping_add(next) % PEER_PORTS;
-        let port = u16::try_from(port).expect("a port below 32,000");
+        let next = ALLOCATED_PEER_PORTS.fetch_add(1, Ordering::Relaxed);
+        let port = FIRST_PEER_PORT + first.wrapping_add(next) % PEER_PORT_COUNT;
+        let port = u16::try_from(port).expect("ports are below 32,000");
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return address;
@@ -206,7 +208,8 @@
     }
 }
 
-/// Settings of a node of `fleet` that talks with others at `peers` and knows `seeds`, in TOML.
+/// Returns the settings of a node of `fleet` in TOML, with its peer address `peers` and the peer addresses
+/// `seeds` of other nodes.
 pub fn peer_node_settings(
     fleet: &str,
     name: &str,
@@ -223,7 +226,7 @@
     )
 }
 
-/// All metrics of a process as text; none if it does not answer.
+/// Reads all metrics of a process as text. Returns `None` if it does not answer.
 async fn metrics_text(metrics: SocketAddr) -> Option<String> {
     let request = awc::Client::default().get(format!("http://{metrics}/metrics"));
     let mut response = request.send().await.ok()?;
@@ -231,14 +234,14 @@
     Some(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// Reads one metric of a node by its name with labels, as it stands in the text form.
+/// Reads one metric of a process. `name` includes the labels as in the text format.
 pub async fn get_metric(admin: SocketAddr, name: &str) -> Option<f64> {
     let text = metrics_text(admin).await?;
     let value = |line| str::strip_prefix(line, name)?.strip_prefix(' ');
     text.lines().find_map(value)?.trim().parse().ok()
 }
 
-/// The sum of a metric over all its labels; none if the process has no such metric yet.
+/// Returns the sum of a metric over all its labels, or `None` if the process has no such metric yet.
 pub async fn get_metric_sum(metrics: SocketAddr, name: &str) -> Option<f64> {
     let text = metrics_text(metrics).await?;
     let value = |line: &str| {
@@ -249,12 +252,12 @@
     text.lines().filter_map(value).reduce(|sum, one| sum + one)
 }
 
-/// Starts a node with these settings.
+/// Starts a node with the given settings.
 pub fn node(directory: &std::path::Path, name: &str, settings: &str) -> NodeProcess {
     let file = directory.join(format!("{name}.toml"));
     std::fs::write(&file, settings).expect("the settings are written");
     let file = file.to_str().expect("a UTF-8 path");
-    let mut process = Process::spawn(program("tansyhall"), &["node", "--settings", file]);
+    let mut process = Process::spawn(program_path("tansyhall"), &["node", "--settings", file]);
     process.close_output();
     let words: Vec<&str> = process.first_line.split_whitespace().collect();
     let callers = words[1].parse().expect("an address");
@@ -266,9 +269,9 @@
     }
 }
 
-/// Runs `tansyhall` to its end and returns its standard output; fails the test if it fails.
+/// Runs `tansyhall` until it exits and returns its standard output. Panics if it fails.
 pub fn tansyhall(arguments: &[&str]) -> String {
-    let output = Command::new(program("tansyhall"))
+    let output = Command::new(program_path("tansyhall"))
         .args(arguments)
         .env("TANSYHALL_TOKEN", TOKEN)
         .output()
@@ -278,14 +281,15 @@
     String::from_utf8(output.stdout).expect("UTF-8 output")
 }
 
-/// Reads JSON with an HTTP GET.
+/// Sends an HTTP GET request and parses the answer as JSON. Returns `None` if either fails.
 pub async fn get_json(address: SocketAddr, path: &str) -> Option<Value> {
     let request = awc::Client::default().get(format!("http://{address}{path}"));
     let mut response = request.bearer_auth(TOKEN).send().await.ok()?;
     response.json().limit(64 << 20).await.ok()
 }
 
-/// Waits until `condition` yields a value.
+/// Polls `condition` until it returns a value. Panics after [`CONDITION_TIMEOUT`]; `what` describes the
+/// condition in the message.
 pub async fn eventually<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: std::future::Future<Output = Option<T>>,
@@ -297,7 +301,7 @@
         }
         assert!(
             started.elapsed() < CONDITION_TIMEOUT,
-            "waited too long until {what}"
+            "timed out waiting until {what}"
         );
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/testing/src/link.rs
+++ b/crates/testing/src/link.rs
@@ -1,5 +1,5 @@
-//! A link between two processes that a test can cut or silence: connections that come to one address
-//! are passed on to another.
+//! A TCP proxy between two processes with which a test can interrupt connections or make them silently
+//! drop all data.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -9,20 +9,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are passed on at once.
+/// Size of the copy buffer, in bytes.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// A link that passes on connections until it is cut.
+/// A TCP proxy that forwards connections until it is cut.
 pub struct Link {
-    /// Where to connect.
+    /// The address at which the proxy listens.
     pub entrance: SocketAddr,
     is_cut: watch::Sender<bool>,
-    silences: watch::Sender<u64>,
+    blackhole_generation: watch::Sender<u64>,
     counts: Arc<Counts>,
     task: actix_rt::task::JoinHandle<()>,
 }
 
-/// What has passed so far.
+/// Counters over all connections of a link.
 #[derive(Default)]
 struct Counts {
     open: AtomicUsize,
@@ -31,53 +31,54 @@
 }
 
 impl Link {
-    /// Opens a link to `exit` on a free port.
-    pub fn open(exit: SocketAddr) -> Self {
+    /// Starts a proxy on a free port that forwards connections to `target`.
+    pub fn open(target: SocketAddr) -> Self {
         let listener = free_listener().expect("a free port");
         let entrance = listener.local_addr().expect("a bound address");
-        let (is_cut, seen_cut) = watch::channel(false);
-        let (silences, seen_silences) = watch::channel(0);
+        let (is_cut, cut_receiver) = watch::channel(false);
+        let (blackhole_generation, generation_receiver) = watch::channel(0);
         let counts = Arc::<Counts>::default();
-        let passage = Passage {
-            exit,
-            cut: seen_cut,
-            silences: seen_silences,
+        let context = ConnectionContext {
+            target,
+            cut: cut_receiver,
+            blackhole_generation: generation_receiver,
             counts: Arc::clone(&counts),
         };
-        let task = actix_rt::spawn(pass_connections(listener, passage));
+        let task = actix_rt::spawn(accept_connections(listener, context));
         Self {
             entrance,
             is_cut,
-            silences,
+            blackhole_generation,
             counts,
             task,
         }
     }
 
-    /// Cuts the link or mends it. Connections in progress end when it is cut, and new ones are
-    /// accepted but not passed on, so that their callers wait.
+    /// Cuts or restores the link. A cut closes the open connections; new ones are accepted but not
+    /// forwarded until the link is restored, so that their clients wait.
     pub fn set_cut(&self, is_cut: bool) {
         self.is_cut.send_replace(is_cut);
     }
 
-    /// Makes the connections that are open now silent for good, both ways and without a reset: what
-    /// is sent on them is taken and lost, and neither end hears that the other has closed. New
-    /// connections pass.
+    /// Black-holes the connections that are open now, permanently and in both directions: data sent on
+    /// them is read and discarded, there is no reset, and neither end learns that the other has closed.
+    /// Connections opened later are forwarded.
     pub fn silence_open(&self) {
-        self.silences.send_modify(|silences| *silences += 1);
+        self.blackhole_generation
+            .send_modify(|blackhole_generation| *blackhole_generation += 1);
     }
 
-    /// Connections whose near end is open.
+    /// Returns the number of connections whose client end is open.
     pub fn open_connections(&self) -> usize {
         self.counts.open.load(Ordering::Relaxed)
     }
 
-    /// Bytes that have come back to those who connected.
+    /// Returns the number of bytes forwarded to clients.
     pub fn answered_bytes(&self) -> u64 {
         self.counts.answered_bytes.load(Ordering::Relaxed)
     }
 
-    /// Bytes that those who connected have sent on silent connections.
+    /// Returns the number of bytes that clients have sent on black-holed connections.
     pub fn lost_bytes(&self) -> u64 {
         self.counts.lost_bytes.load(Ordering::Relaxed)
     }
@@ -89,20 +90,20 @@
     }
 }
 
-/// What a connection needs to know of its link.
+/// State of the link that each connection task needs.
 #[derive(Clone)]
-struct Passage {
-    exit: SocketAddr,
+struct ConnectionContext {
+    target: SocketAddr,
     cut: watch::Receiver<bool>,
-    silences: watch::Receiver<u64>,
+    blackhole_generation: watch::Receiver<u64>,
     counts: Arc<Counts>,
 }
 
-/// Counts a connection as open until it is dropped.
+/// Counts a connection as open until dropped.
 struct OpenConnection(Arc<Counts>);
 
 impl OpenConnection {
-    fn begin(counts: &Arc<Counts>) -> Self {
+    fn register(counts: &Arc<Counts>) -> Self {
         counts.open.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(counts))
     }
@@ -120,64 +121,64 @@
     TcpListener::from_std(listener)
 }
 
-async fn pass_connections(listener: TcpListener, passage: Passage) {
-    while let Ok((near, _)) = listener.accept().await {
-        actix_rt::spawn(pass_connection(near, passage.clone()));
+async fn accept_connections(listener: TcpListener, context: ConnectionContext) {
+    while let Ok((client, _)) = listener.accept().await {
+        actix_rt::spawn(proxy_until_cut(client, context.clone()));
     }
 }
 
-async fn pass_connection(near: TcpStream, mut passage: Passage) {
-    // The test that holds the other end of `cut` has ended when waiting fails.
-    if passage.cut.wait_for(|is_cut| !is_cut).await.is_err() {
+async fn proxy_until_cut(client: TcpStream, mut context: ConnectionContext) {
+    // Waiting fails when the link has been dropped, which means that the test has ended.
+    if context.cut.wait_for(|is_cut| !is_cut).await.is_err() {
         return;
     }
-    let mut cut = passage.cut.clone();
+    let mut cut = context.cut.clone();
     tokio::select! {
-        () = pass(near, passage) => {}
+        () = proxy_connection(client, context) => {}
         _ = cut.wait_for(|is_cut| *is_cut) => {}
     }
 }
 
-async fn pass(mut near: TcpStream, passage: Passage) {
-    let mut silences = passage.silences.clone();
-    let before = *silences.borrow_and_update();
-    let open = OpenConnection::begin(&passage.counts);
-    let Ok(mut far) = TcpStream::connect(passage.exit).await else {
+async fn proxy_connection(mut client: TcpStream, context: ConnectionContext) {
+    let mut blackhole_generation = context.blackhole_generation.clone();
+    let initial_generation = *blackhole_generation.borrow_and_update();
+    let open = OpenConnection::register(&context.counts);
+    let Ok(mut server) = TcpStream::connect(context.target).await else {
         return;
     };
-    let passing = pass_both_ways(&mut near, &mut far, &passage.counts, open);
+    let copying = copy_both_ways(&mut client, &mut server, &context.counts, open);
     let open = tokio::select! {
-        () = passing => return,
-        changed = silences.wait_for(|silences| *silences > before) => match changed {
-            Ok(_) => OpenConnection::begin(&passage.counts),
+        () = copying => return,
+        changed = blackhole_generation.wait_for(|blackhole_generation| *blackhole_generation > initial_generation) => match changed {
+            Ok(_) => OpenConnection::register(&context.counts),
             Err(_) => return,
         },
     };
-    // Both ends stay open until the near one is closed and the test is over.
-    lose(&mut near, Some(&passage.counts.lost_bytes)).await;
+    // Keeps both sockets open until the client has closed its end and the test is over.
+    discard_until_closed(&mut client, Some(&context.counts.lost_bytes)).await;
     drop(open);
-    lose(&mut far, None).await;
-    let _ = silences.wait_for(|_| false).await;
+    discard_until_closed(&mut server, None).await;
+    let _ = blackhole_generation.wait_for(|_| false).await;
 }
 
-async fn pass_both_ways(
-    near: &mut TcpStream,
-    far: &mut TcpStream,
+async fn copy_both_ways(
+    client: &mut TcpStream,
+    server: &mut TcpStream,
     counts: &Counts,
     open: OpenConnection,
 ) {
-    let (near_read, near_write) = near.split();
-    let (far_read, far_write) = far.split();
-    let forth = async {
-        pass_on(near_read, far_write, None).await;
+    let (client_read, client_write) = client.split();
+    let (server_read, server_write) = server.split();
+    let requests = async {
+        copy_until_closed(client_read, server_write, None).await;
         drop(open);
     };
-    let back = pass_on(far_read, near_write, Some(&counts.answered_bytes));
-    tokio::join!(forth, back);
+    let answers = copy_until_closed(server_read, client_write, Some(&counts.answered_bytes));
+    tokio::join!(requests, answers);
 }
 
-/// Passes bytes on until one end is closed, which the other is told.
-async fn pass_on(
+/// Copies bytes until `from` reaches its end, then shuts down `to`.
+async fn copy_until_closed(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
     count: Option<&AtomicU64>,
@@ -187,21 +188,21 @@
         if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
-        add(count, length);
+        add_bytes(count, length);
     }
-    // The other end may be closed already.
+    // Fails if the other end is closed already.
     let _ = to.shutdown().await;
 }
 
-/// Takes what is sent until the end is closed.
-async fn lose(end: &mut TcpStream, count: Option<&AtomicU64>) {
+/// Reads and discards data until the peer closes the connection.
+async fn discard_until_closed(end: &mut TcpStream, count: Option<&AtomicU64>) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(length @ 1..) = end.read(&mut buffer).await {
-        add(count, length);
+        add_bytes(count, length);
     }
 }
 
-fn add(count: Option<&AtomicU64>, length: usize) {
+fn add_bytes(count: Option<&AtomicU64>, length: usize) {
     if let Some(count) = count {
         count.fetch_add(length as u64, Ordering::Relaxed);
     }
--- a/crates/twice-answering/src/lib.rs
+++ b/crates/twice-answering/src/lib.rs
@@ -1,5 +1,5 @@
-//! A server that answers its calls twice, or late, for clients that must not take an answer for
-//! another's.
+//! A test HTTP server that sends answers twice or late, for tests which check that clients never use the
+//! answer to one request for another.
 
 #![forbid(unsafe_code)]
 
@@ -9,52 +9,52 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time in which bytes that were sent have arrived.
+/// Time after which sent bytes are assumed to have arrived.
 pub const ARRIVAL: Duration = Duration::from_millis(60);
 
-/// When the second copy of an answer is sent.
+/// When the duplicate of an answer is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Second {
-    /// Together with the first.
+    /// Together with the answer.
     AtOnce,
-    /// While nothing is asked on the connection.
+    /// Shortly after the answer, while no request is in progress on the connection.
     WhileIdle,
-    /// When the next question has come, before its own answer.
+    /// After the next request has been received, before the answer to that request.
     BeforeTheNext,
-    /// Never; the first comes only after this time.
+    /// No duplicate is sent, and the answer is delayed.
     Never {
-        /// How late the first comes.
+        /// Delay of the answer.
         after: Duration,
     },
 }
 
 impl Second {
-    /// Whenever a second answer may come.
+    /// All variants that send a duplicate.
     pub const ALL: [Self; 3] = [Self::AtOnce, Self::WhileIdle, Self::BeforeTheNext];
 }
 
-/// A status and a body.
+/// Status code and body of an answer.
 pub type Answer = (u16, Vec<u8>);
 
-/// The server; each question takes the next of its answers, on whatever connection it comes.
+/// A server that sends its answers in order, regardless of the connection on which a request arrives.
 pub struct TwiceAnswering {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     asked: Arc<Mutex<Vec<String>>>,
 }
 
 impl TwiceAnswering {
-    /// Serves these answers in turn.
-    pub fn start(second: Second, answers: Vec<Answer>) -> Self {
+    /// Starts a server that sends these answers in order.
+    pub fn start(timing: Second, answers: Vec<Answer>) -> Self {
         let answers = Mutex::new(answers);
-        Self::answering(second, move |_| {
+        Self::answering(timing, move |_| {
             answers.lock().expect("not poisoned").remove(0)
         })
     }
 
-    /// Answers each question, given by method and target.
+    /// Starts a server that computes the answer to each request from its method and target.
     pub fn answering(
-        second: Second,
+        timing: Second,
         answer: impl Fn(&str) -> Answer + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -65,41 +65,41 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (record, answer) = (Arc::clone(&record), Arc::clone(&answer));
-                thread::spawn(move || serve(stream, second, &record, &*answer));
+                thread::spawn(move || serve_connection(stream, timing, &record, &*answer));
             }
         });
         Self { address, asked }
     }
 
-    /// The questions so far: method and target.
+    /// Returns the requests received so far, each as method and target in lower case.
     pub fn asked(&self) -> Vec<String> {
         self.asked.lock().expect("not poisoned").clone()
     }
 }
 
-fn serve(
+fn serve_connection(
     mut stream: TcpStream,
-    second: Second,
+    timing: Second,
     record: &Mutex<Vec<String>>,
     answer: &dyn Fn(&str) -> Answer,
 ) {
     let _ = stream.set_nodelay(true);
-    let mut owed: Option<Vec<u8>> = None;
-    while let Some(question) = read_question(&mut stream) {
-        let answer = encode(answer(&question));
-        record.lock().expect("not poisoned").push(question);
-        let mut bytes = owed.take().unwrap_or_default();
+    let mut pending_duplicate: Option<Vec<u8>> = None;
+    while let Some(request) = read_request(&mut stream) {
+        let answer = encode(answer(&request));
+        record.lock().expect("not poisoned").push(request);
+        let mut bytes = pending_duplicate.take().unwrap_or_default();
         bytes.extend_from_slice(&answer);
-        match second {
+        match timing {
             Second::AtOnce => bytes.extend_from_slice(&answer),
-            Second::BeforeTheNext => owed = Some(answer.clone()),
+            Second::BeforeTheNext => pending_duplicate = Some(answer.clone()),
             Second::Never { after } => thread::sleep(after),
             Second::WhileIdle => {}
         }
         if stream.write_all(&bytes).is_err() {
             return;
         }
-        if second == Second::WhileIdle {
+        if timing == Second::WhileIdle {
             thread::sleep(ARRIVAL / 2);
             let _ = stream.write_all(&answer);
         }
@@ -113,8 +113,9 @@
     bytes
 }
 
-/// Reads a whole question; none at the connection's end.
-fn read_question(stream: &mut TcpStream) -> Option<String> {
+/// Reads a request including its body, and returns method and target in lower case. Returns `None` if the
+/// connection is closed or the request is malformed.
+fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
