--- a/crates/cli/tests/fault_soak.rs
+++ b/crates/cli/tests/fault_soak.rs
@@ -1,32 +1,34 @@
-//! A short run of the fault soak: gateways as processes, workers that misbehave, and judges.
+//! A short episode of the fault soak: gateway processes, faulty workers, and checks of the rules at the end.
 
 use std::time::Duration;
 
 use tansyhall_fault_soak::{run_episode, EpisodePlan};
 
-/// A seed whose workers stutter.
+/// A seed whose workers send answers twice.
 const SEED: u64 = 1;
-/// How long faults happen.
+/// How long faults are injected.
 const DURATION: Duration = Duration::from_secs(10);
-/// Whole successes that callers must have had.
-const LEAST_SUCCESSES: usize = 300;
+/// Minimum number of complete successful answers that callers must receive.
+const MIN_SUCCESSES: usize = 300;
 
 #[actix_rt::test]
-async fn a_short_soak_breaks_no_rule() {
+async fn a_short_soak_violates_no_rule() {
     let plan = EpisodePlan {
-        least_successes: LEAST_SUCCESSES,
+        least_successes: MIN_SUCCESSES,
         ..EpisodePlan::new(SEED, DURATION)
     };
-    let episode = run_episode(plan).await.expect("an episode");
-    assert!(episode.successes() >= LEAST_SUCCESSES);
+    let episode = run_episode(plan)
+        .await
+        .expect("episode should run to its end");
+    assert!(episode.successes() >= MIN_SUCCESSES);
     assert!(
         !episode.evidence.readings.is_empty(),
-        "nothing was read apart"
+        "no prefill was done by a separate worker"
     );
     let stutters = ["worker StutterLater", "worker StutterInPlace"];
     assert!(stutters
         .iter()
         .any(|name| episode.faults.contains_key(*name)));
-    let found = serde_json::to_string_pretty(&episode.violations).expect("text");
-    assert!(episode.violations.is_empty(), "{found}");
+    let violations = serde_json::to_string_pretty(&episode.violations).expect("violations as JSON");
+    assert!(episode.violations.is_empty(), "{violations}");
 }
--- a/crates/fault-soak/src/episode.rs
+++ b/crates/fault-soak/src/episode.rs
@@ -1,4 +1,4 @@
-//! One episode: a site, a schedule of faults, callers, and the judges at the end.
+//! Runs one episode: starts a site and callers, injects the faults of a schedule, and checks the evidence at the end.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -17,41 +17,41 @@
 use crate::site::{Site, WORKERS};
 use crate::worker::Notebook;
 
-/// Pause between two looks at whether an episode is over.
-const POLL: Duration = Duration::from_millis(50);
-/// How often such a look is taken before an episode with too few answers ends all the same.
+/// Interval between two checks of whether callers have had enough successes.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of these checks. After that, the episode ends even with too few successes.
 const MAX_POLLS: usize = 600;
 
-/// What an episode is.
+/// The parameters of an episode.
 #[derive(Debug, Clone)]
 pub struct EpisodePlan {
-    /// The seed of its schedule, its callers and its workers.
+    /// The seed of the schedule, the callers and the workers.
     pub seed: u64,
-    /// How long faults happen.
+    /// How long faults are injected.
     pub duration: Duration,
-    /// Gateway processes.
+    /// Number of gateway processes.
     pub gateways: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Requests that end each worker which begins to run them, each with a caller that repeats it.
+    /// Number of requests that crash each worker which starts to run them. Each has its own caller, which repeats it.
     pub deadly_requests: usize,
-    /// It goes on without new actions until callers have had this many whole successes.
+    /// The episode continues without new faults until callers have received this many complete successful answers.
     pub least_successes: usize,
-    /// Whether what gateways are known not to withstand is played too: unsolved faults, and callers that
-    /// come before the gateways know each other.
+    /// Whether to include what gateways are known not to withstand: unsolved faults, and callers that send requests
+    /// before the gateways know each other.
     pub with_unsolved: bool,
-    /// Mechanisms of the gateways that are switched off, by their names in the settings: what a judge is
-    /// about must be found without them.
+    /// Mechanisms of the gateways that are disabled, by their names in the settings. Without a mechanism, the judge for
+    /// it must find violations.
     pub switched_off: Vec<String>,
-    /// The program of another build that runs beside this one, as while a fleet is upgraded or rolled back.
+    /// The program of another build that runs alongside this one, as during an upgrade or a rollback of a fleet.
     pub beside: Option<PathBuf>,
 }
 
-/// Rules that the build in production does not know.
-const UNKNOWN_BESIDE: [Rule; 1] = [Rule::Configuration];
+/// Rules that the build in production does not implement. They are not checked if another build runs alongside.
+const RULES_UNKNOWN_IN_PRODUCTION: [Rule; 1] = [Rule::Configuration];
 
 impl EpisodePlan {
-    /// A plan with this seed and duration.
+    /// Creates a plan with this seed and duration, and defaults for the rest.
     pub fn new(seed: u64, duration: Duration) -> Self {
         Self {
             seed,
@@ -67,30 +67,30 @@
     }
 }
 
-/// What came of an episode.
+/// A finished episode.
 pub struct Episode {
-    /// What it was.
+    /// Its parameters.
     pub plan: EpisodePlan,
     /// Its schedule.
     pub schedule: Schedule,
-    /// What was seen.
+    /// What callers and workers observed.
     pub evidence: Evidence,
-    /// Faults that happened.
+    /// Counts of the faults that were injected.
     pub faults: FaultCounts,
-    /// Rules that were broken.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
-    /// The directory of the gateways' settings and logs.
+    /// The directory with the gateways' settings and logs.
     pub logs: TempDir,
 }
 
 impl Episode {
-    /// Requests whose caller got a whole success.
+    /// Returns the number of requests whose caller received a complete successful answer.
     pub fn successes(&self) -> usize {
-        successes(&self.evidence)
+        count_successes(&self.evidence)
     }
 }
 
-/// Runs an episode and judges it.
+/// Runs an episode and checks its evidence.
 pub async fn run_episode(plan: EpisodePlan) -> Result<Episode> {
     let logs = tempfile::tempdir()?;
     let faults = Fault::played(plan.with_unsolved);
@@ -101,21 +101,22 @@
         site.until_gateways_know_each_other().await;
     }
     let site = Rc::new(site);
-    let linked = Rc::clone(&site);
-    let links = actix_rt::spawn(async move { linked.link_announcements().await });
+    let linked_site = Rc::clone(&site);
+    let link_task = actix_rt::spawn(async move { linked_site.link_announcements().await });
     let is_over = Rc::new(Cell::new(false));
     let callers = (0..plan.callers)
-        .map(|number| actix_rt::spawn(call(caller(&plan, number, &site, &is_over))));
-    let mut callers: Vec<_> = callers.collect();
-    let numbers = plan.callers..plan.callers + plan.deadly_requests;
-    callers.extend(
-        numbers
-            .map(|number| actix_rt::spawn(repeat_deadly(caller(&plan, number, &site, &is_over)))),
+        .map(|number| actix_rt::spawn(call(caller_plan(&plan, number, &site, &is_over))));
+    let mut caller_tasks: Vec<_> = callers.collect();
+    let crashing_callers = plan.callers..plan.callers + plan.deadly_requests;
+    caller_tasks.extend(
+        crashing_callers.map(|number| {
+            actix_rt::spawn(repeat_deadly(caller_plan(&plan, number, &site, &is_over)))
+        }),
     );
-    let actions = perform_all(&site, &schedule).await;
-    until_enough(site.notebook(), plan.least_successes).await;
+    let actions = start_actions(&site, &schedule).await;
+    wait_for_successes(site.notebook(), plan.least_successes).await;
     is_over.set(true);
-    for task in callers {
+    for task in caller_tasks {
         task.await?;
     }
     for action in actions {
@@ -124,11 +125,11 @@
     site.calm();
     site.check_configuration().await;
     site.stop().await;
-    links.abort();
+    link_task.abort();
     let (evidence, faults) = site.notebook().take();
     let mut violations = judge(&evidence);
     if plan.beside.is_some() {
-        violations.retain(|violation| !UNKNOWN_BESIDE.contains(&violation.rule));
+        violations.retain(|violation| !RULES_UNKNOWN_IN_PRODUCTION.contains(&violation.rule));
     }
     Ok(Episode {
         plan,
@@ -140,7 +141,12 @@
     })
 }
 
-fn caller(plan: &EpisodePlan, number: usize, site: &Site, is_over: &Rc<Cell<bool>>) -> CallerPlan {
+fn caller_plan(
+    plan: &EpisodePlan,
+    number: usize,
+    site: &Site,
+    is_over: &Rc<Cell<bool>>,
+) -> CallerPlan {
     CallerPlan {
         number,
         seed: plan.seed.wrapping_add(number as u64),
@@ -152,8 +158,8 @@
 
 type ActionTask = actix_rt::task::JoinHandle<Result<()>>;
 
-/// Begins every action at its time; they overlap.
-async fn perform_all(site: &Rc<Site>, schedule: &Schedule) -> Vec<ActionTask> {
+/// Starts every action at its scheduled time and returns their tasks. Actions may overlap.
+async fn start_actions(site: &Rc<Site>, schedule: &Schedule) -> Vec<ActionTask> {
     let started = Instant::now();
     let mut tasks = Vec::new();
     for scheduled in &schedule.actions {
@@ -166,20 +172,20 @@
     tasks
 }
 
-async fn until_enough(notebook: &Notebook, least: usize) {
+async fn wait_for_successes(notebook: &Notebook, min_successes: usize) {
     for _ in 0..MAX_POLLS {
         let mut count = 0;
-        notebook.record(|evidence| count = successes(evidence));
-        if count >= least {
+        notebook.record(|evidence| count = count_successes(evidence));
+        if count >= min_successes {
             return;
         }
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn successes(evidence: &Evidence) -> usize {
-    let whole = evidence.sent.iter().filter(
+fn count_successes(evidence: &Evidence) -> usize {
+    let successful = evidence.sent.iter().filter(
         |sent| matches!(&sent.outcome, Outcome::Answer(answer) if answer.is_success() && answer.is_whole),
     );
-    whole.count()
+    successful.count()
 }
--- a/crates/fault-soak/src/evidence.rs
+++ b/crates/fault-soak/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What callers and workers have seen in an episode. The judges read nothing else.
+//! What callers and workers observed during an episode. It is the only input of the judges.
 
 use bytes::Bytes;
 use serde::{Serialize, Serializer};
@@ -6,141 +6,141 @@
 use crate::identity::{Mark, RequestKey};
 use crate::routes::RouteKind;
 
-/// All that was seen.
+/// All observations of an episode.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Evidence {
-    /// Requests as callers sent them, with what came back.
+    /// Requests as callers sent them, with their outcomes.
     pub sent: Vec<Sent>,
-    /// Runs of requests at workers.
+    /// Executions of requests by workers.
     pub runs: Vec<Run>,
-    /// Requests as they arrived at workers, to be run or read, also those that were refused.
+    /// Requests that arrived at workers, to be run or for prefill alone, including those that were refused.
     pub arrivals: Vec<Arrival>,
-    /// Prompts that workers read for other workers.
+    /// Prefills that workers did for other workers.
     pub readings: Vec<Reading>,
-    /// Other calls that workers took.
+    /// Other requests to workers: reports, orders, health checks and releases of KV caches.
     pub calls: Vec<Call>,
-    /// Bytes on callers' connections on which no request was waiting.
+    /// Bytes received on callers' connections while no request was outstanding.
     pub stray: Vec<StrayBytes>,
-    /// What workers got that is no request.
+    /// Bytes received by workers that are not a valid request.
     pub garbled: Vec<Garbled>,
-    /// Workers that turned a request away and asked for rest.
+    /// Refusals in which a worker asked for back-off.
     pub rests: Vec<Rest>,
-    /// Times in which workers named rate limits.
+    /// Periods in which workers announced rate limits.
     pub rate_limits: Vec<NamedLimit>,
-    /// Workers that ended under requests.
+    /// Workers that a request crashed.
     pub worker_ends: Vec<WorkerEnd>,
-    /// Times in which gateways were in trouble.
+    /// Periods in which a gateway was stopped, frozen or killed, or its link to the store had a fault.
     pub troubles: Vec<Trouble>,
-    /// Times in which the link before workers was harmed, and the worker there as each began.
+    /// Periods in which the link to a worker had a fault.
     pub worker_troubles: Vec<WorkerTrouble>,
-    /// Gateway processes that ended without having been stopped, and how.
+    /// Unexpected exits of gateway processes, with name and exit status.
     pub ended: Vec<String>,
-    /// Gateways at which the last configuration was not in force in time.
+    /// Gateways that did not apply the last configuration in time.
     pub stale_configurations: Vec<StaleConfiguration>,
 }
 
-/// A gateway that has not the last configuration.
+/// A gateway that did not apply the last configuration in time.
 #[derive(Debug, Clone, Serialize)]
 pub struct StaleConfiguration {
     /// The gateway.
     pub gateway: usize,
-    /// The version that the operator has written.
+    /// The version that the operator wrote.
     pub written: u64,
-    /// The version in force, if it tells one.
+    /// The version in force, if the gateway reports one.
     pub in_force: Option<f64>,
 }
 
 /// A request that a caller sent.
 #[derive(Debug, Clone, Serialize)]
 pub struct Sent {
-    /// What makes it this one.
+    /// The identity of the request.
     pub key: RequestKey,
     /// Its route.
     pub route: RouteKind,
-    /// The headers that tell its model, its tokens and its prompt.
+    /// The values of the headers for model, token counts and prompt, separated by spaces.
     pub prompt: String,
-    /// The last event that the caller has already.
+    /// The last event that the caller had received before.
     pub after_event: Option<u32>,
     /// The gateway.
     pub gateway: usize,
     /// Milliseconds from the start of the episode.
     pub at_ms: u64,
-    /// The same, when its outcome was known.
+    /// When its outcome was known, in milliseconds from the start of the episode.
     pub ended_ms: u64,
-    /// What came back.
+    /// Its outcome.
     pub outcome: Outcome,
 }
 
-/// What a caller got.
+/// The outcome of a request for its caller.
 #[derive(Debug, Clone, Serialize)]
 pub enum Outcome {
-    /// No head of an answer came.
+    /// The head of an answer was not received.
     NoAnswer {
-        /// Why not.
+        /// The reason.
         why: String,
     },
-    /// Bytes came that are no answer.
+    /// Bytes were received that are not an answer.
     Garbage {
-        /// The bytes.
+        /// The bytes, as text.
         bytes: String,
     },
-    /// An answer, perhaps not whole.
+    /// An answer, possibly truncated.
     Answer(CallerAnswer),
 }
 
-/// An answer as a caller got it.
+/// An answer as its caller received it.
 #[derive(Debug, Clone, Serialize)]
 pub struct CallerAnswer {
     /// The status.
     pub status: u16,
-    /// The request's id in its head.
+    /// The request id in its head.
     pub id: Option<String>,
     /// The worker's signature.
     pub seal: Option<String>,
-    /// Whether it says that its worker leaves.
+    /// Whether it says that its worker is leaving.
     pub says_leaving: bool,
-    /// Whether it names a rate limit of its worker.
+    /// Whether it announces a rate limit of its worker.
     pub names_limit: bool,
-    /// The body as far as it came.
+    /// The part of the body that was received.
     #[serde(serialize_with = "as_text")]
     pub body: Bytes,
-    /// Whether it ended as a whole body does.
+    /// Whether the body ended as its framing requires.
     pub is_whole: bool,
 }
 
 impl CallerAnswer {
-    /// Whether the status is one of success.
+    /// Returns whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// What a run answers.
+/// The body of a run's answer.
 #[derive(Debug, Clone, Serialize)]
 pub enum RunBody {
-    /// This body.
+    /// A fixed body.
     Plain(#[serde(serialize_with = "as_text")] Bytes),
-    /// A stream whose last event has this number.
+    /// A stream of events.
     Stream {
-        /// The number.
+        /// The number of its last event.
         last: u32,
     },
 }
 
-/// A run of a request at a worker.
+/// An execution of a request by a worker.
 #[derive(Debug, Clone, Serialize)]
 pub struct Run {
-    /// Its mark.
+    /// The mark in its answer.
     pub mark: Mark,
-    /// The method.
+    /// The HTTP method of the request.
     pub method: String,
     /// The signature on its answer.
     pub seal: String,
-    /// The headers that tell model, tokens and prompt.
+    /// The values of the headers for model, token counts and prompt, separated by spaces.
     pub prompt: String,
-    /// The last event that was not to be made again.
+    /// The last event that the worker must not generate again, if the stream is resumed.
     pub after_event: Option<u32>,
-    /// The KV cache that it goes on from.
+    /// The KV cache that it continues from, as `IP:PORT/HANDLE`.
     pub cache_source: Option<String>,
     /// Milliseconds from the start of the episode.
     pub at_ms: u64,
@@ -150,10 +150,10 @@
     pub body: RunBody,
 }
 
-/// A prompt that a worker read for another worker.
+/// A prefill that a worker did for another worker.
 #[derive(Debug, Clone, Serialize)]
 pub struct Reading {
-    /// `IP:PORT/HANDLE`, as the run that goes on from it names it.
+    /// `IP:PORT/HANDLE` of the KV cache, as in [`Run::cache_source`].
     pub place: String,
     /// The request.
     pub key: RequestKey,
@@ -161,24 +161,24 @@
     pub at_ms: u64,
 }
 
-/// A request that arrived at a worker.
+/// An arrival of a request at a worker.
 #[derive(Debug, Clone, Serialize)]
 pub struct Arrival {
     /// The request.
     pub key: RequestKey,
     /// The worker.
     pub worker: String,
-    /// Whether only its prompt was to be read.
+    /// Whether the worker was asked for prefill alone.
     pub is_reading: bool,
-    /// Whether the worker took it up.
+    /// Whether the worker accepted it.
     pub is_taken_up: bool,
-    /// Whether it was meant for this incarnation of the worker.
+    /// Whether it was addressed to this incarnation of the worker.
     pub is_meant: bool,
     /// Milliseconds from the start of the episode.
     pub at_ms: u64,
 }
 
-/// A rest that a worker asked for as it turned a request away, in an answer that nothing harmed at the worker.
+/// A refusal in which a worker asked for back-off, sent without a fault injected at the worker.
 #[derive(Debug, Clone, Serialize)]
 pub struct Rest {
     /// The request.
@@ -187,24 +187,24 @@
     pub worker: String,
     /// Milliseconds from the start of the episode.
     pub at_ms: u64,
-    /// For how many milliseconds.
+    /// Duration of the back-off in milliseconds.
     pub rest_ms: u64,
 }
 
-/// A time in which a worker named a rate limit in its answers.
+/// A period in which a worker announced a rate limit in its answers.
 #[derive(Debug, Clone, Serialize)]
 pub struct NamedLimit {
     /// The worker.
     pub worker: String,
-    /// Thousandths of a request a second that it takes from all gateways together.
+    /// The limit for all gateways together, in thousandths of a request per second.
     pub millirequests: u64,
-    /// Milliseconds from the start of the episode.
+    /// When it began to announce the limit, in milliseconds from the start of the episode.
     pub from_ms: u64,
-    /// The same; none if it did not stop.
+    /// When it stopped announcing the limit, in milliseconds from the start of the episode; `None` if it did not stop.
     pub to_ms: Option<u64>,
 }
 
-/// A worker that ended under a request.
+/// A crash of a worker that a request caused.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerEnd {
     /// The request.
@@ -215,60 +215,60 @@
     pub at_ms: u64,
 }
 
-/// A time in which a gateway was stopped, frozen or killed, or a link of it was harmed.
+/// A period in which a gateway was stopped, frozen or killed, or its link to the store had a fault.
 #[derive(Debug, Clone, Serialize)]
 pub struct Trouble {
     /// The gateway.
     pub gateway: usize,
-    /// Milliseconds from the start of the episode.
+    /// Its start, in milliseconds from the start of the episode.
     pub from_ms: u64,
-    /// The same.
+    /// Its end, in milliseconds from the start of the episode.
     pub to_ms: u64,
 }
 
-/// A time in which the link before a worker was harmed.
+/// A period in which the link to a worker had a fault.
 #[derive(Debug, Clone, Serialize)]
 pub struct WorkerTrouble {
-    /// The worker as it began.
+    /// The worker's incarnation at the start of the period.
     pub worker: String,
-    /// Milliseconds from the start of the episode.
+    /// Its start, in milliseconds from the start of the episode.
     pub from_ms: u64,
-    /// The same.
+    /// Its end, in milliseconds from the start of the episode.
     pub to_ms: u64,
 }
 
-/// Another call that a worker took.
+/// A request to a worker that is no caller's: a report, an order, a health check or the release of a KV cache.
 #[derive(Debug, Clone, Serialize)]
 pub struct Call {
     /// The worker.
     pub worker: String,
     /// Method and path.
     pub what: String,
-    /// The id it bore.
+    /// The request id that it carried.
     pub id: Option<String>,
     /// Milliseconds from the start of the episode.
     pub at_ms: u64,
 }
 
-/// Bytes that came to a worker and are no request.
+/// Bytes received by a worker that are not a valid request.
 #[derive(Debug, Clone, Serialize)]
 pub struct Garbled {
     /// The worker.
     pub worker: String,
-    /// The first of the bytes.
+    /// The first bytes, as text.
     pub bytes: String,
     /// Milliseconds from the start of the episode.
     pub at_ms: u64,
 }
 
-/// Bytes that came on a caller's connection on which no request was waiting.
+/// Bytes received on a caller's connection while no request was outstanding.
 #[derive(Debug, Clone, Serialize)]
 pub struct StrayBytes {
     /// The gateway.
     pub gateway: usize,
     /// Milliseconds from the start of the episode.
     pub at_ms: u64,
-    /// The bytes.
+    /// The bytes, as text.
     pub bytes: String,
 }
 
--- a/crates/fault-soak/src/identity.rs
+++ b/crates/fault-soak/src/identity.rs
@@ -1,28 +1,29 @@
-//! Whose an answer is: every byte that a worker makes for a request is marked with the request.
+//! Identity of requests and marks in answers. Workers put a mark into each body and each event that they generate for a
+//! request, so that judges can tell which request it belongs to.
 
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What makes a request this one: its id, its path with query, and its body.
+/// The identity of a request: its id, its path with query, and its body.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct RequestKey {
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// Path and query.
+    /// The path with query.
     pub target: String,
-    /// The hash of its body.
+    /// The hash of the body.
     pub body: u64,
 }
 
-/// What the body of a request begins with that ends each worker which begins to run it.
+/// Prefix of the body of a request that crashes each worker which starts to run it.
 pub const DEADLY: &[u8] = b"deadly";
 
-/// The hash of a body.
+/// Returns the hash of a body.
 pub fn body_hash(body: &[u8]) -> u64 {
     xxh3_64(body)
 }
 
-/// A run's mark on its answer.
+/// The mark of a run in its answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Mark {
     /// The number of the run.
@@ -33,21 +34,21 @@
     pub key: RequestKey,
 }
 
-/// The word that a mark begins with.
-const MARK: &str = "made-by";
+/// The first word of a mark.
+const MARK_PREFIX: &str = "made-by";
 
 impl Mark {
-    /// Its text, one line without the end.
+    /// Returns the mark as one line of text without a line break.
     pub fn text(&self) -> String {
         let RequestKey { id, target, body } = &self.key;
         let Self { run, worker, .. } = self;
-        format!("{MARK} {worker} {run} {id} {target} {body:016x}")
+        format!("{MARK_PREFIX} {worker} {run} {id} {target} {body:016x}")
     }
 
-    /// Reads the mark from a line that begins with one.
+    /// Parses a line that begins with a mark.
     pub fn parse(line: &str) -> Option<Self> {
         let mut words = line.split(' ');
-        if words.next()? != MARK {
+        if words.next()? != MARK_PREFIX {
             return None;
         }
         let worker = words.next()?.to_owned();
@@ -59,9 +60,9 @@
         Some(Self { run, worker, key })
     }
 
-    /// The marks in a text.
+    /// Returns all marks in a text.
     pub fn find_all(text: &str) -> Vec<Self> {
-        let starts = text.match_indices(MARK);
+        let starts = text.match_indices(MARK_PREFIX);
         let lines = starts.map(|(start, _)| text[start..].lines().next().unwrap_or_default());
         lines.filter_map(Self::parse).collect()
     }
--- a/crates/fault-soak/src/judges/barred.rs
+++ b/crates/fault-soak/src/judges/barred.rs
@@ -1,4 +1,4 @@
-//! A request under which three workers have ended reaches workers a few times more at the most.
+//! A request that has crashed three workers arrives at workers at most a few times more.
 
 use std::collections::HashMap;
 
@@ -6,83 +6,87 @@
 use crate::evidence::{Arrival, Evidence};
 use crate::identity::RequestKey;
 
-/// Ends after which a request counts as deadly.
-const ENDS: usize = 3;
-/// The time in which gateways must know of the third end, in milliseconds.
-const CONTACT_MS: u64 = 3_000;
-/// Arrivals after that which are allowed.
-const TOLERATED: usize = 3;
+/// Number of crashes after which gateways must bar a request.
+const CRASHES_UNTIL_BARRED: usize = 3;
+/// Time within which all gateways must have learned of the last of these crashes, in milliseconds.
+const PROPAGATION_MS: u64 = 3_000;
+/// Number of arrivals that are allowed after that.
+const MAX_LATE_ARRIVALS: usize = 3;
 
-/// What the tries of a request have in common: path with query, and body.
+/// What all attempts of a caller at one request have in common: path with query, and hash of the body.
 type Content<'a> = (&'a str, u64);
 
 fn content(key: &RequestKey) -> Content<'_> {
     (&key.target, key.body)
 }
 
-/// Finds requests that were sent on after three workers had ended under them.
-pub fn barred(evidence: &Evidence) -> Vec<Violation> {
-    let senders = senders(evidence);
-    let violations = third_ends(evidence)
+/// Finds requests that were still sent to workers after they had crashed three.
+pub fn check_barred(evidence: &Evidence) -> Vec<Violation> {
+    let gateways = gateways(evidence);
+    let violations = third_crashes(evidence)
         .into_iter()
-        .filter_map(|(content, third_ms)| {
-            let late: Vec<&Arrival> = late_arrivals(evidence, content, third_ms)
-                .filter(|arrival| is_sent_in_touch(evidence, &senders, arrival))
+        .filter_map(|(content, third_crash_ms)| {
+            let late: Vec<&Arrival> = late_arrivals(evidence, content, third_crash_ms)
+                .filter(|arrival| is_from_healthy_gateway(evidence, &gateways, arrival))
                 .collect();
             let what = format!(
-                "{} arrivals of a request under which three workers had ended",
+                "{} arrivals of a request after it had crashed three workers",
                 late.len()
             );
-            (late.len() > TOLERATED).then(|| Violation::new(Rule::Barred, what, (third_ms, late)))
+            (late.len() > MAX_LATE_ARRIVALS)
+                .then(|| Violation::new(Rule::Barred, what, (third_crash_ms, late)))
         });
     violations.collect()
 }
 
-/// When the third worker ended under each request.
-fn third_ends(evidence: &Evidence) -> HashMap<Content<'_>, u64> {
-    let mut ends: HashMap<Content<'_>, Vec<u64>> = HashMap::new();
-    for end in &evidence.worker_ends {
-        ends.entry(content(&end.key)).or_default().push(end.at_ms);
+/// Returns when each request crashed its third worker.
+fn third_crashes(evidence: &Evidence) -> HashMap<Content<'_>, u64> {
+    let mut crashes: HashMap<Content<'_>, Vec<u64>> = HashMap::new();
+    for crash in &evidence.worker_ends {
+        crashes
+            .entry(content(&crash.key))
+            .or_default()
+            .push(crash.at_ms);
     }
-    let third = ends.into_iter().filter_map(|(content, mut times)| {
+    let third_crashes = crashes.into_iter().filter_map(|(content, mut times)| {
         times.sort_unstable();
-        Some((content, *times.get(ENDS - 1)?))
+        Some((content, *times.get(CRASHES_UNTIL_BARRED - 1)?))
     });
-    third.collect()
+    third_crashes.collect()
 }
 
 fn late_arrivals<'a>(
     evidence: &'a Evidence,
-    of: Content<'a>,
-    third_ms: u64,
+    wanted: Content<'a>,
+    third_crash_ms: u64,
 ) -> impl Iterator<Item = &'a Arrival> {
     evidence
         .arrivals
         .iter()
-        .filter(move |arrival| content(&arrival.key) == of)
-        .filter(move |arrival| arrival.at_ms > third_ms + CONTACT_MS)
+        .filter(move |arrival| content(&arrival.key) == wanted)
+        .filter(move |arrival| arrival.at_ms > third_crash_ms + PROPAGATION_MS)
 }
 
-/// The gateway that each try was sent to.
-fn senders(evidence: &Evidence) -> HashMap<&str, usize> {
+/// Returns the gateway that each attempt was sent to, by request id.
+fn gateways(evidence: &Evidence) -> HashMap<&str, usize> {
     let sent = evidence.sent.iter();
     sent.map(|sent| (sent.key.id.as_str(), sent.gateway))
         .collect()
 }
 
-/// Whether the gateway that sent it had not been in trouble for a while.
-fn is_sent_in_touch(
+/// Returns whether the gateway that sent the request had been free of faults long enough to learn of the crashes.
+fn is_from_healthy_gateway(
     evidence: &Evidence,
-    senders: &HashMap<&str, usize>,
+    gateways: &HashMap<&str, usize>,
     arrival: &Arrival,
 ) -> bool {
-    let Some(gateway) = senders.get(arrival.key.id.as_str()) else {
+    let Some(gateway) = gateways.get(arrival.key.id.as_str()) else {
         return false;
     };
-    let since_ms = arrival.at_ms.saturating_sub(CONTACT_MS);
-    let mut troubles = evidence.troubles.iter();
-    !troubles.any(|trouble| {
-        let overlaps = trouble.from_ms <= arrival.at_ms && trouble.to_ms >= since_ms;
-        trouble.gateway == *gateway && overlaps
+    let since_ms = arrival.at_ms.saturating_sub(PROPAGATION_MS);
+    let mut fault_periods = evidence.troubles.iter();
+    !fault_periods.any(|period| {
+        let overlaps = period.from_ms <= arrival.at_ms && period.to_ms >= since_ms;
+        period.gateway == *gateway && overlaps
     })
 }
--- a/crates/fault-soak/src/judges/configuration.rs
+++ b/crates/fault-soak/src/judges/configuration.rs
@@ -1,14 +1,15 @@
-//! The last configuration is in force at every gateway in time, though the store was restored before it was written.
+//! Every gateway applies the last configuration in time, even though the store was restored from a backup before the
+//! configuration was written.
 
 use super::{Rule, Violation};
 use crate::evidence::Evidence;
 
-/// Finds gateways at which it is not.
-pub fn configuration(evidence: &Evidence) -> Vec<Violation> {
+/// Finds gateways that did not apply the last configuration in time.
+pub fn check_configuration(evidence: &Evidence) -> Vec<Violation> {
     let stale = evidence.stale_configurations.iter();
     stale
         .map(|stale| {
-            let what = "a configuration is not in force in time";
+            let what = "gateway did not apply the last configuration in time";
             Violation::new(Rule::Configuration, what, stale)
         })
         .collect()
--- a/crates/fault-soak/src/judges/ended.rs
+++ b/crates/fault-soak/src/judges/ended.rs
@@ -1,12 +1,12 @@
-//! No gateway process ends by itself.
+//! No gateway process exits unless it is told to.
 
 use super::{Rule, Violation};
 use crate::evidence::Evidence;
 
-/// Finds processes that ended by themselves.
-pub fn ended(evidence: &Evidence) -> Vec<Violation> {
+/// Finds gateway processes that exited unexpectedly.
+pub fn check_ended(evidence: &Evidence) -> Vec<Violation> {
     let ended = evidence.ended.iter();
     ended
-        .map(|how| Violation::new(Rule::Ended, "a gateway process ended by itself", how))
+        .map(|exit| Violation::new(Rule::Ended, "gateway process exited unexpectedly", exit))
         .collect()
 }
--- a/crates/fault-soak/src/judges/mixed.rs
+++ b/crates/fault-soak/src/judges/mixed.rs
@@ -1,4 +1,4 @@
-//! Every caller gets the whole answer to its own request, and only that; no run goes on from the KV
+//! Every caller receives the complete answer to its own request and nothing else, and no run continues from the KV
 //! cache of another request.
 
 use std::collections::HashMap;
@@ -8,41 +8,47 @@
 use crate::evidence::{CallerAnswer, Evidence, Outcome, Reading, Run, RunBody, Sent, StrayBytes};
 use crate::identity::Mark;
 
-/// Finds answers that are not the request's own, or not the worker's.
-pub fn mixed(evidence: &Evidence) -> Vec<Violation> {
+/// Finds answers that belong to another request, or that differ from what the worker sent.
+pub fn check_mixed(evidence: &Evidence) -> Vec<Violation> {
     let runs: HashMap<&str, &Run> = evidence
         .runs
         .iter()
         .map(|run| (run.seal.as_str(), run))
         .collect();
-    let answers = evidence.sent.iter().filter_map(|sent| check(sent, &runs));
+    let answers = evidence
+        .sent
+        .iter()
+        .filter_map(|sent| check_answer(sent, &runs));
     let stray = evidence.stray.iter().filter_map(check_stray);
     let caches = check_caches(evidence);
     answers.chain(stray).chain(caches).collect()
 }
 
-fn check(sent: &Sent, runs: &HashMap<&str, &Run>) -> Option<Violation> {
+fn check_answer(sent: &Sent, runs: &HashMap<&str, &Run>) -> Option<Violation> {
     let violation =
-        |what: &str, run: Option<&Run>| Some(Violation::of_answer(Rule::Mixed, what, sent, run));
+        |what: &str, run: Option<&Run>| Some(Violation::for_request(Rule::Mixed, what, sent, run));
     let answer = match &sent.outcome {
         Outcome::NoAnswer { .. } => return None,
-        Outcome::Garbage { .. } => return violation("bytes that are no answer", None),
+        Outcome::Garbage { .. } => return violation("received bytes that are not an answer", None),
         Outcome::Answer(answer) => answer,
     };
     let Some(seal) = &answer.seal else {
-        return check_unsealed(sent, answer);
+        return check_unsigned(sent, answer);
     };
     let Some(run) = runs.get(seal.as_str()) else {
-        return violation("a signature that no worker made", None);
+        return violation("answer has a signature that no worker issued", None);
     };
     if run.mark.key != sent.key {
-        return violation("the answer to another request", Some(run));
+        return violation("answer belongs to another request", Some(run));
     }
     if answer.id.as_ref() != Some(&sent.key.id) {
-        return violation("an answer with another id", Some(run));
+        return violation("answer has another request id", Some(run));
     }
     if answer.status != run.status {
-        return violation("a worker's signature with another status", Some(run));
+        return violation(
+            "answer has a status other than the one that the worker signed",
+            Some(run),
+        );
     }
     match &run.body {
         RunBody::Plain(body) => check_plain(answer, body),
@@ -51,27 +57,27 @@
     .and_then(|what| violation(what, Some(run)))
 }
 
-fn check_unsealed(sent: &Sent, answer: &CallerAnswer) -> Option<Violation> {
-    let violation = |what| Some(Violation::of_answer(Rule::Mixed, what, sent, None));
+fn check_unsigned(sent: &Sent, answer: &CallerAnswer) -> Option<Violation> {
+    let violation = |what| Some(Violation::for_request(Rule::Mixed, what, sent, None));
     if answer.is_success() {
-        return violation("a success without a signature");
+        return violation("successful answer has no signature of a worker");
     }
     let text = String::from_utf8_lossy(&answer.body);
     if Mark::find_all(&text)
         .iter()
         .any(|mark| mark.key != sent.key)
     {
-        return violation("a failure with the text of another request");
+        return violation("error answer contains text from the answer to another request");
     }
     None
 }
 
 fn check_plain(answer: &CallerAnswer, body: &[u8]) -> Option<&'static str> {
     if !body.starts_with(&answer.body) {
-        return Some("a body that is not the worker's");
+        return Some("body differs from the one that the worker sent");
     }
     if answer.is_whole && answer.body.len() < body.len() {
-        return Some("a part of the worker's body that looks whole");
+        return Some("truncated body looks complete");
     }
     None
 }
@@ -79,35 +85,35 @@
 fn check_stream(sent: &Sent, answer: &CallerAnswer) -> Option<&'static str> {
     let read = read_events(&answer.body);
     if read.events.iter().any(|event| event.mark.key != sent.key) {
-        return Some("an event of another request");
+        return Some("stream contains an event of another request");
     }
-    if read.foreign.is_some() {
-        return Some("bytes in a stream that are no event of a worker");
+    if read.unrecognized.is_some() {
+        return Some("stream contains bytes that are not an event of a worker");
     }
     None
 }
 
-/// A failure may be sent on an idle connection, to say why it is closed.
+/// Checks bytes received on an idle connection. A 4xx or 5xx answer is allowed: it says why the connection is closed.
 fn check_stray(stray: &StrayBytes) -> Option<Violation> {
-    let is_failure = ["HTTP/1.1 4", "HTTP/1.1 5"]
+    let is_error_answer = ["HTTP/1.1 4", "HTTP/1.1 5"]
         .iter()
-        .any(|begin| stray.bytes.starts_with(begin));
-    let what = "bytes on a connection on which no request waits";
-    (!is_failure).then(|| Violation::new(Rule::Mixed, what, stray))
+        .any(|prefix| stray.bytes.starts_with(prefix));
+    let what = "received bytes on a connection without an outstanding request";
+    (!is_error_answer).then(|| Violation::new(Rule::Mixed, what, stray))
 }
 
 fn check_caches(evidence: &Evidence) -> Vec<Violation> {
-    let readings: HashMap<&str, &Reading> = evidence
+    let prefills: HashMap<&str, &Reading> = evidence
         .readings
         .iter()
-        .map(|reading| (reading.place.as_str(), reading))
+        .map(|prefill| (prefill.place.as_str(), prefill))
         .collect();
     let check = |run: &Run| {
         let place = run.cache_source.as_deref()?;
-        let reading = readings.get(place);
-        let is_own = reading.is_some_and(|reading| reading.key == run.mark.key);
-        let what = "a run goes on from the KV cache of another request";
-        (!is_own).then(|| Violation::new(Rule::Mixed, what, (run, reading)))
+        let prefill = prefills.get(place);
+        let belongs_to_request = prefill.is_some_and(|prefill| prefill.key == run.mark.key);
+        let what = "run continues from the KV cache of another request";
+        (!belongs_to_request).then(|| Violation::new(Rule::Mixed, what, (run, prefill)))
     };
     evidence.runs.iter().filter_map(check).collect()
 }
--- a/crates/fault-soak/src/judges/mod.rs
+++ b/crates/fault-soak/src/judges/mod.rs
@@ -1,4 +1,4 @@
-//! Judges: each reads what was seen in an episode and names what breaks its rule.
+//! Judges: each checks one rule against the evidence of an episode and returns the violations.
 
 mod barred;
 mod budget;
@@ -20,52 +20,53 @@
 
 use crate::evidence::{Evidence, Run, Sent};
 
-pub use barred::barred;
-pub use budget::{budget, EXTRA, RATIO, WINDOW_S};
-pub use configuration::configuration;
-pub use ended::ended;
-pub use leaving::leaving;
-pub use mixed::mixed;
-pub use order::order;
-pub use rate_limit::rate_limit;
-pub use refused::refused;
-pub use rest::rest;
-pub use twice::twice;
-pub use unasked::unasked;
+pub use barred::check_barred;
+pub use budget::{check_budget, EXTRA, RATIO, WINDOW_S};
+pub use configuration::check_configuration;
+pub use ended::check_ended;
+pub use leaving::check_leaving;
+pub use mixed::check_mixed;
+pub use order::check_order;
+pub use rate_limit::check_rate_limit;
+pub use refused::check_refused;
+pub use rest::check_rest;
+pub use twice::check_twice;
+pub use unasked::check_unasked;
 
-/// A rule that can be broken.
+/// A rule that the gateways must keep, whatever faults are injected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub enum Rule {
-    /// A caller gets the whole answer to its own request, and only that.
+    /// A caller receives the complete answer to its own request and nothing else.
     Mixed,
     /// A request that may not be repeated runs at most once.
     Twice,
-    /// What was refused has not run and never will.
+    /// A refused request that may not be repeated has not run and never will.
     Refused,
-    /// Workers run only what callers sent, unchanged.
+    /// Workers run, and do prefill for, only requests that callers sent, unchanged.
     Unasked,
-    /// Events of a stream come once each and in order, to the last.
+    /// The events of a stream arrive exactly once and in order, up to the last one.
     Order,
-    /// Repeats stay within the fleet's budget.
+    /// Retries stay within the fleet's retry budget, and a request does not run on more workers than its route allows.
     Budget,
-    /// A request under which workers end is sent to none any more.
+    /// A request that crashes workers is no longer sent to any worker.
     Barred,
-    /// A worker that has said in an answer that it leaves gets nothing more from the gateway that passed it on.
+    /// A worker that said in an answer that it is leaving gets no more requests from the gateway that forwarded the
+    /// answer.
     Leaving,
-    /// A worker that asked a gateway for rest gets it.
+    /// A worker that asked a gateway to back off gets no requests from it until the back-off ends.
     Rest,
-    /// A worker gets no more than the rate limit that it names from all gateways that were told.
+    /// A worker that announces a rate limit gets no more than that from all gateways that received it.
     RateLimit,
-    /// A configuration is in force in time, also after the store was restored.
+    /// A configuration is applied in time, even after the store was restored from a backup.
     Configuration,
-    /// No gateway process ends by itself.
+    /// No gateway process exits unless it is told to.
     Ended,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Debug, Clone, Serialize)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was violated.
     pub rule: Rule,
     /// What happened.
     pub what: String,
@@ -82,26 +83,26 @@
         }
     }
 
-    fn of_answer(rule: Rule, what: impl Into<String>, sent: &Sent, run: Option<&Run>) -> Self {
+    fn for_request(rule: Rule, what: impl Into<String>, sent: &Sent, run: Option<&Run>) -> Self {
         Self::new(rule, what, (sent, run))
     }
 }
 
-/// What all judges find.
+/// Checks all rules and returns the violations.
 pub fn judge(evidence: &Evidence) -> Vec<Violation> {
     let judges = [
-        mixed,
-        twice,
-        refused,
-        unasked,
-        order,
-        budget,
-        barred,
-        leaving,
-        rest,
-        rate_limit,
-        configuration,
-        ended,
+        check_mixed,
+        check_twice,
+        check_refused,
+        check_unasked,
+        check_order,
+        check_budget,
+        check_barred,
+        check_leaving,
+        check_rest,
+        check_rate_limit,
+        check_configuration,
+        check_ended,
     ];
     judges.iter().flat_map(|judge| judge(evidence)).collect()
 }
--- a/crates/fault-soak/src/judges/refused.rs
+++ b/crates/fault-soak/src/judges/refused.rs
@@ -1,4 +1,4 @@
-//! What was refused has not run and never will, if it may not be repeated.
+//! A refused request that may not be repeated has not run and never will.
 
 use std::collections::HashMap;
 
@@ -6,11 +6,11 @@
 use crate::evidence::{Evidence, Outcome, Run};
 use crate::identity::RequestKey;
 
-/// Statuses that promise that a request has not run and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// Statuses which guarantee that the request has not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Finds refused requests that ran.
-pub fn refused(evidence: &Evidence) -> Vec<Violation> {
+/// Finds requests that ran although they were refused.
+pub fn check_refused(evidence: &Evidence) -> Vec<Violation> {
     let runs: HashMap<&RequestKey, &Run> = evidence
         .runs
         .iter()
@@ -28,9 +28,9 @@
         let Some(run) = runs.get(&sent.key) else {
             continue;
         };
-        if PROMISES.contains(&answer.status) {
-            let what = format!("{} was said, and it ran", answer.status);
-            violations.push(Violation::of_answer(Rule::Refused, what, sent, Some(run)));
+        if NOT_RUN_STATUSES.contains(&answer.status) {
+            let what = format!("caller got status {}, but the request ran", answer.status);
+            violations.push(Violation::for_request(Rule::Refused, what, sent, Some(run)));
         }
     }
     violations
--- a/crates/fault-soak/src/judges/rest.rs
+++ b/crates/fault-soak/src/judges/rest.rs
@@ -1,57 +1,59 @@
-//! A worker that asked a gateway for rest as it turned a request away gets it.
+//! A worker that refused a request of a gateway and asked for back-off gets no more requests from this gateway until
+//! the back-off ends.
 
-use super::senders::{Senders, Span};
+use super::senders::{SentRequests, Span};
 use super::{Rule, Violation};
 use crate::evidence::{Arrival, Evidence, Outcome, Rest};
 
-/// The time after which a rest that was asked for holds, in milliseconds.
-const HOLDS_AFTER_MS: u64 = 500;
-/// Requests in a rest that are allowed.
-const TOLERATED: usize = 2;
+/// Time after which a gateway must be backing off, from when the worker asked for it, in milliseconds.
+const BACKOFF_GRACE_MS: u64 = 500;
+/// Number of requests that are allowed during a back-off.
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 
-/// Finds workers that got requests in a rest that they had asked for.
-pub fn rest(evidence: &Evidence) -> Vec<Violation> {
-    let senders = Senders::of(evidence);
-    let violations = evidence.rests.iter().filter_map(|rest| {
-        let arrivals = arrivals_in(evidence, &senders, rest)?;
+/// Finds workers that got requests during a back-off that they had asked for.
+pub fn check_rest(evidence: &Evidence) -> Vec<Violation> {
+    let requests = SentRequests::of(evidence);
+    let violations = evidence.rests.iter().filter_map(|backoff| {
+        let arrivals = arrivals_in_backoff(evidence, &requests, backoff)?;
         let what = format!(
-            "{} requests in a rest of {} ms",
+            "{} requests during a back-off of {} ms",
             arrivals.len(),
-            rest.rest_ms
+            backoff.rest_ms
         );
-        let is_broken = arrivals.len() > TOLERATED;
-        is_broken.then(|| Violation::new(Rule::Rest, what, (rest, arrivals)))
+        let is_violated = arrivals.len() > MAX_REQUESTS_IN_BACKOFF;
+        is_violated.then(|| Violation::new(Rule::Rest, what, (backoff, arrivals)))
     });
     violations.collect()
 }
 
-/// The requests of the same gateway in a rest; none if the gateway may not have heard the word.
-fn arrivals_in<'a>(
+/// Returns the requests from the same gateway during a back-off, or `None` if the gateway may not have received the
+/// worker's refusal.
+fn arrivals_in_backoff<'a>(
     evidence: &'a Evidence,
-    senders: &Senders<'_>,
-    rest: &Rest,
+    requests: &SentRequests<'_>,
+    backoff: &Rest,
 ) -> Option<Vec<&'a Arrival>> {
-    let refused = senders.only_one(&rest.key)?;
-    // Whoever got no answer may have left before the gateway had this one.
+    let refused = requests.unique(&backoff.key)?;
+    // A caller that got no complete answer may have disconnected before the gateway received the refusal.
     let is_answered = matches!(&refused.outcome, Outcome::Answer(answer) if answer.is_whole);
     let span = Span {
-        from_ms: rest.at_ms + HOLDS_AFTER_MS,
-        to_ms: rest.at_ms + rest.rest_ms,
+        from_ms: backoff.at_ms + BACKOFF_GRACE_MS,
+        to_ms: backoff.at_ms + backoff.rest_ms,
     };
-    let whole = Span {
-        from_ms: rest.at_ms.saturating_sub(HOLDS_AFTER_MS),
+    let span_with_grace = Span {
+        from_ms: backoff.at_ms.saturating_sub(BACKOFF_GRACE_MS),
         ..span
     };
-    let is_excused = evidence.has_trouble_of(refused.gateway, whole)
-        || evidence.has_trouble_before(&rest.worker, whole);
+    let is_excused = evidence.has_gateway_fault(refused.gateway, span_with_grace)
+        || evidence.has_worker_link_fault(&backoff.worker, span_with_grace);
     if !is_answered || is_excused {
         return None;
     }
-    let in_rest = evidence.arrivals.iter().filter(|arrival| {
-        let sender = senders.only_one(&arrival.key);
+    let in_backoff = evidence.arrivals.iter().filter(|arrival| {
+        let sender = requests.unique(&arrival.key);
         let is_of_gateway = sender.is_some_and(|sent| sent.gateway == refused.gateway);
-        let is_within = arrival.at_ms > span.from_ms && arrival.at_ms < span.to_ms;
-        arrival.worker == rest.worker && arrival.is_meant && is_within && is_of_gateway
+        let is_in_span = arrival.at_ms > span.from_ms && arrival.at_ms < span.to_ms;
+        arrival.worker == backoff.worker && arrival.is_meant && is_in_span && is_of_gateway
     });
-    Some(in_rest.collect())
+    Some(in_backoff.collect())
 }
--- a/crates/fault-soak/src/judges/senders.rs
+++ b/crates/fault-soak/src/judges/senders.rs
@@ -1,14 +1,14 @@
-//! Which gateway sent what arrived at a worker, and whether it was in trouble.
+//! Lookup of the gateway that sent a request to a worker, and of the faults injected at gateways and worker links.
 
 use std::collections::HashMap;
 
 use crate::evidence::{Evidence, Sent};
 use crate::identity::RequestKey;
 
-/// A span of time in milliseconds from the start of an episode.
+/// A span of time, in milliseconds from the start of the episode.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Span {
-    /// Its begin.
+    /// Its start.
     pub(super) from_ms: u64,
     /// Its end.
     pub(super) to_ms: u64,
@@ -20,20 +20,21 @@
     }
 }
 
-/// What callers sent, by what makes it one request.
-pub(super) struct Senders<'a>(HashMap<&'a RequestKey, Vec<&'a Sent>>);
+/// The requests that callers sent, by identity.
+pub(super) struct SentRequests<'a>(HashMap<&'a RequestKey, Vec<&'a Sent>>);
 
-impl<'a> Senders<'a> {
+impl<'a> SentRequests<'a> {
     pub(super) fn of(evidence: &'a Evidence) -> Self {
-        let mut senders: HashMap<&RequestKey, Vec<&Sent>> = HashMap::new();
+        let mut requests: HashMap<&RequestKey, Vec<&Sent>> = HashMap::new();
         for sent in &evidence.sent {
-            senders.entry(&sent.key).or_default().push(sent);
+            requests.entry(&sent.key).or_default().push(sent);
         }
-        Self(senders)
+        Self(requests)
     }
 
-    /// How a request was sent, if that was done once: with several, nobody knows which of them arrived.
-    pub(super) fn only_one(&self, key: &RequestKey) -> Option<&'a Sent> {
+    /// Returns the request with this key if it was sent exactly once. If it was sent several times, which of them
+    /// arrived at a worker is unknown.
+    pub(super) fn unique(&self, key: &RequestKey) -> Option<&'a Sent> {
         match self.0.get(key)?.as_slice() {
             [sent] => Some(sent),
             _ => None,
@@ -42,17 +43,17 @@
 }
 
 impl Evidence {
-    /// Whether a gateway was in trouble in this span.
-    pub(super) fn has_trouble_of(&self, gateway: usize, span: Span) -> bool {
-        self.troubles.iter().any(|trouble| {
-            trouble.gateway == gateway && span.overlaps(trouble.from_ms, trouble.to_ms)
-        })
+    /// Returns whether a gateway was stopped, frozen or killed, or its link to the store had a fault, within this span.
+    pub(super) fn has_gateway_fault(&self, gateway: usize, span: Span) -> bool {
+        self.troubles
+            .iter()
+            .any(|period| period.gateway == gateway && span.overlaps(period.from_ms, period.to_ms))
     }
 
-    /// Whether the link before a worker was harmed in this span.
-    pub(super) fn has_trouble_before(&self, worker: &str, span: Span) -> bool {
-        self.worker_troubles.iter().any(|trouble| {
-            trouble.worker == worker && span.overlaps(trouble.from_ms, trouble.to_ms)
-        })
+    /// Returns whether the link to a worker had a fault within this span.
+    pub(super) fn has_worker_link_fault(&self, worker: &str, span: Span) -> bool {
+        self.worker_troubles
+            .iter()
+            .any(|period| period.worker == worker && span.overlaps(period.from_ms, period.to_ms))
     }
 }
--- a/crates/fault-soak/src/judges/stream_events.rs
+++ b/crates/fault-soak/src/judges/stream_events.rs
@@ -1,55 +1,55 @@
-//! The events in the body of a stream.
+//! Parsing of the events in the body of a stream.
 
 use crate::identity::Mark;
 
-/// An event of a worker's stream.
+/// An event in the stream of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct StreamEvent {
-    /// Its number.
+    /// The number in its `id` field.
     pub(super) number: u32,
-    /// The number that its text names, and that of the stream's last event.
-    pub(super) piece: (u32, u32),
-    /// Who made it, and for which request.
+    /// The number of the event and that of the stream's last event, as its text states them.
+    pub(super) position: (u32, u32),
+    /// The run that generated it, and the request.
     pub(super) mark: Mark,
 }
 
-/// The whole events of a body, and whether something that is no event stands among them.
+/// The content of a stream's body.
 #[derive(Debug, Default)]
 pub(super) struct StreamBody {
-    /// The events.
+    /// The complete events.
     pub(super) events: Vec<StreamEvent>,
-    /// A whole block that is no event of a worker.
-    pub(super) foreign: Option<String>,
-    /// What comes after the last whole event.
-    pub(super) rest: String,
+    /// The first complete block that is not an event of a worker.
+    pub(super) unrecognized: Option<String>,
+    /// The text after the last complete block.
+    pub(super) trailing: String,
 }
 
-/// Reads a body.
+/// Parses the body of a stream.
 pub(super) fn read_events(body: &[u8]) -> StreamBody {
     let text = String::from_utf8_lossy(body);
     let mut read = StreamBody::default();
     let mut blocks: Vec<&str> = text.split("\n\n").collect();
-    read.rest = blocks.pop().unwrap_or_default().to_owned();
+    read.trailing = blocks.pop().unwrap_or_default().to_owned();
     for block in blocks {
-        match read_event(block) {
+        match parse_event(block) {
             Some(event) => read.events.push(event),
             None => {
-                read.foreign.get_or_insert_with(|| block.to_owned());
+                read.unrecognized.get_or_insert_with(|| block.to_owned());
             }
         }
     }
     read
 }
 
-fn read_event(block: &str) -> Option<StreamEvent> {
+fn parse_event(block: &str) -> Option<StreamEvent> {
     let (id, data) = block.split_once('\n')?;
     let number = id.strip_prefix("id: ")?.parse().ok()?;
     let data = data.strip_prefix("data: ")?;
-    let (piece, mark) = data.split_once(' ')?;
-    let (at, last) = piece.split_once('/')?;
+    let (position, mark) = data.split_once(' ')?;
+    let (number_in_text, last) = position.split_once('/')?;
     Some(StreamEvent {
         number,
-        piece: (at.parse().ok()?, last.parse().ok()?),
+        position: (number_in_text.parse().ok()?, last.parse().ok()?),
         mark: Mark::parse(mark)?,
     })
 }
--- a/crates/fault-soak/src/judges/twice.rs
+++ b/crates/fault-soak/src/judges/twice.rs
@@ -7,8 +7,8 @@
 use crate::identity::RequestKey;
 
 /// Finds requests that may not be repeated and ran more than once.
-pub fn twice(evidence: &Evidence) -> Vec<Violation> {
-    let once: HashSet<&RequestKey> = evidence
+pub fn check_twice(evidence: &Evidence) -> Vec<Violation> {
+    let run_once_keys: HashSet<&RequestKey> = evidence
         .sent
         .iter()
         .filter(|sent| !sent.route.may_run_again())
@@ -16,14 +16,14 @@
         .collect();
     let mut runs: HashMap<&RequestKey, Vec<&Run>> = HashMap::new();
     for run in &evidence.runs {
-        if once.contains(&run.mark.key) {
+        if run_once_keys.contains(&run.mark.key) {
             runs.entry(&run.mark.key).or_default().push(run);
         }
     }
     let repeated = runs.into_values().filter(|runs| runs.len() > 1);
     repeated
         .map(|runs| {
-            let what = format!("ran {} times", runs.len());
+            let what = format!("request that may run at most once ran {} times", runs.len());
             Violation::new(Rule::Twice, what, runs)
         })
         .collect()
--- a/crates/fault-soak/src/judges/unasked.rs
+++ b/crates/fault-soak/src/judges/unasked.rs
@@ -1,4 +1,4 @@
-//! Workers run and read only what callers sent, unchanged.
+//! Workers run, and do prefill for, only requests that callers sent, unchanged.
 
 use std::collections::HashMap;
 
@@ -6,31 +6,33 @@
 use crate::evidence::{Evidence, Sent};
 use crate::identity::RequestKey;
 
-/// The method of all that callers send.
+/// The HTTP method of all requests of callers.
 const METHOD: &str = "POST";
 
-/// Finds what workers ran or read and no caller sent.
-pub fn unasked(evidence: &Evidence) -> Vec<Violation> {
+/// Finds runs, prefills and bytes at workers that do not come from a request of a caller.
+pub fn check_unasked(evidence: &Evidence) -> Vec<Violation> {
     let sent: HashMap<&RequestKey, &Sent> =
         evidence.sent.iter().map(|sent| (&sent.key, sent)).collect();
     let mut violations = Vec::new();
     for run in &evidence.runs {
         let what = match sent.get(&run.mark.key) {
-            None => "a run of what no caller sent",
-            Some(_) if run.method != METHOD => "a run with another method",
-            Some(sent) if sent.prompt != run.prompt => "a run with another model or prompt",
+            None => "worker ran a request that no caller sent",
+            Some(_) if run.method != METHOD => "worker ran a request with a changed method",
+            Some(sent) if sent.prompt != run.prompt => {
+                "worker ran a request with a changed model, token count or prompt"
+            }
             Some(_) => continue,
         };
         violations.push(Violation::new(Rule::Unasked, what, run));
     }
-    for reading in &evidence.readings {
-        if !sent.contains_key(&reading.key) {
-            let what = "a reading of what no caller sent";
-            violations.push(Violation::new(Rule::Unasked, what, reading));
+    for prefill in &evidence.readings {
+        if !sent.contains_key(&prefill.key) {
+            let what = "worker did prefill for a request that no caller sent";
+            violations.push(Violation::new(Rule::Unasked, what, prefill));
         }
     }
     for garbled in &evidence.garbled {
-        let what = "bytes at a worker that are no request";
+        let what = "worker received bytes that are not a valid request";
         violations.push(Violation::new(Rule::Unasked, what, garbled));
     }
     violations
--- a/crates/fault-soak/src/keep.rs
+++ b/crates/fault-soak/src/keep.rs
@@ -1,4 +1,4 @@
-//! Keeping what a failed episode has left: seed, schedule, gateways' logs and the judges' evidence.
+//! Saves a failed episode for analysis: seed, schedule, violations, evidence, and the gateways' settings and logs.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,23 +8,24 @@
 
 use crate::episode::Episode;
 
-/// Where failed episodes are kept if nothing else is said, below the working directory.
+/// Default directory for failed episodes, relative to the working directory.
 pub const KEEP_DIRECTORY: &str = "target/fault-soak";
 
-/// Keeps an episode in a folder of its own below a directory and returns the folder.
+/// Saves an episode in its own folder below a directory and returns the path of the folder.
 pub fn keep(episode: &Episode, directory: &Path) -> Result<PathBuf> {
     let folder = directory.join(format!("seed-{}", episode.plan.seed));
-    fs::create_dir_all(&folder).with_context(|| format!("cannot make {}", folder.display()))?;
+    fs::create_dir_all(&folder)
+        .with_context(|| format!("cannot create folder {}", folder.display()))?;
     let summary = json!({
         "seed": episode.plan.seed,
         "seconds": episode.plan.duration.as_secs(),
         "requests": episode.evidence.sent.len(),
         "faults": episode.faults,
     });
-    write(&folder, "summary.json", &summary)?;
-    write(&folder, "schedule.json", &episode.schedule)?;
-    write(&folder, "violations.json", &episode.violations)?;
-    write(&folder, "evidence.json", &episode.evidence)?;
+    write_json(&folder, "summary.json", &summary)?;
+    write_json(&folder, "schedule.json", &episode.schedule)?;
+    write_json(&folder, "violations.json", &episode.violations)?;
+    write_json(&folder, "evidence.json", &episode.evidence)?;
     for entry in fs::read_dir(episode.logs.path())? {
         let file = entry?.path();
         if let Some(name) = file.file_name() {
@@ -34,7 +35,7 @@
     Ok(folder)
 }
 
-fn write(folder: &Path, name: &str, value: &impl serde::Serialize) -> Result<()> {
+fn write_json(folder: &Path, name: &str, value: &impl serde::Serialize) -> Result<()> {
     let text = serde_json::to_vec_pretty(value)?;
-    fs::write(folder.join(name), text).with_context(|| format!("cannot write {name}"))
+    fs::write(folder.join(name), text).with_context(|| format!("cannot write file {name}"))
 }
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! Gateway processes under random faults on real sockets, judged by what callers and workers see.
+//! Fault-injection test of gateway processes on real sockets, checked by what callers and workers observe.
 //!
-//! An episode starts gateways as processes, and in its own process the platform's stand-in, workers
-//! that misbehave, links that harm what passes through them, and callers. A seed gives the schedule
-//! of faults. When the episode has ended, judges read what callers and workers have recorded.
+//! An episode starts gateways as child processes. The stand-in for the platform, faulty workers, links that inject
+//! network faults, and callers run in the test's own process. A seed determines the schedule of faults. After the
+//! episode, the judges check what callers and workers recorded.
 
 #![forbid(unsafe_code)]
 
--- a/crates/fault-soak/src/regressions.rs
+++ b/crates/fault-soak/src/regressions.rs
@@ -1,33 +1,39 @@
-//! Seeds that failed once, each with its cause.
+//! Seeds whose episodes failed once, each with the cause.
 
 use std::time::Duration;
 
 use anyhow::{Context, Result};
 
-/// The list: seed, seconds and cause on each line.
-const LIST: &str = include_str!("../regressions.txt");
+/// The list of seeds. Each line consists of seed, duration in seconds, and cause.
+const SEED_LIST: &str = include_str!("../regressions.txt");
 
-/// A seed that failed once.
+/// A seed whose episode failed once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Regression {
     /// The seed.
     pub seed: u64,
-    /// How long the episode was.
+    /// The duration of the episode.
     pub duration: Duration,
-    /// What the cause was.
+    /// The cause of the failure.
     pub cause: String,
 }
 
-/// All of them.
+/// Parses the list of seeds.
+///
+/// # Errors
+///
+/// Fails if a line is malformed.
 pub fn regressions() -> Result<Vec<Regression>> {
-    let lines = LIST.lines().map(str::trim);
+    let lines = SEED_LIST.lines().map(str::trim);
     let lines = lines.filter(|line| !line.is_empty() && !line.starts_with('#'));
     lines
-        .map(|line| parse(line).with_context(|| format!("not SEED SECONDS CAUSE: {line}")))
+        .map(|line| {
+            parse_line(line).with_context(|| format!("expected SEED SECONDS CAUSE, got: {line}"))
+        })
         .collect()
 }
 
-fn parse(line: &str) -> Option<Regression> {
+fn parse_line(line: &str) -> Option<Regression> {
     let (seed, rest) = line.split_once(' ')?;
     let (seconds, cause) = rest.split_once(' ')?;
     Some(Regression {
--- a/crates/fault-soak/src/routes.rs
+++ b/crates/fault-soak/src/routes.rs
@@ -1,19 +1,19 @@
-//! The routes of the soak's configuration.
+//! The routes in the gateways' configuration.
 
 use serde::Serialize;
 use tansyhall_platform_standin::RoutePlan;
 
 /// The latency objective of all routes, in milliseconds.
-const OBJECTIVE_MS: u64 = 5_000;
+const LATENCY_OBJECTIVE_MS: u64 = 5_000;
 
-/// What may be done with a request on a route.
+/// A route, by how its requests may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request that may run more than once.
     Repeatable,
-    /// Runs at most once.
+    /// A request that runs at most once.
     Once,
-    /// A stream that may go on at another worker.
+    /// A stream that may be resumed at another worker.
     ResumableStream,
     /// A stream that runs at most once.
     FinalStream,
@@ -21,17 +21,17 @@
     EngineOnce,
     /// A stream of engines that runs at most once.
     EngineStream,
-    /// A stream of engines that may go on at another worker.
+    /// A stream of engines that may be resumed at another worker.
     EngineResumable,
 }
 
-/// The service of plain workers.
+/// Name of the service of workers that are not engines.
 pub const APPLICATION: &str = "app";
-/// The service of engines.
+/// Name of the service of engines.
 pub const ENGINES: &str = "llm";
 
 impl RouteKind {
-    /// All of them.
+    /// All routes.
     pub const ALL: [Self; 7] = [
         Self::Repeatable,
         Self::Once,
@@ -42,7 +42,7 @@
         Self::EngineResumable,
     ];
 
-    /// The prefix of its paths.
+    /// Returns the path prefix of the route.
     pub fn prefix(self) -> &'static str {
         match self {
             Self::Repeatable => "/repeat/",
@@ -55,29 +55,29 @@
         }
     }
 
-    /// The route of a path.
+    /// Returns the route of a path, if any.
     pub fn of_target(target: &str) -> Option<Self> {
         Self::ALL
             .into_iter()
             .find(|kind| target.starts_with(kind.prefix()))
     }
 
-    /// Whether its answers are streams of events.
+    /// Returns whether its answers are event streams.
     pub fn is_stream(self) -> bool {
         !matches!(self, Self::Repeatable | Self::Once | Self::EngineOnce)
     }
 
-    /// Whether a stream may go on at another worker.
+    /// Returns whether its streams may be resumed at another worker.
     pub fn is_resumable(self) -> bool {
         matches!(self, Self::ResumableStream | Self::EngineResumable)
     }
 
-    /// Whether a request may run more than once.
+    /// Returns whether its requests may run more than once.
     pub fn may_run_again(self) -> bool {
         self == Self::Repeatable || self.is_resumable()
     }
 
-    /// Whether its workers are engines.
+    /// Returns whether its workers are engines.
     pub fn is_engine(self) -> bool {
         matches!(
             self,
@@ -85,7 +85,7 @@
         )
     }
 
-    /// The most workers that one try may run on.
+    /// Returns the maximum number of workers that one attempt of a caller may run on.
     pub fn max_attempts(self) -> u32 {
         if self.may_run_again() {
             3
@@ -94,7 +94,7 @@
         }
     }
 
-    fn plan(self) -> RoutePlan {
+    fn to_plan(self) -> RoutePlan {
         let kind = match self {
             Self::Repeatable => "idempotent",
             Self::Once | Self::EngineOnce => "non_idempotent",
@@ -107,7 +107,7 @@
             kind,
             resumable: self.is_resumable(),
             max_attempts: self.max_attempts(),
-            objective_ms: OBJECTIVE_MS,
+            objective_ms: LATENCY_OBJECTIVE_MS,
             service: if self.is_engine() {
                 ENGINES
             } else {
@@ -117,17 +117,18 @@
     }
 }
 
-/// The routes of a configuration; an odd one has a route more, which no caller uses.
-pub fn routes(number: u64) -> Vec<RoutePlan> {
-    let mut routes: Vec<RoutePlan> = RouteKind::ALL.into_iter().map(RouteKind::plan).collect();
-    if number % 2 == 1 {
+/// Returns the routes of the configuration with this version. Odd versions have an additional route that no caller
+/// uses.
+pub fn routes(version: u64) -> Vec<RoutePlan> {
+    let mut routes: Vec<RoutePlan> = RouteKind::ALL.into_iter().map(RouteKind::to_plan).collect();
+    if version % 2 == 1 {
         routes.push(RoutePlan {
             name: "spare",
             prefix: "/spare/",
             kind: "idempotent",
             resumable: false,
             max_attempts: 2,
-            objective_ms: OBJECTIVE_MS,
+            objective_ms: LATENCY_OBJECTIVE_MS,
             service: APPLICATION,
         });
     }
--- a/crates/fault-soak/tests/parts.rs
+++ b/crates/fault-soak/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the soak by themselves: the schedule, reading of messages, marks and links.
+//! Unit tests of the fault soak's parts: schedules, HTTP reader, marks and links.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     }
 
     #[test]
-    fn a_mark_is_read_as_it_was_written(run: u64, body: u64, id in "[a-z0-9-]{1,20}") {
+    fn a_mark_survives_a_round_trip_through_text(run: u64, body: u64, id in "[a-z0-9-]{1,20}") {
         let key = RequestKey { id, target: "/x/y?z=%2F".into(), body };
         let mark = Mark { run, worker: "i-1".into(), key };
         let text = format!("before\n{}\nafter", mark.text());
@@ -31,20 +31,20 @@
     }
 
     #[test]
-    fn a_message_reads_the_same_however_it_is_cut(cut in 0..ANSWER.len()) {
+    fn a_message_is_parsed_the_same_however_it_is_split(cut in 0..ANSWER.len()) {
         let (first, second) = ANSWER.split_at(cut);
-        let body = read(first, second).expect("a whole message");
+        let body = read(first, second).expect("complete message should be parsed");
         prop_assert_eq!(body, b"body");
     }
 
     #[test]
-    fn a_message_that_is_cut_off_is_not_whole(cut in 1..ANSWER.len()) {
+    fn a_truncated_message_is_an_error(cut in 1..ANSWER.len()) {
         let read = read(&ANSWER[..cut], b"");
         prop_assert_eq!(read, Err(ReadError::Cut));
     }
 }
 
-/// Reads an answer that comes in two pieces and then ends.
+/// Reads an answer that arrives in two pieces, followed by the end of the stream.
 fn read(first: &[u8], second: &[u8]) -> Result<Vec<u8>, ReadError> {
     actix_rt::System::new().block_on(async {
         let mut reader = Reader::new(first.chain(second));
@@ -58,7 +58,7 @@
 }
 
 #[actix_rt::test]
-async fn what_is_no_message_is_said_to_be_none() {
+async fn bytes_that_are_not_a_message_are_reported_as_garbage() {
     for bytes in [
         &b"\x00\xff\r\n\r\n"[..],
         b"no answer\r\n\r\n",
@@ -75,20 +75,24 @@
 
 #[test]
 fn the_list_of_regressions_parses() {
-    regressions().expect("a list of seeds");
+    regressions().expect("list of regression seeds should parse");
 }
 
-/// A connection through a link with a fault: what was sent, and how its reader saw the end.
-async fn through(fault: LinkFault) -> (Vec<u8>, std::io::Result<()>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let exit = listener.local_addr().expect("an address");
-    let link = Link::open(exit).await.expect("a link");
-    let mut near = TcpStream::connect(link.entrance).await.expect("a link");
-    let (mut far, _) = listener.accept().await.expect("a connection");
+/// Sends an answer through a link with a fault. Returns the bytes that the reader received and how its stream ended.
+async fn read_through_link(fault: LinkFault) -> (Vec<u8>, std::io::Result<()>) {
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("bind listener");
+    let exit = listener.local_addr().expect("listener address");
+    let link = Link::open(exit).await.expect("open link");
+    let mut near = TcpStream::connect(link.entrance)
+        .await
+        .expect("connect to link");
+    let (mut far, _) = listener.accept().await.expect("accept connection");
     link.set_fault(fault);
     if fault != LinkFault::Reset {
-        far.write_all(ANSWER).await.expect("room");
-        far.shutdown().await.expect("an open connection");
+        far.write_all(ANSWER).await.expect("send answer");
+        far.shutdown().await.expect("shut down connection");
     }
     let mut received = Vec::new();
     let ended = near.read_to_end(&mut received).await;
@@ -104,14 +108,14 @@
         LinkFault::Split,
     ];
     for fault in harmless {
-        let (received, ended) = through(fault).await;
+        let (received, ended) = read_through_link(fault).await;
         assert_eq!(received, ANSWER, "{fault:?}");
         assert!(ended.is_ok());
     }
 }
 
 #[actix_rt::test]
-async fn a_link_that_resets_never_makes_an_end_in_good_order() {
-    let (_, ended) = through(LinkFault::Reset).await;
+async fn a_link_that_resets_never_closes_the_connection_cleanly() {
+    let (_, ended) = read_through_link(LinkFault::Reset).await;
     assert!(ended.is_err());
 }
--- a/crates/fault-soak/tests/records/mod.rs
+++ b/crates/fault-soak/tests/records/mod.rs
@@ -1,4 +1,4 @@
-//! Records as an episode leaves them.
+//! Builders for the evidence that an episode records.
 
 use bytes::Bytes;
 use tansyhall_fault_soak::{
@@ -8,7 +8,7 @@
 
 const PROMPT: &str = "- - -";
 const WORKER: &str = "i-1";
-/// The last event of streams.
+/// The number of the last event of streams.
 const LAST_EVENT: u32 = 3;
 
 pub fn key(id: &str) -> RequestKey {
@@ -78,19 +78,19 @@
     }
 }
 
-/// The whole answer of a plain run.
+/// Returns the complete answer of a run with a plain body.
 pub fn answer(run: &Run) -> Outcome {
     let RunBody::Plain(body) = &run.body else {
-        panic!("a plain run is needed");
+        panic!("expected a run with a plain body");
     };
-    whole(run, body.clone(), true)
+    answer_with_body(run, body.clone(), true)
 }
 
 pub fn stream_answer(run: &Run, events: &str, is_whole: bool) -> Outcome {
-    whole(run, Bytes::from(events.to_owned()), is_whole)
+    answer_with_body(run, Bytes::from(events.to_owned()), is_whole)
 }
 
-fn whole(run: &Run, body: Bytes, is_whole: bool) -> Outcome {
+fn answer_with_body(run: &Run, body: Bytes, is_whole: bool) -> Outcome {
     Outcome::Answer(CallerAnswer {
         status: run.status,
         id: Some(run.mark.key.id.clone()),
