--- a/crates/policy/src/compile.rs
+++ b/crates/policy/src/compile.rs
@@ -10,11 +10,11 @@
     BoundSubject, ClassAst, ClassSetting, Comparison, Condition, FallbackAst, Name, PolicyAst,
     PoolAst, PoolSetting, ShareAst, TenantAst, TenantLimit,
 };
+use crate::branch::{index_of, is_negated, test_of, Step, Target};
 use crate::check::check;
 use crate::class::{
     Bounded, ChangeBudget, Class, EngineBound, Fallback, PoolBounds, Route, Share, TenantLimits,
 };
-use crate::compact::{index_of, is_negated, test_of, Step, Target};
 use crate::diagnostic::Diagnostic;
 use crate::parser::parse;
 use crate::program::{Origin, Program};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,9 +6,9 @@
 #![forbid(unsafe_code)]
 
 pub mod ast;
+mod branch;
 pub mod check;
 pub mod class;
-mod compact;
 pub mod compile;
 pub mod diagnostic;
 pub mod facts;
--- a/crates/policy/src/program.rs
+++ b/crates/policy/src/program.rs
@@ -6,8 +6,8 @@
 use tansyhall_core::{PoolName, TenantName};
 
 use crate::ast::Comparison;
+use crate::branch::{is_negated, Literals, Step, Target};
 use crate::class::{Class, PoolBounds, TenantLimits, DEFAULT_CLASS};
-use crate::compact::{is_negated, Literals, Step, Target};
 use crate::facts::RequestFacts;
 use crate::reference::Reference;
 
