--- a/crates/config/benches/validate.rs
+++ b/crates/config/benches/validate.rs
@@ -1,4 +1,4 @@
-//! Time to validate a fleet of 5,000 engines.
+//! Measures the validation of a configuration with 5,000 engines.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -8,7 +8,7 @@
 const ZONES: u32 = 50;
 const ENGINES_PER_ZONE: u32 = 100;
 
-fn fleet() -> Configuration {
+fn fleet_configuration() -> Configuration {
     let zones: Vec<String> = (0..ZONES).map(|zone| format!("'zone-{zone}'")).collect();
     let zones = zones.join(", ");
     let mut text = format!(
@@ -29,7 +29,7 @@
         }
     }
     let mut configuration = Configuration::default();
-    let file = ResourceFile::parse(&text).expect("the file parses");
+    let file = ResourceFile::parse(&text).expect("the generated file should parse");
     file.into_resources()
         .into_iter()
         .for_each(|resource| configuration.put(resource));
@@ -37,9 +37,13 @@
 }
 
 fn validate(criterion: &mut Criterion) {
-    let fleet = fleet();
+    let fleet = fleet_configuration();
     criterion.bench_function("validate/5000-engines", |bencher| {
-        bencher.iter(|| fleet.validate().expect("the fleet is valid"));
+        bencher.iter(|| {
+            fleet
+                .validate()
+                .expect("the generated configuration should be valid")
+        });
     });
 }
 
--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -1,5 +1,5 @@
-//! All resources at one revision of the store; [`crate::validation`] has the rules that they must
-//! meet together.
+//! All resources at one revision of the store. The rules that they must satisfy together are in
+//! [`crate::validation`].
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use crate::resource::{Policy, Pool, Resource, ResourceKey, ResourceKind, Service, Site, Tenant};
 
-/// Every resource at one revision.
+/// All resources at one revision of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Configuration {
-    /// The store's revision of the last change; zero before the first.
+    /// Store revision of the last change; zero before the first change.
     pub revision: u64,
     /// Tenants by name.
     pub tenants: BTreeMap<TenantName, Tenant>,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Removes a resource; says whether it was there.
+    /// Removes a resource and returns whether it existed.
     pub fn remove(&mut self, key: &ResourceKey) -> bool {
         let name = key.name.as_str();
         match key.kind {
@@ -58,30 +58,30 @@
         }
     }
 
-    /// The resource with this key.
+    /// Returns the resource with this key.
     pub fn get(&self, key: &ResourceKey) -> Option<Resource> {
         let name = key.name.as_str();
         match key.kind {
-            ResourceKind::Tenant => find(&self.tenants, &name.into(), Resource::Tenant),
-            ResourceKind::Policy => find(&self.policies, &name.into(), Resource::Policy),
-            ResourceKind::Site => find(&self.sites, &name.into(), Resource::Site),
-            ResourceKind::Service => find(&self.services, &name.into(), Resource::Service),
-            ResourceKind::Pool => find(&self.pools, &name.into(), Resource::Pool),
+            ResourceKind::Tenant => get_resource(&self.tenants, &name.into(), Resource::Tenant),
+            ResourceKind::Policy => get_resource(&self.policies, &name.into(), Resource::Policy),
+            ResourceKind::Site => get_resource(&self.sites, &name.into(), Resource::Site),
+            ResourceKind::Service => get_resource(&self.services, &name.into(), Resource::Service),
+            ResourceKind::Pool => get_resource(&self.pools, &name.into(), Resource::Pool),
         }
     }
 
-    /// Every resource of a kind, in the order of names.
+    /// Returns all resources of a kind, sorted by name.
     pub fn list(&self, kind: ResourceKind) -> Vec<Resource> {
         match kind {
-            ResourceKind::Tenant => every(&self.tenants, Resource::Tenant),
-            ResourceKind::Policy => every(&self.policies, Resource::Policy),
-            ResourceKind::Site => every(&self.sites, Resource::Site),
-            ResourceKind::Service => every(&self.services, Resource::Service),
-            ResourceKind::Pool => every(&self.pools, Resource::Pool),
+            ResourceKind::Tenant => list_resources(&self.tenants, Resource::Tenant),
+            ResourceKind::Policy => list_resources(&self.policies, Resource::Policy),
+            ResourceKind::Site => list_resources(&self.sites, Resource::Site),
+            ResourceKind::Service => list_resources(&self.services, Resource::Service),
+            ResourceKind::Pool => list_resources(&self.pools, Resource::Pool),
         }
     }
 
-    /// Every key.
+    /// Returns the keys of all resources, sorted by kind and then by name.
     pub fn keys(&self) -> impl Iterator<Item = ResourceKey> + '_ {
         let all = ResourceKind::ALL.into_iter();
         all.flat_map(move |kind| {
@@ -90,7 +90,7 @@
         })
     }
 
-    /// Every name of a kind, in order.
+    /// Returns the names of all resources of a kind, sorted.
     pub fn names(&self, kind: ResourceKind) -> Box<dyn Iterator<Item = &str> + '_> {
         match kind {
             ResourceKind::Tenant => Box::new(self.tenants.keys().map(TenantName::as_str)),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The tenant that owns a resource; `None` if it belongs to the fleet's operators.
+    /// Returns the tenant that owns a resource, or `None` if it belongs to the fleet's operators.
     pub fn owner(&self, resource: &Resource) -> Option<TenantName> {
         match resource {
             Resource::Tenant(tenant) => Some(tenant.name.clone()),
@@ -116,7 +116,7 @@
     }
 }
 
-fn find<Name: Ord, T: Clone>(
+fn get_resource<Name: Ord, T: Clone>(
     table: &BTreeMap<Name, T>,
     name: &Name,
     wrap: fn(T) -> Resource,
@@ -124,6 +124,9 @@
     table.get(name).cloned().map(wrap)
 }
 
-fn every<Name, T: Clone>(table: &BTreeMap<Name, T>, wrap: fn(T) -> Resource) -> Vec<Resource> {
+fn list_resources<Name, T: Clone>(
+    table: &BTreeMap<Name, T>,
+    wrap: fn(T) -> Resource,
+) -> Vec<Resource> {
     table.values().cloned().map(wrap).collect()
 }
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -1,4 +1,4 @@
-//! Resource files: TOML with one table array for each kind of resource.
+//! Resource files: TOML with one array of tables for each kind of resource.
 
 use serde::{Deserialize, Serialize};
 use tansyhall_policy::Diagnostic;
@@ -33,7 +33,7 @@
         syntax::parse(text)
     }
 
-    /// A file with these resources.
+    /// Creates a file that holds these resources.
     pub fn from_resources(resources: Vec<Resource>) -> Self {
         let mut file = Self::default();
         for resource in resources {
@@ -48,19 +48,23 @@
         file
     }
 
-    /// The file's text.
+    /// Returns the file as TOML text.
     pub fn to_text(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
 
-    /// The resources, each after those that its fields refer to.
+    /// Returns the resources, ordered so that each one follows those that its fields refer to.
     pub fn into_resources(self) -> Vec<Resource> {
         let tenants = self.tenant.into_iter().map(Resource::Tenant);
         let policies = self.policy.into_iter().map(Resource::Policy);
         let sites = self.site.into_iter().map(Resource::Site);
         let services = self.service.into_iter().map(Resource::Service);
         let pools = self.pool.into_iter().map(Resource::Pool);
-        let owners = tenants.chain(policies);
-        owners.chain(sites).chain(services).chain(pools).collect()
+        let tenants_and_policies = tenants.chain(policies);
+        tenants_and_policies
+            .chain(sites)
+            .chain(services)
+            .chain(pools)
+            .collect()
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,5 @@
 //! Operator resources and node settings: types, defaults and validation. A configuration is
-//! accepted or refused as a whole, so that what is in force always holds together.
+//! accepted or rejected as a whole, so that the configuration in use is always consistent.
 
 #![forbid(unsafe_code)]
 
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,4 +1,4 @@
-//! Broken rules of a configuration.
+//! Violations of the configuration rules.
 
 use std::fmt;
 use std::ops::Range;
@@ -30,7 +30,7 @@
 }
 
 impl Problem {
-    /// A problem without hint or position.
+    /// Creates a problem without a hint or a position.
     pub fn new(
         resource: ResourceKey,
         field: &'static str,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Adds the nearest of the names that exist, if one is near.
+    /// Adds a hint with the existing name nearest to the rejected value, if one is near enough to
+    /// be a likely correction.
     pub fn did_you_mean<'a>(mut self, names: impl IntoIterator<Item = &'a str>) -> Self {
         let nearest = tansyhall_policy::suggest::nearest(&self.value, names);
         self.hint = nearest.map(|name| format!("did you mean '{name}'?"));
@@ -68,12 +69,12 @@
     }
 }
 
-/// A configuration that does not hold together.
+/// The error for an inconsistent configuration, with every rule violation found.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{}", list(.0))]
+#[error("{}", join_problems(.0))]
 pub struct ConfigurationError(pub Vec<Problem>);
 
-fn list(problems: &[Problem]) -> String {
+fn join_problems(problems: &[Problem]) -> String {
     let lines: Vec<String> = problems.iter().map(Problem::to_string).collect();
     lines.join("; ")
 }
--- a/crates/config/src/resource.rs
+++ b/crates/config/src/resource.rs
@@ -1,4 +1,4 @@
-//! The resources that operators create.
+//! The resources that operators create and change.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -168,7 +168,7 @@
 }
 
 impl ResourceKind {
-    /// Every kind, each after the kinds that its fields refer to.
+    /// All kinds, ordered so that each one follows the kinds that its fields refer to.
     pub const ALL: [ResourceKind; 5] = [
         ResourceKind::Tenant,
         ResourceKind::Policy,
@@ -177,7 +177,7 @@
         ResourceKind::Pool,
     ];
 
-    /// The kind's name in paths and keys.
+    /// Returns the kind's name in API paths and store keys.
     pub const fn name(self) -> &'static str {
         match self {
             ResourceKind::Tenant => "tenant",
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The kind with this name.
+    /// Returns the kind with this name, or `None` if there is none.
     pub fn parse(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.name() == name)
     }
@@ -204,7 +204,7 @@
 }
 
 impl ResourceKey {
-    /// The key of a resource by kind and name.
+    /// Creates a key from a kind and a name.
     pub fn new(kind: ResourceKind, name: &str) -> Self {
         Self {
             kind,
@@ -236,7 +236,7 @@
 }
 
 impl Resource {
-    /// The resource's key.
+    /// Returns the resource's key.
     pub fn key(&self) -> ResourceKey {
         let (kind, name) = match self {
             Resource::Tenant(tenant) => (ResourceKind::Tenant, tenant.name.as_str()),
@@ -248,7 +248,7 @@
         ResourceKey::new(kind, name)
     }
 
-    /// Decodes a resource of a known kind, whose body does not repeat the kind.
+    /// Decodes a resource of a known kind from JSON; the body does not contain the kind.
     pub fn from_json(kind: ResourceKind, body: &[u8]) -> Result<Self, serde_json::Error> {
         Ok(match kind {
             ResourceKind::Tenant => Resource::Tenant(serde_json::from_slice(body)?),
@@ -259,7 +259,7 @@
         })
     }
 
-    /// Encodes the resource without its kind.
+    /// Encodes the resource as JSON without its kind.
     pub fn to_json(&self) -> Result<Vec<u8>, serde_json::Error> {
         match self {
             Resource::Tenant(tenant) => serde_json::to_vec(tenant),
--- a/crates/config/src/routing.rs
+++ b/crates/config/src/routing.rs
@@ -1,46 +1,48 @@
-//! Settings of routing: what a node follows, and what it expects of engines.
+//! Routing settings: which engines a node polls, and the costs that it assumes for them.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How a node learns engines' load and predicts their times. The costs default to those of the
-/// stand-in engine; measure them on the engines in use.
+/// How a node learns the load of engines and predicts how long they take. The default costs are
+/// those of the stand-in engine; measure them on the engines in use.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingSettings {
-    /// Most engines of a pool that a node follows and sends to.
+    /// Maximum number of engines of each pool whose load a node polls and to which it sends
+    /// requests.
     pub followed_engines: usize,
-    /// Most engines whose load is kept, over all pools.
+    /// Maximum number of engines whose load is stored, over all pools.
     pub max_tracked_engines: usize,
-    /// Time between reads of an engine's load report.
+    /// Interval between reads of an engine's load report.
     #[serde(with = "humantime_serde")]
     pub load_poll_period: Duration,
-    /// Most load reports read in a second, over all engines; beyond it each is read less often.
+    /// Maximum number of load reports read per second, over all engines. If the interval would
+    /// require more, each engine's report is read less often.
     pub max_load_polls_per_second: u32,
-    /// Time between reads of an engine's cache events.
+    /// Interval between reads of an engine's cache events.
     #[serde(with = "humantime_serde")]
     pub cache_event_period: Duration,
-    /// Most prompt blocks that an engine is remembered to hold in its prefix cache.
+    /// Maximum number of prompt blocks tracked in the prefix cache of each engine.
     pub max_cached_blocks: usize,
-    /// Most classes whose answers' lengths are learned.
+    /// Maximum number of request classes whose answer lengths are learned.
     pub max_learned_classes: usize,
-    /// Most tokens expected of an answer of a class whose lengths are not learned yet.
+    /// Upper bound on the answer tokens predicted for a class whose lengths are not learned yet.
     pub unlearned_output_tokens: u32,
-    /// Nodes that send to the same engines, this one included.
+    /// Number of nodes that send requests to the same engines, including this one.
     pub sharing_nodes: usize,
-    /// Sequences in an engine's batch, until its report says better.
+    /// Sequences assumed to fit in an engine's batch until its load report gives the real number.
     pub max_sequences: u32,
-    /// Fixed cost of an engine's iteration.
+    /// Fixed cost of each iteration of an engine.
     #[serde(with = "humantime_serde")]
     pub iteration: Duration,
     /// Cost of prefilling one prompt token.
     #[serde(with = "humantime_serde")]
     pub prefill_token: Duration,
-    /// Cost of one decoding sequence in an iteration.
+    /// Cost that each decoding sequence adds to an iteration.
     #[serde(with = "humantime_serde")]
     pub decode_sequence: Duration,
-    /// Moving the KV cache of one token between engines.
+    /// Cost of transferring the KV cache of one token between engines.
     #[serde(with = "humantime_serde")]
     pub transfer_token: Duration,
     /// Prompt tokens prefilled in one iteration of a mixed engine.
@@ -73,8 +75,8 @@
 }
 
 impl RoutingSettings {
-    /// The first setting that must not be zero and is.
-    pub fn zero_setting(&self) -> Option<&'static str> {
+    /// Returns the key of the first setting that is zero although it must not be.
+    pub fn first_zero_setting(&self) -> Option<&'static str> {
         let settings = [
             ("routing.followed_engines", self.followed_engines == 0),
             ("routing.max_tracked_engines", self.max_tracked_engines == 0),
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one node: what it cannot learn from the configuration that it fetches.
+//! Settings of one node that it cannot learn from the configuration that it fetches.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use crate::routing::RoutingSettings;
 use crate::syntax;
 
-/// Settings that cannot be used.
+/// The error for settings that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The file does not parse.
-    #[error("{}", .fault.render(.file, .text))]
+    #[error("{}", .diagnostic.render(.file, .text))]
     Syntax {
         /// The file.
         file: String,
         /// Its content.
         text: String,
-        /// The fault, with position.
-        fault: Box<Diagnostic>,
+        /// The syntax error with its position.
+        diagnostic: Box<Diagnostic>,
     },
     /// A value is not allowed.
     #[error("{file}: {key} = {value} is not allowed; allowed: {allowed}")]
@@ -32,7 +32,7 @@
         file: String,
         /// The key.
         key: &'static str,
-        /// The value given.
+        /// The rejected value.
         value: String,
         /// What is allowed.
         allowed: &'static str,
@@ -45,53 +45,53 @@
 pub struct NodeSettings {
     /// The node's name, unique in the fleet.
     pub name: NodeId,
-    /// The zone it stands in.
+    /// The zone in which the node runs.
     pub zone: ZoneName,
-    /// The name of its fleet, which no other fleet on the same network has. Nodes of fleets with
-    /// other names are passed over; without a name, nodes of any fleet are taken in.
+    /// The name of the node's fleet, unique among the fleets on the same network. The node ignores
+    /// nodes of fleets with other names; without a name it accepts nodes of any fleet.
     #[serde(default)]
     pub fleet: Option<FleetName>,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Listen address for operators.
     pub admin: SocketAddr,
-    /// Where other nodes connect, over both UDP and TCP.
+    /// Listen address for other nodes, over both UDP and TCP.
     pub peers: SocketAddr,
-    /// The platform's key-value service and machine list.
+    /// Address of the platform's key-value service and machine list.
     pub platform: SocketAddr,
     /// Peer addresses to contact before the machine list has been read.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Worker threads for callers.
+    /// Number of worker threads that serve callers.
     #[serde(default = "defaults::threads")]
     pub threads: usize,
     /// Accounts of the administration API.
     #[serde(default)]
     pub operators: Vec<OperatorAccount>,
-    /// Times and limits.
+    /// Time-outs and limits.
     #[serde(default)]
     pub limits: Limits,
-    /// Authority over pools.
+    /// Authority over pools: the node's lease and the planning interval.
     #[serde(default)]
     pub authority: AuthoritySettings,
-    /// Talk with other nodes.
+    /// Communication with other nodes.
     #[serde(default)]
     pub peer_limits: PeerLimits,
     /// Routing of completions to engines.
     #[serde(default)]
     pub routing: RoutingSettings,
-    /// At-most-once records.
+    /// The at-most-once records of requests that are not repeatable.
     #[serde(default)]
     pub journal: JournalSettings,
 }
 
-/// What an operator may do.
+/// Access level of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorRole {
-    /// Read everything.
+    /// May read everything.
     Viewer,
-    /// Change everything.
+    /// May read and change everything.
     Operator,
 }
 
@@ -99,72 +99,76 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorAccount {
-    /// The account's name, for the audit log.
+    /// The account's name in the audit log.
     pub name: String,
-    /// What it may do.
+    /// The account's access level.
     pub role: OperatorRole,
-    /// The tenant whose resources it may see and change; every resource if absent.
+    /// The tenant whose resources the account may access; all resources if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<TenantName>,
     /// SHA-256 of the bearer token, in hexadecimal; the token itself is stored nowhere.
     pub token_sha256: String,
 }
 
-/// Times and limits.
+/// Time-outs and limits.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest request body accepted from a caller, in bytes.
+    /// Maximum size of a request body from a caller, in bytes.
     pub max_body_bytes: usize,
-    /// Largest request body accepted from an operator, in bytes.
+    /// Maximum size of a request body from an operator, in bytes.
     pub max_admin_body_bytes: usize,
-    /// Most requests in progress at once; more are answered `not-run` at once.
+    /// Maximum number of requests in progress; further requests are answered `not-run`
+    /// immediately.
     pub max_requests: usize,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// Longest wait for a connection to a back end.
+    /// Maximum wait for a connection to a back end.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
-    /// Longest wait for the platform's answer.
+    /// Maximum wait for an answer from the platform.
     #[serde(with = "humantime_serde")]
     pub platform_timeout: Duration,
-    /// Most calls to the platform's key-value service in a second.
+    /// Maximum number of calls per second to the platform's key-value service.
     pub platform_calls_per_second: u32,
-    /// Longest time a planned stop waits for requests in progress.
+    /// Maximum time that a planned stop waits for requests in progress.
     #[serde(with = "humantime_serde")]
     pub drain_timeout: Duration,
-    /// Longest wait for the whole body of a completion request.
+    /// Maximum wait for the complete body of a completion request.
     #[serde(with = "humantime_serde")]
     pub body_timeout: Duration,
-    /// Largest body forwarded to an application worker, in bytes; it is streamed, never held.
+    /// Maximum size of a body forwarded to an application worker, in bytes. Bodies are streamed and
+    /// never buffered as a whole.
     pub max_forwarded_body_bytes: u64,
-    /// Largest answer collected for a caller that does not stream, in bytes.
+    /// Maximum size of an answer collected for a caller that does not stream, in bytes.
     pub max_answer_bytes: usize,
-    /// Silence after which an engine that owes an answer is asked whether it still lives.
+    /// Time without output from an engine with an open request after which the node checks whether
+    /// the engine is still alive.
     #[serde(with = "humantime_serde")]
     pub engine_stall: Duration,
-    /// Longest time a caller may leave its answer unread before it is cut off.
+    /// Maximum time for which a caller may leave its answer unread before its connection is closed.
     #[serde(with = "humantime_serde")]
     pub caller_stall: Duration,
-    /// Most connections to back ends from each worker thread.
+    /// Maximum number of connections to back ends from each worker thread.
     pub max_backend_connections: usize,
-    /// Most requests whose status is kept, those in progress included.
+    /// Maximum number of requests whose status is kept, including those in progress.
     pub max_request_records: usize,
-    /// Most finished answers kept for callers that asked to fetch them later.
+    /// Maximum number of finished answers kept for callers that asked to fetch them later.
     pub max_kept_answers: usize,
-    /// How long a request's status and kept answer outlive its end.
+    /// How long a request's status and kept answer are retained after the request ends.
     #[serde(with = "humantime_serde")]
     pub request_retention: Duration,
-    /// Most idempotency keys remembered.
+    /// Maximum number of idempotency keys retained.
     pub max_idempotency_keys: usize,
-    /// How long an idempotency key is remembered.
+    /// How long an idempotency key is retained.
     #[serde(with = "humantime_serde")]
     pub idempotency_retention: Duration,
-    /// Most limits of tenants metered at once; a request that needs one more is refused.
+    /// Maximum number of tenant limits metered at the same time; a request that needs one more is
+    /// rejected.
     pub max_limit_meters: usize,
-    /// Retries allowed for each thousand requests.
+    /// Retries allowed per thousand requests.
     pub retries_per_thousand: u32,
-    /// Retries allowed beyond that fraction; one is gained back each second.
+    /// Retries allowed in addition to `retries_per_thousand`; one is replenished each second.
     pub retry_reserve: u32,
 }
 
@@ -197,20 +201,20 @@
     }
 }
 
-/// Authority over pools.
+/// Authority over pools: the node's lease and the planning interval.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AuthoritySettings {
-    /// Time to live of the node's lease; whole seconds.
+    /// Time to live of the node's lease, in whole seconds.
     #[serde(with = "humantime_serde")]
     pub lease: Duration,
-    /// Time between renewals.
+    /// Interval between lease renewals.
     #[serde(with = "humantime_serde")]
     pub renewal: Duration,
-    /// Taken off the lease's end for clocks that run at different rates.
+    /// Subtracted from the end of the lease, because clocks run at different rates.
     #[serde(with = "humantime_serde")]
     pub margin: Duration,
-    /// Time between looks at each pool.
+    /// Interval between planning passes over each pool.
     #[serde(with = "humantime_serde")]
     pub plan_period: Duration,
 }
@@ -226,20 +230,20 @@
     }
 }
 
-/// Times and limits of the talk with other nodes.
+/// Intervals and limits for communication with other nodes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PeerLimits {
-    /// Time between probes; each node probes one other member of its zone a period.
+    /// Interval between probes; in each interval a node probes one other member of its zone.
     #[serde(with = "humantime_serde")]
     pub probe_period: Duration,
-    /// Time between reads of the platform's list of machines, by the member
-    /// of each zone that reads it.
+    /// Interval between reads of the platform's machine list by the one member of each zone that
+    /// reads it.
     #[serde(with = "humantime_serde")]
     pub machines_period: Duration,
-    /// Largest frame sent or accepted between nodes over TCP, in bytes.
+    /// Maximum size of a frame between nodes over TCP, sent or received, in bytes.
     pub max_frame_bytes: usize,
-    /// Most requests of peers over TCP at once; more wait.
+    /// Maximum number of concurrent TCP requests from peers; further requests wait.
     pub max_connections: usize,
 }
 
@@ -254,30 +258,30 @@
     }
 }
 
-/// Replicas of the at-most-once records, unless they stay at the serving node.
+/// Number of replicas of the at-most-once records, unless they are stored only on the serving node.
 pub const JOURNAL_REPLICAS: u32 = 3;
 
-/// Bytes of a frame for each key that a replica may hold: the next view is given the records of
-/// three replicas, which may all differ.
-const JOURNAL_BYTES_PER_KEY: usize = 128;
+/// Frame bytes reserved for each key that a replica may hold. The next view receives the records
+/// of three replicas in one frame, and all of them may differ.
+const JOURNAL_FRAME_BYTES_PER_KEY: usize = 128;
 
 /// The at-most-once records of requests that are not repeatable.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct JournalSettings {
-    /// Replicas of each record: [`JOURNAL_REPLICAS`], or 1 for a fleet with fewer nodes, whose
-    /// records stay at the serving node.
+    /// Number of replicas of each record: [`JOURNAL_REPLICAS`], or 1 for a fleet with fewer nodes,
+    /// where each record is stored only on the serving node.
     pub replicas: u32,
-    /// Longest wait for a replica's answer.
+    /// Maximum wait for an answer from a replica.
     #[serde(with = "humantime_serde")]
     pub vote_timeout: Duration,
-    /// Time between reads of who the replicas are, and between looks at whether they answer.
+    /// Interval between reads of the set of replicas, and between checks that they respond.
     #[serde(with = "humantime_serde")]
     pub view_period: Duration,
 }
 
 impl JournalSettings {
-    /// Whether records are replicated.
+    /// Returns whether records are replicated to other nodes.
     pub fn is_replicated(&self) -> bool {
         self.replicas == JOURNAL_REPLICAS
     }
@@ -299,32 +303,31 @@
     }
 }
 
-/// Hexadecimal digits of a SHA-256 hash.
-const SHA256_DIGITS: usize = 64;
-/// Shortest time between probes; the timer behind them is a fraction of it.
-const SHORTEST_PROBE_PERIOD: Duration = Duration::from_millis(100);
-/// Most worker threads.
+/// Number of hexadecimal digits of a SHA-256 hash.
+const SHA256_HEX_DIGITS: usize = 64;
+/// Minimum interval between probes; the timer that drives them ticks at a fraction of it.
+const MIN_PROBE_PERIOD: Duration = Duration::from_millis(100);
 const MAX_THREADS: usize = 256;
 
 impl NodeSettings {
-    /// Parses and validates settings; `file` names the source in errors.
+    /// Parses and validates settings. `file` is the file name shown in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
-        let settings: Self = syntax::parse(text).map_err(|fault| SettingsError::Syntax {
+        let settings: Self = syntax::parse(text).map_err(|diagnostic| SettingsError::Syntax {
             file: file.to_owned(),
             text: text.to_owned(),
-            fault: Box::new(fault),
+            diagnostic: Box::new(diagnostic),
         })?;
         settings.validate(file)?;
         Ok(settings)
     }
 
-    /// The identifier of the node's fleet.
+    /// Returns the identifier of the node's fleet.
     pub fn fleet_id(&self) -> FleetId {
         let name = self.fleet.as_ref();
         name.map_or(FleetId::UNNAMED, FleetId::of_name)
     }
 
-    /// Checks every value; reports the first that is not allowed.
+    /// Checks all values and returns an error for the first one that is not allowed.
     pub fn validate(&self, file: &str) -> Result<(), SettingsError> {
         self.validate_names(file)?;
         self.validate_operators(file)?;
@@ -345,8 +348,8 @@
         if let Some(fleet) = &self.fleet {
             require(is_name(fleet.as_str()), file, "fleet", fleet, NAME_RULE)?;
         }
-        let threads = (1..=MAX_THREADS).contains(&self.threads);
-        require(threads, file, "threads", self.threads, "1 to 256")
+        let is_in_range = (1..=MAX_THREADS).contains(&self.threads);
+        require(is_in_range, file, "threads", self.threads, "1 to 256")
     }
 
     fn validate_operators(&self, file: &str) -> Result<(), SettingsError> {
@@ -358,17 +361,17 @@
             require(check_name(name).is_ok(), file, key, name, "a name")?;
             require(names.insert(name), file, key, name, "each name once")?;
             let hash = account.token_sha256.as_str();
-            let is_hash = hash.len() == SHA256_DIGITS && hex_digits(hash);
-            let of_account = format!("(of {name})");
+            let is_hash = hash.len() == SHA256_HEX_DIGITS && is_hexadecimal(hash);
+            let account_label = format!("(of {name})");
             let key = "operators.token_sha256";
-            require(is_hash, file, key, &of_account, "64 hexadecimal digits")?;
-            let is_new = tokens.insert(hash.to_ascii_lowercase());
+            require(is_hash, file, key, &account_label, "64 hexadecimal digits")?;
+            let is_unique = tokens.insert(hash.to_ascii_lowercase());
             require(
-                is_new,
+                is_unique,
                 file,
                 key,
-                &of_account,
-                "a token of its own for each account",
+                &account_label,
+                "a different token for each account",
             )?;
         }
         Ok(())
@@ -399,13 +402,13 @@
             ("journal.view_period", self.journal.view_period),
         ];
         for (key, value) in times {
-            let shown = humantime_serde::re::humantime::format_duration(value);
+            let formatted = humantime_serde::re::humantime::format_duration(value);
             require(
                 !value.is_zero(),
                 file,
                 key,
-                shown,
-                "a time above zero, such as 2s",
+                formatted,
+                "a duration above zero, such as 2s",
             )?;
         }
         Ok(())
@@ -419,8 +422,8 @@
             ("limits.caller_stall", limits.caller_stall),
         ];
         for (key, value) in times {
-            let shown = humantime_serde::re::humantime::format_duration(value);
-            require(!value.is_zero(), file, key, shown, "more than 0s")?;
+            let formatted = humantime_serde::re::humantime::format_duration(value);
+            require(!value.is_zero(), file, key, formatted, "more than 0s")?;
         }
         let counts = [
             ("limits.max_answer_bytes", limits.max_answer_bytes),
@@ -439,7 +442,7 @@
     }
 
     fn validate_routing(&self, file: &str) -> Result<(), SettingsError> {
-        match self.routing.zero_setting() {
+        match self.routing.first_zero_setting() {
             None => Ok(()),
             Some(key) => require(false, file, key, 0, "more than 0"),
         }
@@ -447,13 +450,13 @@
 
     fn validate_peers(&self, file: &str) -> Result<(), SettingsError> {
         let peers = &self.peer_limits;
-        let shown = humantime_serde::re::humantime::format_duration(peers.probe_period);
-        let is_long = peers.probe_period >= SHORTEST_PROBE_PERIOD;
+        let formatted = humantime_serde::re::humantime::format_duration(peers.probe_period);
+        let is_long_enough = peers.probe_period >= MIN_PROBE_PERIOD;
         require(
-            is_long,
+            is_long_enough,
             file,
             "peer_limits.probe_period",
-            shown,
+            formatted,
             "100ms or more",
         )?;
         let count = peers.max_connections;
@@ -468,32 +471,32 @@
 
     fn validate_journal(&self, file: &str) -> Result<(), SettingsError> {
         let replicas = self.journal.replicas;
-        let is_known = [1, JOURNAL_REPLICAS].contains(&replicas);
-        require(is_known, file, "journal.replicas", replicas, "1 or 3")?;
+        let is_supported = [1, JOURNAL_REPLICAS].contains(&replicas);
+        require(is_supported, file, "journal.replicas", replicas, "1 or 3")?;
         let keys = self.limits.max_idempotency_keys;
-        let most = self.peer_limits.max_frame_bytes / JOURNAL_BYTES_PER_KEY;
+        let max_keys = self.peer_limits.max_frame_bytes / JOURNAL_FRAME_BYTES_PER_KEY;
         let allowed = "at most peer_limits.max_frame_bytes / 128";
-        let fits = keys <= most || !self.journal.is_replicated();
+        let fits = keys <= max_keys || !self.journal.is_replicated();
         require(fits, file, "limits.max_idempotency_keys", keys, allowed)
     }
 
     fn validate_authority(&self, file: &str) -> Result<(), SettingsError> {
         let authority = &self.authority;
-        let holds = authority.renewal + authority.margin < authority.lease;
-        let shown = humantime_serde::re::humantime::format_duration(authority.lease);
-        let allowed = "more than authority.renewal and authority.margin together";
-        require(holds, file, "authority.lease", shown, allowed)
+        let is_long_enough = authority.renewal + authority.margin < authority.lease;
+        let formatted = humantime_serde::re::humantime::format_duration(authority.lease);
+        let allowed = "more than the sum of authority.renewal and authority.margin";
+        require(is_long_enough, file, "authority.lease", formatted, allowed)
     }
 }
 
 fn require(
-    holds: bool,
+    is_allowed: bool,
     file: &str,
     key: &'static str,
     value: impl std::fmt::Display,
     allowed: &'static str,
 ) -> Result<(), SettingsError> {
-    if holds {
+    if is_allowed {
         return Ok(());
     }
     Err(SettingsError::Value {
@@ -504,6 +507,6 @@
     })
 }
 
-fn hex_digits(text: &str) -> bool {
+fn is_hexadecimal(text: &str) -> bool {
     text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,4 +1,4 @@
-//! Faults in TOML files, with position and hint.
+//! Errors in TOML files, reported with a position and a hint.
 
 use std::ops::Range;
 
@@ -9,7 +9,7 @@
 
 use crate::resource::ResourceKey;
 
-/// Decodes a TOML file.
+/// Decodes a TOML file. An error has a position and, if one is likely, a suggested correction.
 pub(crate) fn parse<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Diagnostic> {
     toml::from_str(text).map_err(|error| diagnose(text, &error))
 }
@@ -23,18 +23,19 @@
             "a file as in docs/settings.md or docs/operators/",
         ),
     };
-    let found = quoted(message).next();
+    let found = backquoted_words(message).next();
     let found = found.or_else(|| text.get(span.clone())).unwrap_or("");
-    let likely = nearest(found, quoted(expected));
-    Diagnostic::new(span, message, expected).did_you_mean(likely)
+    let suggestion = nearest(found, backquoted_words(expected));
+    Diagnostic::new(span, message, expected).did_you_mean(suggestion)
 }
 
-/// The words that stand between backquotes.
-fn quoted(text: &str) -> impl Iterator<Item = &str> {
+/// Returns the words in backquotes; serde's messages quote field and variant names this way.
+fn backquoted_words(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
 
-/// Finds a field of a resource in the text of its file; the resource's name if the field is absent.
+/// Returns the byte range of a field's value in the text of a resource file, or that of the
+/// resource's name if the field is absent.
 pub fn locate(text: &str, key: &ResourceKey, field: &str) -> Option<Range<usize>> {
     let document = DeTable::parse(text).ok()?;
     let tables = document
@@ -42,8 +43,8 @@
         .get(key.kind.name())?
         .get_ref()
         .as_array()?;
-    let named = |table: &&Spanned<DeValue<'_>>| name_of(table.get_ref()) == Some(&key.name);
-    let table = tables.iter().find(named)?.get_ref().as_table()?;
+    let has_name = |table: &&Spanned<DeValue<'_>>| name_of(table.get_ref()) == Some(&key.name);
+    let table = tables.iter().find(has_name)?.get_ref().as_table()?;
     let value = table.get(field).or_else(|| table.get("name"))?;
     Some(value.span())
 }
--- a/crates/config/src/validation/mod.rs
+++ b/crates/config/src/validation/mod.rs
@@ -1,5 +1,5 @@
-//! The rules that all resources must meet together. Each rule is one pass over the resources, so
-//! that a fleet of thousands of engines is checked in one go.
+//! The rules that all resources must satisfy together. Each rule makes a single pass over the
+//! resources, so that checking a fleet of thousands of engines stays fast.
 
 mod names;
 mod policies;
@@ -20,12 +20,12 @@
 pub type Programs = BTreeMap<PolicyName, Arc<Program>>;
 
 impl Configuration {
-    /// Checks every rule and reports every broken one.
+    /// Checks all rules and returns every violation.
     pub fn validate(&self) -> Result<(), ConfigurationError> {
         self.compile().map(drop)
     }
 
-    /// Checks every rule and returns the policies, compiled.
+    /// Checks all rules and returns the compiled policies.
     pub fn compile(&self) -> Result<Programs, ConfigurationError> {
         let mut problems = Vec::new();
         names::check(self, &mut problems);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Adds a problem with a hint from the names that exist, unless the name in question exists.
+/// Adds a problem with a suggestion from the existing names, unless the referenced name exists.
 fn check_exists<'a>(
     problems: &mut Vec<Problem>,
     problem: impl FnOnce() -> Problem,
--- a/crates/config/src/validation/names.rs
+++ b/crates/config/src/validation/names.rs
@@ -1,4 +1,5 @@
-//! Names: well formed, and zones in one site only.
+//! Rules for names: each is well formed, each zone belongs to one site, and each tenant has an
+//! owner.
 
 use std::collections::HashMap;
 
@@ -9,7 +10,7 @@
 use crate::problem::Problem;
 use crate::resource::{ResourceKey, ResourceKind};
 
-/// What a name may be.
+/// Syntax of a name, as shown in problems.
 pub(super) const NAME_RULE: &str = "1 to 63 of a-z A-Z 0-9 . _ -";
 
 pub(super) fn check(configuration: &Configuration, problems: &mut Vec<Problem>) {
--- a/crates/config/src/validation/policies.rs
+++ b/crates/config/src/validation/policies.rs
@@ -1,16 +1,16 @@
-//! Policies: they compile, and every name in them exists.
+//! Rules for policies: each compiles, every name in it exists, and its pool bounds can be met.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use tansyhall_policy::{Bounded, Diagnostic, Program, Reference, ReferenceKind};
+use tansyhall_policy::{Diagnostic, EngineSelector, Program, Reference, ReferenceKind};
 
 use super::{check_exists, Programs};
 use crate::configuration::Configuration;
 use crate::problem::Problem;
 use crate::resource::{Policy, Pool, ResourceKey, ResourceKind};
 
-/// Every name that a program may refer to.
+/// All names that a program may refer to.
 struct KnownNames<'a> {
     configuration: &'a Configuration,
     zones: BTreeSet<&'a str>,
@@ -70,9 +70,11 @@
                 check_pools(configuration, policy, &program, problems);
                 programs.insert(policy.name.clone(), Arc::new(program));
             }
-            Err(faults) => {
-                let faults = faults.into_iter();
-                problems.extend(faults.map(|fault| problem_of(policy, fault)));
+            Err(diagnostics) => {
+                let diagnostics = diagnostics.into_iter();
+                problems.extend(
+                    diagnostics.map(|diagnostic| problem_from_diagnostic(policy, diagnostic)),
+                );
             }
         }
     }
@@ -85,7 +87,7 @@
 
 fn check_tenant(configuration: &Configuration, policy: &Policy, problems: &mut Vec<Problem>) {
     let Some(tenant) = &policy.tenant else { return };
-    let missing = || {
+    let missing_problem = || {
         let message = "no tenant has this name";
         Problem::new(
             key(policy),
@@ -98,18 +100,24 @@
     let exists = configuration.tenants.contains_key(tenant);
     check_exists(
         problems,
-        missing,
+        missing_problem,
         exists,
         configuration.names(ResourceKind::Tenant),
     );
 }
 
-fn problem_of(policy: &Policy, fault: Diagnostic) -> Problem {
-    let value = policy.source.get(fault.span.clone()).unwrap_or("");
+fn problem_from_diagnostic(policy: &Policy, diagnostic: Diagnostic) -> Problem {
+    let value = policy.source.get(diagnostic.span.clone()).unwrap_or("");
     Problem {
-        hint: fault.hint,
-        span: Some(fault.span),
-        ..Problem::new(key(policy), "source", value, fault.message, fault.expected)
+        hint: diagnostic.hint,
+        span: Some(diagnostic.span),
+        ..Problem::new(
+            key(policy),
+            "source",
+            value,
+            diagnostic.message,
+            diagnostic.expected,
+        )
     }
 }
 
@@ -120,7 +128,7 @@
     problems: &mut Vec<Problem>,
 ) {
     for Reference { kind, name, span } in program.references() {
-        let missing = || Problem {
+        let missing_problem = || Problem {
             span: Some(span.clone()),
             ..Problem::new(
                 key(policy),
@@ -132,7 +140,7 @@
         };
         check_exists(
             problems,
-            missing,
+            missing_problem,
             names.contains(*kind, name),
             names.names(*kind),
         );
@@ -149,13 +157,13 @@
         let Some(pool) = configuration.pools.get(name) else {
             continue;
         };
-        check_in_effect(configuration, policy, pool, problems);
+        check_pool_uses_policy(configuration, policy, pool, problems);
         let engines = pool.backends.len() as u64;
-        let is_role = |subject: &Bounded| matches!(subject, Bounded::Role(_));
+        let is_role = |selector: &EngineSelector| matches!(selector, EngineSelector::Role(_));
         let roles = bounds
             .engines
             .iter()
-            .filter(|bound| is_role(&bound.subject));
+            .filter(|bound| is_role(&bound.selector));
         let least = roles.fold(0_u64, |sum, bound| sum.saturating_add(bound.least));
         if least > engines {
             let message =
@@ -166,8 +174,9 @@
     }
 }
 
-/// Bounds of a pool come from the policy of its service; in another one they would do nothing.
-fn check_in_effect(
+/// Rejects bounds of a pool whose service uses another policy: a pool's bounds are read from the
+/// policy of its service, so in any other policy they would have no effect.
+fn check_pool_uses_policy(
     configuration: &Configuration,
     policy: &Policy,
     pool: &Pool,
--- a/crates/config/src/validation/pools.rs
+++ b/crates/config/src/validation/pools.rs
@@ -1,4 +1,5 @@
-//! Pools: their service and zone exist, each back end stands in one pool, bounds can be met.
+//! Rules for pools: the service and zone exist, each back end belongs to one pool, and the role
+//! bounds can be met.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/config/src/validation/referrers.rs
+++ b/crates/config/src/validation/referrers.rs
@@ -1,4 +1,5 @@
-//! Who refers to a resource; it cannot be deleted while somebody does.
+//! Finds the resources that refer to a resource. A resource cannot be deleted while others refer to
+//! it.
 
 use std::collections::BTreeSet;
 
@@ -8,16 +9,17 @@
 use crate::resource::{ResourceKey, ResourceKind};
 
 impl Configuration {
-    /// Every resource that refers to `key`, whether or not that exists, in the order of keys.
+    /// Returns all resources that refer to `key`, sorted by key. The resource itself need not
+    /// exist.
     pub fn referrers(&self, key: &ResourceKey) -> Vec<ResourceKey> {
         let mut referrers = BTreeSet::new();
-        self.referring_fields(key, &mut referrers);
-        self.referring_programs(key, &mut referrers);
+        self.collect_field_referrers(key, &mut referrers);
+        self.collect_program_referrers(key, &mut referrers);
         referrers.remove(key);
         referrers.into_iter().collect()
     }
 
-    fn referring_fields(&self, key: &ResourceKey, referrers: &mut BTreeSet<ResourceKey>) {
+    fn collect_field_referrers(&self, key: &ResourceKey, referrers: &mut BTreeSet<ResourceKey>) {
         let name = key.name.as_str();
         for service in self.services.values() {
             let refers = match key.kind {
@@ -58,7 +60,7 @@
         }
     }
 
-    fn referring_programs(&self, key: &ResourceKey, referrers: &mut BTreeSet<ResourceKey>) {
+    fn collect_program_referrers(&self, key: &ResourceKey, referrers: &mut BTreeSet<ResourceKey>) {
         let kind = match key.kind {
             ResourceKind::Tenant => ReferenceKind::Tenant,
             ResourceKind::Service => ReferenceKind::Service,
--- a/crates/config/src/validation/services.rs
+++ b/crates/config/src/validation/services.rs
@@ -1,4 +1,4 @@
-//! Services: their site, policy and tenant exist, and path prefixes do not collide.
+//! Rules for services: the site, policy and tenant exist, and path prefixes are unique.
 
 use std::collections::HashMap;
 
--- a/crates/config/tests/decoders.rs
+++ b/crates/config/tests/decoders.rs
@@ -1,4 +1,5 @@
-//! Arbitrary bytes never crash the decoders, and a file that is written reads as it was.
+//! Property tests: arbitrary text never makes a decoder panic, and resource files round-trip
+//! through their text form.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -6,7 +7,7 @@
 use tansyhall_config::{NodeSettings, Resource, ResourceFile, ResourceKey, ResourceKind};
 use tansyhall_fixed_cases::fixed_cases;
 
-/// Pieces of files, so that random text gets past the first line.
+/// Fragments of valid files. Purely random text would be rejected at its first line.
 const FRAGMENTS: &[&str] = &[
     "[[pool]]",
     "[[site]]",
@@ -59,7 +60,8 @@
         Resource::from_json(ResourceKind::Pool, json.to_string().as_bytes())
     });
     vec(
-        prop_oneof![policy, pool].prop_map(|resource| resource.expect("it decodes")),
+        prop_oneof![policy, pool]
+            .prop_map(|resource| resource.expect("generated resource should decode")),
         0..6,
     )
 }
@@ -68,17 +70,17 @@
     #![proptest_config(fixed_cases(31))]
 
     #[test]
-    fn arbitrary_text_never_crashes_a_decoder(
+    fn arbitrary_text_never_panics_a_decoder(
         text in prop_oneof![
             any::<String>(),
             vec(select(FRAGMENTS), 0..40).prop_map(|words| words.join(" ")),
         ],
     ) {
-        if let Err(fault) = ResourceFile::parse(&text) {
-            prop_assert!(!fault.render("file", &text).is_empty());
+        if let Err(diagnostic) = ResourceFile::parse(&text) {
+            prop_assert!(!diagnostic.render("file", &text).is_empty());
         }
-        if let Err(fault) = NodeSettings::parse("file", &text) {
-            prop_assert!(!fault.to_string().is_empty());
+        if let Err(error) = NodeSettings::parse("file", &text) {
+            prop_assert!(!error.to_string().is_empty());
         }
         for kind in ResourceKind::ALL {
             let _ = Resource::from_json(kind, text.as_bytes());
@@ -87,10 +89,10 @@
     }
 
     #[test]
-    fn a_written_file_reads_as_it_was(resources in resources()) {
+    fn resource_files_round_trip_through_text(resources in resources()) {
         let file = ResourceFile::from_resources(resources);
-        let text = file.to_text().expect("it is written");
-        let read = ResourceFile::parse(&text).expect("it is read");
+        let text = file.to_text().expect("resource file should serialize");
+        let read = ResourceFile::parse(&text).expect("serialized resource file should parse");
         prop_assert_eq!(read.into_resources(), file.into_resources());
     }
 }
--- a/crates/config/tests/limits.rs
+++ b/crates/config/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that would stop a node from serving are refused, with the key named.
+//! Limits that would prevent a node from serving are rejected with an error that names the key.
 
 use tansyhall_config::settings::SettingsError;
 use tansyhall_config::NodeSettings;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn zero_is_refused_where_it_would_stop_the_node() {
+fn zero_is_rejected_for_limits_that_would_prevent_serving() {
     let limits = [
         "body_timeout = '0s'",
         "engine_stall = '0s'",
@@ -23,9 +23,9 @@
         "max_idempotency_keys = 0",
     ];
     for limit in limits {
-        let key_named = format!("limits.{}", limit.split(' ').next().unwrap_or_default());
+        let expected_key = format!("limits.{}", limit.split(' ').next().unwrap_or_default());
         match parse(limit) {
-            Err(SettingsError::Value { key, .. }) => assert_eq!(key, key_named),
+            Err(SettingsError::Value { key, .. }) => assert_eq!(key, expected_key),
             other => panic!("{limit}: {other:?}"),
         }
     }
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,10 +1,11 @@
-//! Node settings: the template, defaults, and what is refused.
+//! Node settings: the template matches the defaults and the reference, and invalid values are
+//! rejected with a precise error.
 
 use tansyhall_config::NodeSettings;
 
 const TEMPLATE: &str = include_str!("../../../examples/settings/node.toml");
 
-/// The template with every default written out.
+/// Returns the template with all commented-out defaults uncommented.
 fn with_defaults() -> String {
     let uncomment = |line: &str| match line.strip_prefix("# ") {
         Some(setting) if setting.contains(" = ") => setting.to_owned(),
@@ -16,13 +17,17 @@
 
 #[test]
 fn the_template_shows_every_default() {
-    let bare = NodeSettings::parse("node.toml", TEMPLATE).expect("the template is valid");
-    let full = NodeSettings::parse("node.toml", &with_defaults()).expect("the defaults are valid");
-    assert_eq!(format!("{bare:?}"), format!("{full:?}"));
+    let from_template = NodeSettings::parse("node.toml", TEMPLATE).expect("the template is valid");
+    let with_explicit_defaults =
+        NodeSettings::parse("node.toml", &with_defaults()).expect("the defaults are valid");
+    assert_eq!(
+        format!("{from_template:?}"),
+        format!("{with_explicit_defaults:?}")
+    );
 }
 
 #[test]
-fn the_template_and_the_reference_name_every_key() {
+fn the_template_and_the_reference_list_every_key() {
     let settings = NodeSettings::parse("node.toml", TEMPLATE).expect("the template is valid");
     let value = serde_json::to_value(&settings).expect("settings are plain data");
     let reference = include_str!("../../../docs/settings.md");
@@ -47,8 +52,8 @@
     }
 }
 
-/// What is replaced by what, and what the error names.
-const REFUSED: &[(&str, &str, &[&str])] = &[
+/// Text of the template, its invalid replacement, and the parts that the error must contain.
+const INVALID_REPLACEMENTS: &[(&str, &str, &[&str])] = &[
     (
         "zone = \"kalimati\"",
         "zone = \"a b\"",
@@ -100,18 +105,18 @@
 #[test]
 fn an_error_names_file_key_value_and_what_is_allowed() {
     let text = with_defaults();
-    for (from, to, named) in REFUSED {
+    for (from, to, expected_parts) in INVALID_REPLACEMENTS {
         assert!(text.contains(from), "{from}");
-        let refused = NodeSettings::parse("node.toml", &text.replacen(from, to, 1));
-        let error = refused.expect_err(to).to_string();
-        for part in named.iter().chain(&["node.toml"]) {
+        let result = NodeSettings::parse("node.toml", &text.replacen(from, to, 1));
+        let error = result.expect_err(to).to_string();
+        for part in expected_parts.iter().chain(&["node.toml"]) {
             assert!(error.contains(part), "{to}: {error}");
         }
     }
 }
 
 #[test]
-fn two_accounts_share_neither_name_nor_token() {
+fn accounts_that_share_a_name_or_token_are_rejected() {
     let hash = "0000000000000000000000000000000000000000000000000000000000000000";
     for (name, token) in [
         ("on-call", &hash.replace('0', "3")),
--- a/crates/config/tests/validation.rs
+++ b/crates/config/tests/validation.rs
@@ -1,4 +1,5 @@
-//! Which configurations are refused, with which field, value and hint, and who refers to whom.
+//! Invalid configurations are rejected with the field, value and hint, and the referrers of a
+//! resource are found.
 
 use tansyhall_config::{Configuration, Problem, ResourceFile, ResourceKey, ResourceKind};
 
@@ -29,7 +30,7 @@
 ";
 
 fn configuration(text: &str) -> Configuration {
-    let file = ResourceFile::parse(text).expect("the file parses");
+    let file = ResourceFile::parse(text).expect("the file should parse");
     let mut configuration = Configuration::default();
     file.into_resources()
         .into_iter()
@@ -38,17 +39,18 @@
 }
 
 fn problems(text: &str) -> Vec<Problem> {
-    let refused = configuration(text).validate();
-    refused.expect_err("the configuration is refused").0
+    let result = configuration(text).validate();
+    result.expect_err("the configuration should be rejected").0
 }
 
 #[test]
-fn a_whole_configuration_is_valid() {
+fn a_complete_configuration_is_valid() {
     assert_eq!(configuration(VALID).validate(), Ok(()));
 }
 
-/// What is replaced in the valid configuration by what, and the field, value and hint reported.
-const BROKEN: &[(&str, &str, &str, &str, Option<&str>)] = &[
+/// Text of the valid configuration, its invalid replacement, and the expected field, value and
+/// hint.
+const INVALID_REPLACEMENTS: &[(&str, &str, &str, &str, Option<&str>)] = &[
     ("zone = 'z1'", "zone = 'z11'", "zone", "z11", Some("z1")),
     (
         "site = 's'",
@@ -121,22 +123,22 @@
 ];
 
 #[test]
-fn a_broken_rule_names_resource_field_value_what_is_allowed_and_a_hint() {
-    for (from, to, field, value, hint) in BROKEN {
+fn a_violation_is_reported_with_field_value_allowed_values_and_hint() {
+    for (from, to, field, value, hint) in INVALID_REPLACEMENTS {
         assert!(VALID.contains(from), "{from}");
         let problems = problems(&VALID.replacen(from, to, 1));
         let found = problems
             .iter()
             .find(|p| p.field == *field && p.value == *value);
         let problem = found.unwrap_or_else(|| panic!("{to}: {problems:?}"));
-        let hinted = hint.map(|name| format!("did you mean '{name}'?"));
-        assert_eq!(problem.hint, hinted, "{to}");
+        let expected_hint = hint.map(|name| format!("did you mean '{name}'?"));
+        assert_eq!(problem.hint, expected_hint, "{to}");
         assert!(!problem.allowed.is_empty(), "{problem}");
     }
 }
 
 #[test]
-fn a_back_end_stands_in_one_pool_under_one_address() {
+fn a_back_end_name_or_address_used_in_two_pools_is_rejected() {
     let second = "[[pool]]\nname = 'p2'\nservice = 'assistant'\nzone = 'z2'\nmodel = 'base'\n\
         backends = [{ name = 'e1', address = '10.0.0.1:80' }]\n";
     let problems = problems(&format!("{VALID}{second}"));
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn referrers_are_named_by_fields_and_by_programs() {
+fn referrers_include_references_in_fields_and_in_policy_programs() {
     let configuration = configuration(VALID);
     let referrers = |kind, name| {
         let referrers = configuration.referrers(&ResourceKey::new(kind, name));
@@ -173,13 +175,13 @@
 #[test]
 fn an_unknown_key_has_a_position_and_a_hint() {
     let text = VALID.replace("zones =", "zoness =");
-    let fault = ResourceFile::parse(&text).expect_err("the key is unknown");
-    assert_eq!(&text[fault.span.clone()], "zoness");
-    assert_eq!(fault.hint.as_deref(), Some("did you mean 'zones'?"));
+    let diagnostic = ResourceFile::parse(&text).expect_err("the unknown key should be rejected");
+    assert_eq!(&text[diagnostic.span.clone()], "zoness");
+    assert_eq!(diagnostic.hint.as_deref(), Some("did you mean 'zones'?"));
     let text = VALID.replace("'language-model'", "'language-modle'");
-    let fault = ResourceFile::parse(&text).expect_err("the kind is unknown");
+    let diagnostic = ResourceFile::parse(&text).expect_err("the unknown kind should be rejected");
     assert_eq!(
-        fault.hint.as_deref(),
+        diagnostic.hint.as_deref(),
         Some("did you mean 'language-model'?")
     );
 }
@@ -187,8 +189,9 @@
 #[test]
 fn a_field_is_located_in_its_file() {
     let key = ResourceKey::new(ResourceKind::Pool, "p1");
-    let span = tansyhall_config::locate(VALID, &key, "zone").expect("a position");
+    let span = tansyhall_config::locate(VALID, &key, "zone").expect("the field should be located");
     assert_eq!(&VALID[span], "'z1'");
-    let span = tansyhall_config::locate(VALID, &key, "roles").expect("the name's position");
+    let span = tansyhall_config::locate(VALID, &key, "roles")
+        .expect("the name should be located instead of the absent field");
     assert_eq!(&VALID[span], "'p1'");
 }
--- a/crates/policy/src/ast.rs
+++ b/crates/policy/src/ast.rs
@@ -5,17 +5,17 @@
 
 use tansyhall_core::Role;
 
-/// A name with its position; two names are equal if their text is.
+/// A name with its position. Equality ignores the position.
 #[derive(Debug, Clone, Eq)]
 pub struct Name {
-    /// The name.
+    /// The name's text.
     pub text: String,
     /// Byte range in the source.
     pub span: Range<usize>,
 }
 
 impl Name {
-    /// A name without a position.
+    /// Creates a name without a position.
     pub fn new(text: &str) -> Self {
         Self {
             text: text.to_owned(),
@@ -30,10 +30,10 @@
     }
 }
 
-/// A whole program.
+/// A complete program.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PolicyAst {
-    /// Classes, in order; the first whose condition holds applies.
+    /// Classes in source order; the first one whose condition holds applies.
     pub classes: Vec<ClassAst>,
     /// Limits of tenants.
     pub tenants: Vec<TenantAst>,
@@ -46,13 +46,13 @@
 pub struct ClassAst {
     /// The class's name.
     pub name: Name,
-    /// When it applies; always, if absent.
+    /// The condition under which the class applies; a class without one always applies.
     pub condition: Option<Condition>,
-    /// What it sets.
+    /// The settings of the class.
     pub settings: Vec<ClassSetting>,
 }
 
-/// A boolean expression over request facts.
+/// A boolean expression over facts of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
     /// One comparison.
@@ -68,7 +68,7 @@
 /// A comparison of one request fact with a constant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Comparison {
-    /// A number against a constant.
+    /// Compares a number with a constant.
     Number {
         /// The fact.
         fact: NumberFact,
@@ -77,7 +77,7 @@
         /// The constant, in tokens or bytes.
         value: u64,
     },
-    /// A text against a constant; a fact that the request lacks is an empty text.
+    /// Compares a text with a constant; a fact that is absent from the request is an empty text.
     Text {
         /// The fact.
         fact: TextFact,
@@ -95,9 +95,9 @@
 pub enum NumberFact {
     /// Estimated tokens of the prompt.
     PromptTokens,
-    /// Most tokens of the answer that the caller asked for.
+    /// Maximum number of answer tokens that the caller requested.
     OutputTokens,
-    /// Bytes of the request's body.
+    /// Size of the request body in bytes.
     BodySize,
 }
 
@@ -147,15 +147,15 @@
 /// One setting of a class.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClassSetting {
-    /// Time from arrival to the whole answer.
+    /// Maximum time from the request's arrival to the complete answer.
     Deadline(Duration),
-    /// Queue order.
+    /// Priority in the queue.
     Priority(PriorityName),
-    /// The request runs at most once.
+    /// The request must run at most once.
     NotRepeatable,
-    /// Zones to use before others, the first one first.
+    /// Preferred zones in order of preference.
     Prefer(Vec<Name>),
-    /// Zones to use when no preferred one can serve.
+    /// Zones to use when no preferred zone can serve the request.
     Fallback(FallbackAst),
     /// Model versions with their shares of the requests.
     Versions(Vec<ShareAst>),
@@ -163,12 +163,12 @@
     Adapters(Vec<ShareAst>),
 }
 
-/// Where requests may go when no preferred zone can serve them.
+/// Where requests may be routed when no preferred zone can serve them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FallbackAst {
-    /// Anywhere.
+    /// To any zone.
     Any,
-    /// Nowhere.
+    /// To no other zone.
     None,
     /// To these zones, in this order.
     Zones(Vec<Name>),
@@ -179,23 +179,23 @@
 pub struct ShareAst {
     /// The version or adapter.
     pub name: Name,
-    /// Percent of the requests.
+    /// Share of the requests in percent.
     pub percent: u8,
 }
 
-/// A priority by name.
+/// A priority as named in programs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PriorityName {
-    /// A person is waiting at a counter.
+    /// A person waits for the answer.
     Interactive,
     /// The default.
     Standard,
-    /// Nobody waits.
+    /// Nobody waits for the answer.
     Batch,
 }
 
 impl PriorityName {
-    /// Every priority by its name in programs.
+    /// All priorities by their names in programs.
     pub const NAMES: [(&'static str, PriorityName); 3] = [
         ("interactive", PriorityName::Interactive),
         ("standard", PriorityName::Standard),
@@ -215,11 +215,11 @@
 /// One limit of a tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TenantLimit {
-    /// Requests in a second.
+    /// Maximum requests per second.
     RequestsPerSecond(u64),
-    /// Prompt and output tokens in a second.
+    /// Maximum prompt and output tokens per second.
     TokensPerSecond(u64),
-    /// Requests in progress at once.
+    /// Maximum number of concurrent requests.
     Concurrent(u64),
 }
 
@@ -232,12 +232,12 @@
     pub settings: Vec<PoolSetting>,
 }
 
-/// What a bound counts.
+/// The engines that a bound counts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BoundSubject {
-    /// Engines in a role.
+pub enum EngineSelectorAst {
+    /// Engines with this role.
     Role(Role),
-    /// Engines that load a model.
+    /// Engines that load this model.
     Model(Name),
 }
 
@@ -245,11 +245,12 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoolSetting {
     /// At least this many engines.
-    Least(BoundSubject, u64),
+    Least(EngineSelectorAst, u64),
     /// At most this many engines.
-    Most(BoundSubject, u64),
-    /// At most so many role and model changes in any window of this length.
+    Most(EngineSelectorAst, u64),
+    /// At most this many role and model changes in any window of this length.
     Changes(u64, Duration),
-    /// Least gain in goodput, in percent, for which an engine is taken out of service.
+    /// Minimum gain in goodput, in percent, that justifies taking an engine out of service for a
+    /// change.
     ChangeWorth(u8),
 }
--- a/crates/policy/src/class.rs
+++ b/crates/policy/src/class.rs
@@ -8,34 +8,34 @@
 
 use crate::ast::PriorityName;
 
-/// Deadline of a class that sets none.
+/// Deadline of a class that does not set one.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// Name of the class of requests that match no other.
+/// Name of the class of requests that match no other class.
 pub const DEFAULT_CLASS: &str = "default";
-/// Shares are percentages.
-const WHOLE: u64 = 100;
+/// Sum of the shares in one list, in percent.
+const TOTAL_PERCENT: u64 = 100;
 
 /// A request class with every setting resolved; cheap to clone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Class {
     /// The class's name.
     pub name: Arc<str>,
-    /// Time from arrival to the whole answer.
+    /// Maximum time from the request's arrival to the complete answer.
     pub deadline: Duration,
-    /// Queue order.
+    /// Priority in the queue.
     pub priority: PriorityName,
-    /// Whether the request may be attempted again after it may have run.
+    /// Whether a request may be retried although an earlier attempt may have run.
     pub repeatable: bool,
-    /// Where its requests go.
+    /// Where requests are routed.
     pub route: Arc<Route>,
-    /// Model versions with their shares; empty if any version will do.
+    /// Model versions with their shares; empty if any version may serve.
     pub versions: Arc<[Share]>,
     /// Adapters with their shares; empty if the caller chooses.
     pub adapters: Arc<[Share]>,
 }
 
 impl Class {
-    /// A class that sets nothing.
+    /// Creates a class with default settings.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.into(),
@@ -49,19 +49,19 @@
     }
 }
 
-/// Where the requests of a class go.
+/// Where the requests of a class are routed.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Route {
-    /// Zones to use before others, the first one first; empty for the caller's own zone.
+    /// Preferred zones in order of preference; empty to prefer the caller's zone.
     pub prefer: Vec<ZoneName>,
-    /// Zones to use when no preferred one can serve.
+    /// Zones to use when no preferred zone can serve the request.
     pub fallback: Fallback,
 }
 
-/// Zones to use when no preferred one can serve.
+/// Zones to use when no preferred zone can serve the request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Fallback {
-    /// Any zone, by the cost of the link.
+    /// Any zone, chosen by the cost of the link.
     #[default]
     Any,
     /// No other zone.
@@ -75,15 +75,15 @@
 pub struct Share {
     /// The version or adapter.
     pub name: Arc<str>,
-    /// Percent of the requests.
+    /// Share of the requests in percent.
     pub percent: u8,
 }
 
 impl Share {
-    /// The share that a request falls into. `draw` is any evenly spread number, such as a hash of
-    /// the caller, so that one caller stays with one version.
+    /// Returns the share that a request falls into. `draw` is a uniformly distributed number, such
+    /// as a hash of the caller, so that the same caller always gets the same version.
     pub fn pick(shares: &[Share], draw: u64) -> Option<&Share> {
-        let mut point = draw % WHOLE;
+        let mut point = draw % TOTAL_PERCENT;
         for share in shares {
             let percent = u64::from(share.percent);
             if point < percent {
@@ -95,45 +95,45 @@
     }
 }
 
-/// Limits of one tenant over the whole fleet; no limit where absent.
+/// Limits of one tenant over the whole fleet; an absent value means no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLimits {
-    /// Requests in a second.
+    /// Maximum requests per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_second: Option<u64>,
-    /// Prompt and output tokens in a second.
+    /// Maximum prompt and output tokens per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens_per_second: Option<u64>,
-    /// Requests in progress at once.
+    /// Maximum number of concurrent requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub concurrent: Option<u64>,
 }
 
-/// What a bound of a pool counts.
+/// The engines of a pool that a bound counts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Bounded {
-    /// Engines in a role.
+pub enum EngineSelector {
+    /// Engines with this role.
     Role(Role),
-    /// Engines that load a model.
+    /// Engines that load this model.
     Model(ModelName),
 }
 
-/// How many engines of a pool may play a role or load a model.
+/// Bounds on the number of engines of a pool that have a role or load a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineBound {
-    /// What is counted.
-    pub subject: Bounded,
+    /// The engines that are counted.
+    pub selector: EngineSelector,
     /// At least this many.
     pub least: u64,
     /// At most this many; no bound if absent.
     pub most: Option<u64>,
 }
 
-/// Most role and model changes of a pool in any window.
+/// Maximum number of role and model changes of a pool in any window of a given length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChangeBudget {
-    /// Most changes.
+    /// Maximum number of changes.
     pub changes: u64,
     /// The window's length.
     pub window: Duration,
@@ -144,9 +144,9 @@
 pub struct PoolBounds {
     /// Bounds on roles and models.
     pub engines: Vec<EngineBound>,
-    /// Most changes in any window; no bound if absent.
+    /// Maximum number of changes in any window; no bound if absent.
     pub budget: Option<ChangeBudget>,
-    /// Least gain in goodput, in percent, for which an engine is taken out of service; the
-    /// planner's own choice if absent.
+    /// Minimum gain in goodput, in percent, that justifies taking an engine out of service for a
+    /// change; the planner chooses it if absent.
     pub change_worth_percent: Option<u8>,
 }
--- a/crates/policy/src/compile.rs
+++ b/crates/policy/src/compile.rs
@@ -1,46 +1,47 @@
-//! The compiler: conditions become one table of tests with jumps.
+//! The compiler: translates all conditions to one table of branches.
 //!
-//! Classes are compiled from the last to the first, and each test after the tests that it may jump
-//! to. Every jump therefore goes to a smaller index, so that evaluation ends after at most as many
-//! tests as the program has comparisons.
+//! Classes are compiled from the last to the first, and each branch after the branches that it may
+//! jump to. Every jump therefore goes to a smaller index, so that evaluation ends after at most as
+//! many tests as the program has comparisons.
 
 use tansyhall_core::{ModelName, PoolName, TenantName, ZoneName};
 
 use crate::ast::{
-    BoundSubject, ClassAst, ClassSetting, Comparison, Condition, FallbackAst, Name, PolicyAst,
+    ClassAst, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst, Name, PolicyAst,
     PoolAst, PoolSetting, ShareAst, TenantAst, TenantLimit,
 };
-use crate::branch::{index_of, is_negated, test_of, Step, Target};
+use crate::branch::{is_negated, lower_comparison, table_index, Branch, Target};
 use crate::check::check;
 use crate::class::{
-    Bounded, ChangeBudget, Class, EngineBound, Fallback, PoolBounds, Route, Share, TenantLimits,
+    ChangeBudget, Class, EngineBound, EngineSelector, Fallback, PoolBounds, Route, Share,
+    TenantLimits,
 };
 use crate::diagnostic::Diagnostic;
 use crate::parser::parse;
 use crate::program::{Origin, Program};
 use crate::reference;
 
-/// Parses, checks and compiles a program; reports the first fault.
+/// Parses, checks and compiles a program; returns the first error.
 pub fn compile(source: &str) -> Result<Program, Diagnostic> {
-    compile_all(source).map_err(|mut faults| faults.swap_remove(0))
+    compile_all(source).map_err(|mut diagnostics| diagnostics.swap_remove(0))
 }
 
-/// Parses, checks and compiles a program; reports at least one fault, and every broken rule of a
-/// program that parses.
+/// Parses, checks and compiles a program. A program that does not parse has one error; for a
+/// program that parses, all rule violations are returned.
 pub fn compile_all(source: &str) -> Result<Program, Vec<Diagnostic>> {
-    let policy = parse(source).map_err(|fault| vec![fault])?;
-    let faults = check(&policy);
-    if faults.is_empty() {
+    let policy = parse(source).map_err(|diagnostic| vec![diagnostic])?;
+    let diagnostics = check(&policy);
+    if diagnostics.is_empty() {
         Ok(generate(&policy))
     } else {
-        Err(faults)
+        Err(diagnostics)
     }
 }
 
 fn generate(policy: &PolicyAst) -> Program {
     let mut program = Program::default();
     for class in policy.classes.iter().rev() {
-        let index = index_of(program.classes.len());
+        let index = table_index(program.classes.len());
         program.classes.push(compile_class(class));
         let matched = Target::Class(index);
         program.entry = match &class.condition {
@@ -61,42 +62,48 @@
     program: &mut Program,
     condition: &Condition,
     class: u16,
-    holds: Target,
-    fails: Target,
+    if_true: Target,
+    if_false: Target,
 ) -> Target {
     match condition {
-        Condition::Test(comparison) => compile_test(program, comparison, class, holds, fails),
-        Condition::Not(inner) => compile_condition(program, inner, class, fails, holds),
+        Condition::Test(comparison) => {
+            compile_comparison(program, comparison, class, if_true, if_false)
+        }
+        Condition::Not(inner) => compile_condition(program, inner, class, if_false, if_true),
         Condition::And(left, right) => {
-            let both = compile_condition(program, right, class, holds, fails);
-            compile_condition(program, left, class, both, fails)
+            let right_target = compile_condition(program, right, class, if_true, if_false);
+            compile_condition(program, left, class, right_target, if_false)
         }
         Condition::Or(left, right) => {
-            let second = compile_condition(program, right, class, holds, fails);
-            compile_condition(program, left, class, holds, second)
+            let right_target = compile_condition(program, right, class, if_true, if_false);
+            compile_condition(program, left, class, if_true, right_target)
         }
     }
 }
 
-fn compile_test(
+fn compile_comparison(
     program: &mut Program,
     comparison: &Comparison,
     class: u16,
-    holds: Target,
-    fails: Target,
+    if_true: Target,
+    if_false: Target,
 ) -> Target {
-    let (holds, fails) = match is_negated(comparison) {
-        true => (fails, holds),
-        false => (holds, fails),
+    let (if_true, if_false) = match is_negated(comparison) {
+        true => (if_false, if_true),
+        false => (if_true, if_false),
     };
-    let index = index_of(program.steps.len());
-    let test = test_of(comparison, &mut program.literals);
-    program.steps.push(Step { test, holds, fails });
+    let index = table_index(program.branches.len());
+    let test = lower_comparison(comparison, &mut program.literals);
+    program.branches.push(Branch {
+        test,
+        if_true,
+        if_false,
+    });
     program.origins.push(Origin {
         comparison: comparison.clone(),
         class,
     });
-    Target::Step(index)
+    Target::Branch(index)
 }
 
 fn compile_class(ast: &ClassAst) -> Class {
@@ -156,8 +163,10 @@
     let mut bounds = PoolBounds::default();
     for setting in &ast.settings {
         match setting {
-            PoolSetting::Least(subject, least) => bound_of(&mut bounds, subject).least = *least,
-            PoolSetting::Most(subject, most) => bound_of(&mut bounds, subject).most = Some(*most),
+            PoolSetting::Least(selector, least) => bound_mut(&mut bounds, selector).least = *least,
+            PoolSetting::Most(selector, most) => {
+                bound_mut(&mut bounds, selector).most = Some(*most)
+            }
             PoolSetting::Changes(changes, window) => {
                 bounds.budget = Some(ChangeBudget {
                     changes: *changes,
@@ -170,18 +179,20 @@
     (PoolName::new(ast.name.text.as_str()), bounds)
 }
 
-fn bound_of<'a>(bounds: &'a mut PoolBounds, subject: &BoundSubject) -> &'a mut EngineBound {
-    let subject = match subject {
-        BoundSubject::Role(role) => Bounded::Role(*role),
-        BoundSubject::Model(model) => Bounded::Model(ModelName::new(model.text.as_str())),
+fn bound_mut<'a>(bounds: &'a mut PoolBounds, selector: &EngineSelectorAst) -> &'a mut EngineBound {
+    let selector = match selector {
+        EngineSelectorAst::Role(role) => EngineSelector::Role(*role),
+        EngineSelectorAst::Model(model) => {
+            EngineSelector::Model(ModelName::new(model.text.as_str()))
+        }
     };
-    let known = bounds
+    let existing = bounds
         .engines
         .iter()
-        .position(|bound| bound.subject == subject);
-    let index = known.unwrap_or_else(|| {
+        .position(|bound| bound.selector == selector);
+    let index = existing.unwrap_or_else(|| {
         bounds.engines.push(EngineBound {
-            subject,
+            selector,
             least: 0,
             most: None,
         });
--- a/crates/policy/src/diagnostic.rs
+++ b/crates/policy/src/diagnostic.rs
@@ -1,25 +1,25 @@
-//! Faults in programs, with position, what was expected, and a hint.
+//! Errors in programs, with a position, what was expected, and a hint.
 
 use std::fmt;
 use std::ops::Range;
 
 use ariadne::{Config, IndexType, Label, Report, ReportKind, Source};
 
-/// A fault in a program.
+/// An error in a program or a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// Byte range of the fault.
+    /// Byte range of the error in the source.
     pub span: Range<usize>,
     /// What is wrong.
     pub message: String,
-    /// What would be right.
+    /// What was expected instead.
     pub expected: String,
     /// A likely correction.
     pub hint: Option<String>,
 }
 
 impl Diagnostic {
-    /// A fault without a hint.
+    /// Creates a diagnostic without a hint.
     pub fn new(
         span: Range<usize>,
         message: impl Into<String>,
@@ -33,13 +33,14 @@
         }
     }
 
-    /// Adds "did you mean", if there is a likely word.
+    /// Adds a hint that suggests `word`, if there is one.
     pub fn did_you_mean(mut self, word: Option<&str>) -> Self {
         self.hint = word.map(|word| format!("did you mean '{word}'?"));
         self
     }
 
-    /// The fault as text with the lines of the source that it concerns; `name` is the source's.
+    /// Renders the diagnostic with the affected lines of `source`; `name` is the name of the
+    /// source.
     pub fn render(&self, name: &str, source: &str) -> String {
         let label = Label::new((name, self.span.clone()))
             .with_message(format!("expected {}", self.expected));
--- a/crates/policy/src/facts.rs
+++ b/crates/policy/src/facts.rs
@@ -1,4 +1,4 @@
-//! What a program may ask about a request.
+//! The facts of a request that conditions can test.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 /// The headers of a request.
 pub trait Headers: fmt::Debug {
-    /// The value of a header by its name in lower case; `None` if it is absent or not text.
+    /// Returns the value of a header by its name in lower case; `None` if it is absent or not text.
     fn get(&self, name: &str) -> Option<&str>;
 }
 
@@ -27,17 +27,17 @@
     }
 }
 
-/// What a program may ask about a request. Built with [`RequestFacts::new`] and changed by
-/// functional update; facts that do not apply stay empty.
+/// The facts of a request that conditions can test. Create it with [`RequestFacts::new`] and set
+/// further facts with struct update syntax; facts that do not apply stay empty.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestFacts<'a> {
     /// The request's path.
     pub path: &'a str,
     /// Estimated tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer that the caller asked for.
+    /// Maximum number of answer tokens that the caller requested.
     pub output_tokens: u64,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub body_bytes: u64,
     /// The service's name.
     pub service: &'a str,
@@ -50,7 +50,7 @@
 }
 
 impl<'a> RequestFacts<'a> {
-    /// Facts of a request of which only the path and the prompt's size are known.
+    /// Creates the facts of a request of which only the path and the prompt's size are known.
     pub const fn new(path: &'a str, prompt_tokens: u64) -> Self {
         Self {
             path,
--- a/crates/policy/src/format.rs
+++ b/crates/policy/src/format.rs
@@ -1,11 +1,11 @@
-//! The formatter: one canonical text for each syntax tree.
+//! The formatter: writes each syntax tree as its one canonical text.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
 use crate::ast::{
-    BoundSubject, ClassAst, ClassSetting, Comparison, Condition, FallbackAst, Name, NumberFact,
-    NumberOperator, PolicyAst, PoolAst, PoolSetting, PriorityName, ShareAst, TenantAst,
+    ClassAst, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst, Name,
+    NumberFact, NumberOperator, PolicyAst, PoolAst, PoolSetting, PriorityName, ShareAst, TenantAst,
     TenantLimit, TextFact, TextOperator,
 };
 use crate::diagnostic::Diagnostic;
@@ -15,7 +15,7 @@
 const MILLIS_PER_SECOND: u128 = 1_000;
 const MILLIS_PER_MINUTE: u128 = 60 * MILLIS_PER_SECOND;
 
-/// The canonical text of a program; comments are lost.
+/// Returns the canonical text of a program. Comments are not preserved.
 pub fn format(source: &str) -> Result<String, Diagnostic> {
     parse(source).map(|policy| policy.to_string())
 }
@@ -69,8 +69,8 @@
 }
 
 impl Condition {
-    /// How tightly the operator binds: `or` 0, `and` 1, everything else 2.
-    const fn strength(&self) -> u8 {
+    /// Operator precedence: `or` 0, `and` 1, everything else 2.
+    const fn precedence(&self) -> u8 {
         match self {
             Condition::Or(..) => 0,
             Condition::And(..) => 1,
@@ -78,8 +78,8 @@
         }
     }
 
-    fn write_operand(&self, f: &mut Formatter<'_>, least_strength: u8) -> fmt::Result {
-        if self.strength() < least_strength {
+    fn write_operand(&self, f: &mut Formatter<'_>, min_precedence: u8) -> fmt::Result {
+        if self.precedence() < min_precedence {
             write!(f, "({self})")
         } else {
             write!(f, "{self}")
@@ -116,7 +116,7 @@
                 fact,
                 operator,
                 value,
-            } => write!(f, "{fact} {operator} {}", Quantity(*fact, *value)),
+            } => write!(f, "{fact} {operator} {}", QuantityLiteral(*fact, *value)),
             Comparison::Text {
                 fact,
                 operator,
@@ -127,16 +127,16 @@
     }
 }
 
-struct Quantity(NumberFact, u64);
+struct QuantityLiteral(NumberFact, u64);
 
-impl Display for Quantity {
+impl Display for QuantityLiteral {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        const SIZES: [(u64, &str); 2] = [(1_000_000, "MB"), (1_000, "KB")];
+        const SIZE_UNITS: [(u64, &str); 2] = [(1_000_000, "MB"), (1_000, "KB")];
         let Self(fact, value) = self;
         if *fact != NumberFact::BodySize {
             return write!(f, "{value} tokens");
         }
-        for (size, unit) in SIZES {
+        for (size, unit) in SIZE_UNITS {
             if *value > 0 && value % size == 0 {
                 return write!(f, "{} {unit}", value / size);
             }
@@ -193,7 +193,9 @@
 impl Display for ClassSetting {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            ClassSetting::Deadline(deadline) => write!(f, "deadline {}", Time(*deadline)),
+            ClassSetting::Deadline(deadline) => {
+                write!(f, "deadline {}", DurationLiteral(*deadline))
+            }
             ClassSetting::Priority(priority) => write!(f, "priority {}", priority.name()),
             ClassSetting::NotRepeatable => f.write_str("not-repeatable"),
             ClassSetting::Prefer(zones) => {
@@ -219,7 +221,7 @@
 }
 
 impl PriorityName {
-    /// The priority's name in programs.
+    /// Returns the priority's name in programs.
     pub const fn name(self) -> &'static str {
         match self {
             PriorityName::Interactive => "interactive",
@@ -229,9 +231,9 @@
     }
 }
 
-struct Time(Duration);
+struct DurationLiteral(Duration);
 
-impl Display for Time {
+impl Display for DurationLiteral {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let millis = self.0.as_millis();
         if millis > 0 && millis % MILLIS_PER_MINUTE == 0 {
@@ -274,11 +276,11 @@
     }
 }
 
-impl Display for BoundSubject {
+impl Display for EngineSelectorAst {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            BoundSubject::Role(role) => f.write_str(role.name()),
-            BoundSubject::Model(model) => write!(f, "model {model}"),
+            EngineSelectorAst::Role(role) => f.write_str(role.name()),
+            EngineSelectorAst::Model(model) => write!(f, "model {model}"),
         }
     }
 }
@@ -286,10 +288,10 @@
 impl Display for PoolSetting {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            PoolSetting::Least(subject, number) => write!(f, "least {subject} {number}"),
-            PoolSetting::Most(subject, number) => write!(f, "most {subject} {number}"),
+            PoolSetting::Least(selector, number) => write!(f, "least {selector} {number}"),
+            PoolSetting::Most(selector, number) => write!(f, "most {selector} {number}"),
             PoolSetting::Changes(changes, window) => {
-                write!(f, "changes {changes} per {}", Time(*window))
+                write!(f, "changes {changes} per {}", DurationLiteral(*window))
             }
             PoolSetting::ChangeWorth(percent) => write!(f, "change-worth {percent}%"),
         }
--- a/crates/policy/src/lexer.rs
+++ b/crates/policy/src/lexer.rs
@@ -1,4 +1,4 @@
-//! Tokens of the policy language.
+//! The lexer of the policy language.
 
 use std::ops::Range;
 
@@ -6,7 +6,7 @@
 
 use crate::diagnostic::Diagnostic;
 
-/// A token; numbers keep their unit as a separate word token.
+/// A token. The unit of a number is a separate word token.
 #[derive(Logos, Debug, Clone, PartialEq, Eq)]
 #[logos(skip r"[ \t\r\n]+")]
 #[logos(skip(r"#[^\n]*", allow_greedy = true))]
@@ -61,7 +61,7 @@
     NotEqual,
 }
 
-/// Whether `text` is one [`Token::Word`].
+/// Returns whether `text` is exactly one [`Token::Word`].
 pub fn is_word(text: &str) -> bool {
     let mut characters = text.chars();
     let starts = |c: char| c.is_ascii_alphabetic() || c == '_';
@@ -75,12 +75,12 @@
     spanned
         .map(|(token, span)| match token {
             Ok(token) => Ok((token, span)),
-            Err(()) => Err(unknown_text(source, span)),
+            Err(()) => Err(invalid_token(source, span)),
         })
         .collect()
 }
 
-fn unknown_text(source: &str, span: Range<usize>) -> Diagnostic {
+fn invalid_token(source: &str, span: Range<usize>) -> Diagnostic {
     let text = &source[span.clone()];
     if text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Diagnostic::new(span, "the number is too large", "at most 2^64 - 1");
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! The policy language: short programs that put requests into classes, give each class its
-//! deadline, priority, route and versions, and set limits of tenants and bounds of pools. A
-//! program is checked and compiled when it is accepted, so that evaluation can neither fail nor
-//! allocate. The reference is docs/policy-language.md.
+//! The policy language: short programs that assign requests to classes, set the deadline, priority,
+//! route and versions of each class, and set limits for tenants and bounds for pools. A program is
+//! checked and compiled when it is accepted, so that evaluation can neither fail nor allocate. The
+//! reference is docs/policy-language.md.
 
 #![forbid(unsafe_code)]
 
@@ -20,7 +20,8 @@
 pub mod suggest;
 
 pub use class::{
-    Bounded, ChangeBudget, Class, EngineBound, Fallback, PoolBounds, Route, Share, TenantLimits,
+    ChangeBudget, Class, EngineBound, EngineSelector, Fallback, PoolBounds, Route, Share,
+    TenantLimits,
 };
 pub use compile::{compile, compile_all};
 pub use diagnostic::Diagnostic;
--- a/crates/policy/src/parser/condition.rs
+++ b/crates/policy/src/parser/condition.rs
@@ -1,4 +1,4 @@
-//! Conditions: `or` binds weakest, then `and`, then `not`.
+//! Parses conditions. `or` has the lowest precedence, then `and`, then `not`.
 
 use super::cursor::Cursor;
 use super::{MAX_COMPARISONS, MAX_DEPTH, MAX_HEADER_COMPARISONS};
@@ -6,7 +6,7 @@
 use crate::diagnostic::Diagnostic;
 use crate::lexer::Token;
 
-/// What a comparison starts with.
+/// The left-hand side of a comparison.
 #[derive(Clone)]
 enum Subject {
     Number(NumberFact),
@@ -28,7 +28,7 @@
 impl Cursor {
     pub(super) fn condition(&mut self) -> Result<Condition, Diagnostic> {
         let mut left = self.conjunction()?;
-        while self.take_word("or") {
+        while self.consume_word("or") {
             let right = self.conjunction()?;
             left = Condition::Or(Box::new(left), Box::new(right));
         }
@@ -37,7 +37,7 @@
 
     fn conjunction(&mut self) -> Result<Condition, Diagnostic> {
         let mut left = self.negation()?;
-        while self.take_word("and") {
+        while self.consume_word("and") {
             let right = self.negation()?;
             left = Condition::And(Box::new(left), Box::new(right));
         }
@@ -45,11 +45,11 @@
     }
 
     fn negation(&mut self) -> Result<Condition, Diagnostic> {
-        if self.take_word("not") {
+        if self.consume_word("not") {
             let inner = self.nested(Self::negation)?;
             return Ok(Condition::Not(Box::new(inner)));
         }
-        if self.take(&Token::OpenParenthesis) {
+        if self.consume(&Token::OpenParenthesis) {
             let inner = self.nested(Self::condition)?;
             self.expect(&Token::CloseParenthesis, "')', 'and' or 'or'")?;
             return Ok(inner);
@@ -63,7 +63,7 @@
     ) -> Result<Condition, Diagnostic> {
         if self.depth == MAX_DEPTH {
             let expected = format!("at most {MAX_DEPTH} levels of parentheses and 'not'");
-            return Err(self.fault("the condition is nested too deeply", &expected));
+            return Err(self.diagnostic("the condition is nested too deeply", &expected));
         }
         self.depth += 1;
         let inner = parse(self);
@@ -72,9 +72,9 @@
     }
 
     fn comparison(&mut self) -> Result<Comparison, Diagnostic> {
-        self.room(self.comparisons, MAX_COMPARISONS, "comparisons")?;
+        self.check_count(self.comparisons, MAX_COMPARISONS, "comparisons")?;
         self.comparisons += 1;
-        match self.choose(&SUBJECTS)? {
+        match self.expect_one_of(&SUBJECTS)? {
             Subject::Number(fact) => {
                 let operator = self.number_operator()?;
                 let value = self.quantity(fact)?;
@@ -90,14 +90,14 @@
     }
 
     fn header_comparison(&mut self) -> Result<Comparison, Diagnostic> {
-        self.room(
+        self.check_count(
             self.header_comparisons,
             MAX_HEADER_COMPARISONS,
             "comparisons of headers",
         )?;
         self.header_comparisons += 1;
         let name = self.text("a quoted header name")?.text.to_ascii_lowercase();
-        if self.take_word("present") {
+        if self.consume_word("present") {
             return Ok(Comparison::HeaderPresent(name));
         }
         self.text_comparison(TextFact::Header(name))
@@ -132,7 +132,7 @@
             Some(Token::Equal) => TextOperator::Equal,
             Some(Token::NotEqual) => TextOperator::NotEqual,
             Some(Token::Word(_)) => {
-                return self.choose(&[("starts-with", TextOperator::StartsWith)])
+                return self.expect_one_of(&[("starts-with", TextOperator::StartsWith)])
             }
             _ => return Err(self.unexpected("one of == != starts-with")),
         };
--- a/crates/policy/src/parser/cursor.rs
+++ b/crates/policy/src/parser/cursor.rs
@@ -1,4 +1,4 @@
-//! The position in the tokens, and the faults reported there.
+//! The parser's position in the tokens, and the errors reported at that position.
 
 use std::ops::Range;
 
@@ -14,9 +14,9 @@
     end: usize,
     /// Comparisons parsed so far.
     pub(super) comparisons: usize,
-    /// Comparisons of headers among them.
+    /// Comparisons of headers parsed so far.
     pub(super) header_comparisons: usize,
-    /// Present nesting of conditions.
+    /// Current nesting depth of conditions.
     pub(super) depth: usize,
 }
 
@@ -42,8 +42,8 @@
         token
     }
 
-    /// Takes the next token if it is this one.
-    pub(super) fn take(&mut self, token: &Token) -> bool {
+    /// Consumes the next token if it equals `token`; returns whether it did.
+    pub(super) fn consume(&mut self, token: &Token) -> bool {
         let found = self.peek() == Some(token);
         if found {
             self.position += 1;
@@ -51,8 +51,8 @@
         found
     }
 
-    /// Takes the next token if it is this word.
-    pub(super) fn take_word(&mut self, word: &str) -> bool {
+    /// Consumes the next token if it is this word; returns whether it did.
+    pub(super) fn consume_word(&mut self, word: &str) -> bool {
         let found = matches!(self.peek(), Some(Token::Word(found)) if found == word);
         if found {
             self.position += 1;
@@ -60,41 +60,44 @@
         found
     }
 
-    /// Takes a token that must come next.
+    /// Consumes the next token, which must equal `token`.
     pub(super) fn expect(&mut self, token: &Token, expected: &str) -> Result<(), Diagnostic> {
-        if self.take(token) {
+        if self.consume(token) {
             return Ok(());
         }
         Err(self.unexpected(expected))
     }
 
-    /// Takes a word that must come next.
+    /// Consumes the next token, which must be this word.
     pub(super) fn expect_word(&mut self, word: &str) -> Result<(), Diagnostic> {
-        self.choose(&[(word, ())])
+        self.expect_one_of(&[(word, ())])
     }
 
-    /// Takes one of several words, each with its meaning.
-    pub(super) fn choose<T: Clone>(&mut self, choices: &[(&str, T)]) -> Result<T, Diagnostic> {
+    /// Consumes the next token, which must be one of several words, and returns the word's value.
+    pub(super) fn expect_one_of<T: Clone>(
+        &mut self,
+        choices: &[(&str, T)],
+    ) -> Result<T, Diagnostic> {
         let names = || choices.iter().map(|(name, _)| *name);
         let found = match self.peek() {
             Some(Token::Word(word)) => word.clone(),
             _ => return Err(self.unexpected(&alternatives(names()))),
         };
-        let meaning = choices.iter().find(|(name, _)| *name == found);
-        match meaning {
-            Some((_, meaning)) => {
+        let choice = choices.iter().find(|(name, _)| *name == found);
+        match choice {
+            Some((_, value)) => {
                 self.position += 1;
-                Ok(meaning.clone())
+                Ok(value.clone())
             }
             None => {
                 let message = format!("unknown word '{found}'");
-                let fault = self.fault(&message, &alternatives(names()));
-                Err(fault.did_you_mean(nearest(&found, names())))
+                let diagnostic = self.diagnostic(&message, &alternatives(names()));
+                Err(diagnostic.did_you_mean(nearest(&found, names())))
             }
         }
     }
 
-    /// Takes a name: a word, or any quoted text.
+    /// Consumes a name: a word or a quoted text.
     pub(super) fn name(&mut self, expected: &str) -> Result<Name, Diagnostic> {
         let span = self.span();
         match self.peek() {
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Takes a quoted text.
+    /// Consumes a quoted text.
     pub(super) fn text(&mut self, expected: &str) -> Result<Name, Diagnostic> {
         match self.peek() {
             Some(Token::Text(_)) => self.name(expected),
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Takes a whole number.
+    /// Consumes a whole number.
     pub(super) fn number(&mut self) -> Result<u64, Diagnostic> {
         match self.peek() {
             Some(Token::Number(number)) => {
@@ -127,32 +130,37 @@
         }
     }
 
-    /// The byte range of the next token.
+    /// Returns the byte range of the next token.
     pub(super) fn span(&self) -> Range<usize> {
         let next = self.tokens.get(self.position);
         next.map_or(self.end..self.end, |(_, span)| span.clone())
     }
 
-    /// A fault at the next token.
-    pub(super) fn fault(&self, message: &str, expected: &str) -> Diagnostic {
+    /// Creates a diagnostic at the next token.
+    pub(super) fn diagnostic(&self, message: &str, expected: &str) -> Diagnostic {
         Diagnostic::new(self.span(), message, expected)
     }
 
-    /// Refuses one more of something of which a program may have at most `most`.
-    pub(super) fn room(&self, present: usize, most: usize, what: &str) -> Result<(), Diagnostic> {
-        if present < most {
+    /// Returns an error if a program has `count` items already and may have at most `max`.
+    pub(super) fn check_count(
+        &self,
+        count: usize,
+        max: usize,
+        what: &str,
+    ) -> Result<(), Diagnostic> {
+        if count < max {
             return Ok(());
         }
-        Err(self.fault(&format!("too many {what}"), &format!("at most {most}")))
+        Err(self.diagnostic(&format!("too many {what}"), &format!("at most {max}")))
     }
 
-    /// The next token is not what the grammar asks for.
+    /// Creates a diagnostic for a next token that the grammar does not allow.
     pub(super) fn unexpected(&self, expected: &str) -> Diagnostic {
         let message = match self.peek() {
             Some(_) => "unexpected text",
             None => "the program ends too early",
         };
-        self.fault(message, expected)
+        self.diagnostic(message, expected)
     }
 }
 
--- a/crates/policy/src/parser/items.rs
+++ b/crates/policy/src/parser/items.rs
@@ -1,11 +1,11 @@
-//! Classes, tenants and pools.
+//! Parses classes, tenants and pools.
 
 use tansyhall_core::Role;
 
 use super::cursor::Cursor;
 use super::{MAX_BLOCKS, MAX_CLASSES, MAX_ENTRIES};
 use crate::ast::{
-    BoundSubject, ClassAst, ClassSetting, FallbackAst, Name, PolicyAst, PoolAst, PoolSetting,
+    ClassAst, ClassSetting, EngineSelectorAst, FallbackAst, Name, PolicyAst, PoolAst, PoolSetting,
     PriorityName, ShareAst, TenantAst, TenantLimit,
 };
 use crate::diagnostic::Diagnostic;
@@ -55,7 +55,7 @@
 ];
 
 impl Cursor {
-    /// The whole program.
+    /// Parses a complete program.
     pub(super) fn policy(mut self) -> Result<PolicyAst, Diagnostic> {
         const BLOCKS: [(&str, Block); 3] = [
             ("class", Block::Class),
@@ -64,17 +64,17 @@
         ];
         let mut policy = PolicyAst::default();
         while self.peek().is_some() {
-            match self.choose(&BLOCKS)? {
+            match self.expect_one_of(&BLOCKS)? {
                 Block::Class => {
-                    self.room(policy.classes.len(), MAX_CLASSES, "classes")?;
+                    self.check_count(policy.classes.len(), MAX_CLASSES, "classes")?;
                     policy.classes.push(self.class()?);
                 }
                 Block::Tenant => {
-                    self.room(policy.tenants.len(), MAX_BLOCKS, "tenants")?;
+                    self.check_count(policy.tenants.len(), MAX_BLOCKS, "tenants")?;
                     policy.tenants.push(self.tenant()?);
                 }
                 Block::Pool => {
-                    self.room(policy.pools.len(), MAX_BLOCKS, "pools")?;
+                    self.check_count(policy.pools.len(), MAX_BLOCKS, "pools")?;
                     policy.pools.push(self.pool()?);
                 }
             }
@@ -88,8 +88,8 @@
     ) -> Result<Vec<T>, Diagnostic> {
         self.expect(&Token::OpenBrace, "'{'")?;
         let mut entries = Vec::new();
-        while !self.take(&Token::CloseBrace) {
-            self.room(entries.len(), MAX_ENTRIES, "settings")?;
+        while !self.consume(&Token::CloseBrace) {
+            self.check_count(entries.len(), MAX_ENTRIES, "settings")?;
             entries.push(entry(self)?);
             self.expect(&Token::Semicolon, "';'")?;
         }
@@ -101,8 +101,8 @@
         entry: fn(&mut Self) -> Result<T, Diagnostic>,
     ) -> Result<Vec<T>, Diagnostic> {
         let mut entries = vec![entry(self)?];
-        while self.take(&Token::Comma) {
-            self.room(entries.len(), MAX_ENTRIES, "names")?;
+        while self.consume(&Token::Comma) {
+            self.check_count(entries.len(), MAX_ENTRIES, "names")?;
             entries.push(entry(self)?);
         }
         Ok(entries)
@@ -110,7 +110,7 @@
 
     fn class(&mut self) -> Result<ClassAst, Diagnostic> {
         let name = self.name("a class name")?;
-        let condition = match self.take_word("when") {
+        let condition = match self.consume_word("when") {
             true => Some(self.condition()?),
             false => None,
         };
@@ -123,9 +123,11 @@
     }
 
     fn class_setting(&mut self) -> Result<ClassSetting, Diagnostic> {
-        Ok(match self.choose(&CLASS_KEYWORDS)? {
+        Ok(match self.expect_one_of(&CLASS_KEYWORDS)? {
             ClassKeyword::Deadline => ClassSetting::Deadline(self.duration()?),
-            ClassKeyword::Priority => ClassSetting::Priority(self.choose(&PriorityName::NAMES)?),
+            ClassKeyword::Priority => {
+                ClassSetting::Priority(self.expect_one_of(&PriorityName::NAMES)?)
+            }
             ClassKeyword::NotRepeatable => ClassSetting::NotRepeatable,
             ClassKeyword::Prefer => {
                 self.expect_word("zone")?;
@@ -153,7 +155,7 @@
             ("any", FallbackAst::Any),
             ("none", FallbackAst::None),
         ];
-        match self.choose(&KINDS)? {
+        match self.expect_one_of(&KINDS)? {
             FallbackAst::Zones(_) => self.list(Self::zone).map(FallbackAst::Zones),
             other => Ok(other),
         }
@@ -166,20 +168,20 @@
     }
 
     fn tenant_limit(&mut self) -> Result<TenantLimit, Diagnostic> {
-        type Make = fn(u64) -> TenantLimit;
-        const UNITS: [(&str, (Make, bool)); 3] = [
+        type LimitConstructor = fn(u64) -> TenantLimit;
+        const UNITS: [(&str, (LimitConstructor, bool)); 3] = [
             ("requests", (TenantLimit::RequestsPerSecond, true)),
             ("tokens", (TenantLimit::TokensPerSecond, true)),
             ("concurrent", (TenantLimit::Concurrent, false)),
         ];
         self.expect_word("limit")?;
         let number = self.number()?;
-        let (make, is_rate) = self.choose(&UNITS)?;
+        let (limit, is_rate) = self.expect_one_of(&UNITS)?;
         if is_rate {
             self.expect_word("per")?;
             self.expect_word("s")?;
         }
-        Ok(make(number))
+        Ok(limit(number))
     }
 
     fn pool(&mut self) -> Result<PoolAst, Diagnostic> {
@@ -189,9 +191,9 @@
     }
 
     fn pool_setting(&mut self) -> Result<PoolSetting, Diagnostic> {
-        Ok(match self.choose(&POOL_KEYWORDS)? {
-            PoolKeyword::Least => PoolSetting::Least(self.bound_subject()?, self.number()?),
-            PoolKeyword::Most => PoolSetting::Most(self.bound_subject()?, self.number()?),
+        Ok(match self.expect_one_of(&POOL_KEYWORDS)? {
+            PoolKeyword::Least => PoolSetting::Least(self.engine_selector()?, self.number()?),
+            PoolKeyword::Most => PoolSetting::Most(self.engine_selector()?, self.number()?),
             PoolKeyword::Changes => {
                 let count = self.number()?;
                 self.expect_word("per")?;
@@ -201,16 +203,16 @@
         })
     }
 
-    fn bound_subject(&mut self) -> Result<BoundSubject, Diagnostic> {
+    fn engine_selector(&mut self) -> Result<EngineSelectorAst, Diagnostic> {
         const SUBJECTS: [(&str, Option<Role>); 4] = [
             ("prefill", Some(Role::Prefill)),
             ("decode", Some(Role::Decode)),
             ("mixed", Some(Role::Mixed)),
             ("model", None),
         ];
-        match self.choose(&SUBJECTS)? {
-            Some(role) => Ok(BoundSubject::Role(role)),
-            None => self.name("a model's name").map(BoundSubject::Model),
+        match self.expect_one_of(&SUBJECTS)? {
+            Some(role) => Ok(EngineSelectorAst::Role(role)),
+            None => self.name("a model's name").map(EngineSelectorAst::Model),
         }
     }
 }
--- a/crates/policy/src/parser/mod.rs
+++ b/crates/policy/src/parser/mod.rs
@@ -1,5 +1,5 @@
-//! A recursive-descent parser with positions and hints in its errors. Depth and size are bounded,
-//! so that no text can exhaust the stack.
+//! A recursive-descent parser whose errors have positions and hints. Nesting depth and program size
+//! are bounded, so that no input can overflow the stack.
 
 mod condition;
 mod cursor;
@@ -12,22 +12,23 @@
 
 use cursor::Cursor;
 
-/// Most classes a program may have.
+/// Maximum number of classes in a program.
 pub const MAX_CLASSES: usize = 32;
-/// Most tenants, and most pools, that a program may name.
+/// Maximum number of tenant blocks, and of pool blocks, in a program.
 pub const MAX_BLOCKS: usize = 256;
-/// Most comparisons in a program; bounds the cost of evaluation.
+/// Maximum number of comparisons in a program; bounds the cost of evaluation.
 pub const MAX_COMPARISONS: usize = 32;
-/// Most comparisons of headers among them, which cost most.
+/// Maximum number of comparisons of headers, which are the most expensive ones. They also count
+/// towards [`MAX_COMPARISONS`].
 pub const MAX_HEADER_COMPARISONS: usize = 6;
-/// Deepest nesting of parentheses and `not`.
+/// Maximum nesting depth of parentheses and `not`.
 pub const MAX_DEPTH: usize = 32;
-/// Most bytes of a program.
+/// Maximum size of a program's source in bytes.
 pub const MAX_SOURCE_BYTES: usize = 64 << 10;
-/// Most settings in one block, and most names in one list.
+/// Maximum number of settings in one block, and of names in one list.
 pub const MAX_ENTRIES: usize = 64;
 
-/// Parses a program.
+/// Parses a program; returns the first error.
 pub fn parse(source: &str) -> Result<PolicyAst, Diagnostic> {
     if source.len() > MAX_SOURCE_BYTES {
         let expected = format!("at most {MAX_SOURCE_BYTES} bytes");
--- a/crates/policy/src/program.rs
+++ b/crates/policy/src/program.rs
@@ -6,12 +6,12 @@
 use tansyhall_core::{PoolName, TenantName};
 
 use crate::ast::Comparison;
-use crate::branch::{is_negated, Literals, Step, Target};
+use crate::branch::{is_negated, Branch, Literals, Target};
 use crate::class::{Class, PoolBounds, TenantLimits, DEFAULT_CLASS};
 use crate::facts::RequestFacts;
 use crate::reference::Reference;
 
-/// Where a test stands in the program, for explanations.
+/// The comparison and class from which a branch was compiled, for explanations.
 #[derive(Debug, Clone)]
 pub(crate) struct Origin {
     pub(crate) comparison: Comparison,
@@ -21,11 +21,11 @@
 /// A compiled program.
 #[derive(Debug, Clone)]
 pub struct Program {
-    pub(crate) steps: Vec<Step>,
-    /// One for each step.
+    pub(crate) branches: Vec<Branch>,
+    /// The origin of each branch, in the order of `branches`.
     pub(crate) origins: Vec<Origin>,
     pub(crate) literals: Literals,
-    /// The default class first.
+    /// All classes, the default class first.
     pub(crate) classes: Vec<Class>,
     pub(crate) entry: Target,
     pub(crate) tenants: BTreeMap<TenantName, TenantLimits>,
@@ -36,7 +36,7 @@
 impl Default for Program {
     fn default() -> Self {
         Self {
-            steps: Vec::new(),
+            branches: Vec::new(),
             origins: Vec::new(),
             literals: Literals::default(),
             classes: vec![Class::new(DEFAULT_CLASS)],
@@ -48,12 +48,12 @@
     }
 }
 
-/// The most that one evaluation can cost.
+/// Upper bound on the cost of one evaluation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cost {
-    /// Classes, without the default one.
+    /// Number of classes, without the default class.
     pub classes: usize,
-    /// Most comparisons for one request.
+    /// Maximum number of comparisons for one request.
     pub comparisons: usize,
 }
 
@@ -62,28 +62,28 @@
 pub struct Explanation {
     /// The class.
     pub class: Class,
-    /// The tests made, in order.
+    /// The tests that were evaluated, in order.
     pub tests: Vec<EvaluatedTest>,
 }
 
-/// One test with its outcome.
+/// A test with its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EvaluatedTest {
-    /// The class whose condition holds the test.
+    /// The class whose condition contains the test.
     pub class: Arc<str>,
-    /// The test as in the program.
+    /// The test in the syntax of the policy language.
     pub test: String,
-    /// Whether it held.
+    /// Whether the test held.
     pub held: bool,
 }
 
 impl Program {
-    /// The class of a request. Does not allocate; the time is bounded by [`Program::cost`].
+    /// Returns the class of a request. Does not allocate; its time is bounded by [`Program::cost`].
     pub fn classify(&self, facts: &RequestFacts<'_>) -> &Class {
         self.evaluate(facts, |_, _| ())
     }
 
-    /// The class of a request, with the tests that led to it.
+    /// Returns the class of a request, with the tests that led to it.
     pub fn explain(&self, facts: &RequestFacts<'_>) -> Explanation {
         let mut tests = Vec::new();
         let class = self.evaluate(facts, |index, outcome| {
@@ -105,34 +105,38 @@
         loop {
             let index = match target {
                 Target::Class(index) => return &self.classes[usize::from(index)],
-                Target::Step(index) => index,
+                Target::Branch(index) => index,
             };
-            let step = &self.steps[usize::from(index)];
-            let outcome = step.test.holds(facts, &self.literals);
+            let branch = &self.branches[usize::from(index)];
+            let outcome = branch.test.evaluate(facts, &self.literals);
             observe(index, outcome);
-            target = if outcome { step.holds } else { step.fails };
+            target = if outcome {
+                branch.if_true
+            } else {
+                branch.if_false
+            };
         }
     }
 
-    /// The most that one evaluation can cost.
+    /// Returns the upper bound on the cost of one evaluation.
     pub fn cost(&self) -> Cost {
         Cost {
             classes: self.classes.len() - 1,
-            comparisons: self.steps.len(),
+            comparisons: self.branches.len(),
         }
     }
 
-    /// Limits of tenants that the program sets.
+    /// Returns the tenant limits that the program sets.
     pub fn tenants(&self) -> &BTreeMap<TenantName, TenantLimits> {
         &self.tenants
     }
 
-    /// Bounds of pools that the program sets.
+    /// Returns the pool bounds that the program sets.
     pub fn pools(&self) -> &BTreeMap<PoolName, PoolBounds> {
         &self.pools
     }
 
-    /// Names that must exist in the configuration.
+    /// Returns the names that must exist in the configuration.
     pub fn references(&self) -> &[Reference] {
         &self.references
     }
--- a/crates/policy/src/reference.rs
+++ b/crates/policy/src/reference.rs
@@ -1,14 +1,14 @@
-//! Names in a program that stand for resources; the configuration resolves them.
+//! References from a program to resources by name; the configuration resolves them.
 
 use std::fmt;
 use std::ops::Range;
 
 use crate::ast::{
-    BoundSubject, ClassAst, ClassSetting, Comparison, Condition, FallbackAst, Name, PolicyAst,
+    ClassAst, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst, Name, PolicyAst,
     PoolSetting, TextFact, TextOperator,
 };
 
-/// What a name stands for.
+/// The kind of object that a name refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ReferenceKind {
     /// A service.
@@ -41,10 +41,10 @@
     }
 }
 
-/// A name that must exist when the program comes into force.
+/// A name that must exist when the program takes effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reference {
-    /// What it stands for.
+    /// The kind of object that the name refers to.
     pub kind: ReferenceKind,
     /// The name.
     pub name: String,
@@ -52,29 +52,29 @@
     pub span: Range<usize>,
 }
 
-/// Every reference of a program, in the order of the blocks.
+/// Returns all references of a program: those of classes first, then of tenants, then of pools.
 pub(crate) fn collect(policy: &PolicyAst) -> Vec<Reference> {
     let mut references = Vec::new();
     for class in &policy.classes {
         collect_class(class, &mut references);
     }
     for tenant in &policy.tenants {
-        add(&mut references, ReferenceKind::Tenant, &tenant.name);
+        add_reference(&mut references, ReferenceKind::Tenant, &tenant.name);
     }
     for pool in &policy.pools {
-        add(&mut references, ReferenceKind::Pool, &pool.name);
+        add_reference(&mut references, ReferenceKind::Pool, &pool.name);
         for setting in &pool.settings {
-            if let PoolSetting::Least(BoundSubject::Model(model), _)
-            | PoolSetting::Most(BoundSubject::Model(model), _) = setting
+            if let PoolSetting::Least(EngineSelectorAst::Model(model), _)
+            | PoolSetting::Most(EngineSelectorAst::Model(model), _) = setting
             {
-                add(&mut references, ReferenceKind::Model, model);
+                add_reference(&mut references, ReferenceKind::Model, model);
             }
         }
     }
     references
 }
 
-fn add(references: &mut Vec<Reference>, kind: ReferenceKind, name: &Name) {
+fn add_reference(references: &mut Vec<Reference>, kind: ReferenceKind, name: &Name) {
     references.push(Reference {
         kind,
         name: name.text.clone(),
@@ -103,7 +103,7 @@
         };
         names
             .into_iter()
-            .for_each(|name| add(references, kind, name));
+            .for_each(|name| add_reference(references, kind, name));
     }
 }
 
@@ -125,7 +125,7 @@
                 TextFact::Model => ReferenceKind::Model,
                 TextFact::Path | TextFact::Header(_) => return,
             };
-            add(references, kind, value);
+            add_reference(references, kind, value);
         }
         Condition::Test(_) => {}
     }
--- a/crates/policy/tests/programs.rs
+++ b/crates/policy/tests/programs.rs
@@ -1,16 +1,16 @@
-//! What programs mean, and which are refused with which position and hint.
+//! The meaning of programs, and the position and hint with which invalid programs are rejected.
 
 use std::time::Duration;
 
 use tansyhall_policy::ast::PriorityName;
 use tansyhall_policy::{
-    compile, compile_all, Bounded, Fallback, Program, ReferenceKind, RequestFacts, Share,
+    compile, compile_all, EngineSelector, Fallback, Program, ReferenceKind, RequestFacts, Share,
 };
 
 const COOPERATIVE: &str = include_str!("../../../examples/cooperative/assistant.policy");
 
 fn cooperative() -> Program {
-    compile(COOPERATIVE).expect("the example compiles")
+    compile(COOPERATIVE).expect("the example should compile")
 }
 
 fn class_of(program: &Program, facts: RequestFacts<'_>) -> String {
@@ -37,9 +37,9 @@
 }
 
 #[test]
-fn not_binds_tighter_than_and_and_and_tighter_than_or() {
+fn not_binds_tighter_than_and_which_binds_tighter_than_or() {
     let source = "class hit when not path == \"/a\" and tenant == \"t\" or output_tokens >= 9 {}";
-    let program = compile(source).expect("it compiles");
+    let program = compile(source).expect("the program should compile");
     for (path, tenant, output_tokens, expected) in [
         ("/a", "t", 0, "default"),
         ("/b", "t", 0, "hit"),
@@ -61,11 +61,11 @@
 }
 
 #[test]
-fn settings_of_classes_tenants_and_pools_are_kept() {
+fn settings_of_classes_tenants_and_pools_are_compiled() {
     let source = "class a { prefer zone x, y; fallback zone z; versions v1 95%, v2 5%; }
         tenant t { limit 3 requests per s; limit 900 tokens per s; limit 2 concurrent; }
         pool p { least prefill 1; most prefill 2; least model base 1; changes 2 per 10m; change-worth 5%; }";
-    let program = compile(source).expect("it compiles");
+    let program = compile(source).expect("the program should compile");
     let class = program.classify(&RequestFacts::default());
     assert_eq!(class.route.prefer, ["x".into(), "y".into()]);
     assert_eq!(class.route.fallback, Fallback::Zones(vec!["z".into()]));
@@ -82,8 +82,11 @@
     let bounds = &program.pools()[&"p".into()];
     assert_eq!(bounds.engines.len(), 2);
     assert_eq!(bounds.engines[0].most, Some(2));
-    assert_eq!(bounds.engines[1].subject, Bounded::Model("base".into()));
-    let budget = bounds.budget.expect("a budget");
+    assert_eq!(
+        bounds.engines[1].selector,
+        EngineSelector::Model("base".into())
+    );
+    let budget = bounds.budget.expect("the change budget should be set");
     assert_eq!(
         (budget.changes, budget.window),
         (2, Duration::from_secs(600))
@@ -101,14 +104,18 @@
     let program = cooperative();
     let explanation = program.explain(&RequestFacts::new("/", 5_000));
     assert_eq!(&*explanation.class.name, "ledger-review");
-    let last = explanation.tests.last().expect("a test");
+    let last = explanation
+        .tests
+        .last()
+        .expect("at least one test should be evaluated");
     assert_eq!(last.test, "prompt_tokens > 2000 tokens");
     assert!(last.held);
     assert!(explanation.tests.len() <= program.cost().comparisons);
 }
 
-/// Each faulty program with the text at the fault, a part of what was expected, and the hint.
-const FAULTY: &[(&str, &str, &str, Option<&str>)] = &[
+/// Invalid programs, each with the source text at the error, a part of what was expected, and the
+/// hint.
+const INVALID_PROGRAMS: &[(&str, &str, &str, Option<&str>)] = &[
     ("klass a {}", "klass", "'class'", Some("class")),
     (
         "class a { deadlin 3s; }",
@@ -202,28 +209,35 @@
 ];
 
 #[test]
-fn faults_have_a_position_what_was_expected_and_a_hint() {
-    for (source, at, expected, hint) in FAULTY {
-        let fault = compile(source).expect_err(source);
-        assert_eq!(&&source[fault.span.clone()], at, "{source}: {fault}");
-        assert!(fault.expected.contains(expected), "{source}: {fault}");
-        let hinted = hint.map(|word| format!("did you mean '{word}'?"));
-        assert_eq!(fault.hint, hinted, "{source}");
+fn errors_have_a_position_an_expectation_and_a_hint() {
+    for (source, at, expected, hint) in INVALID_PROGRAMS {
+        let diagnostic = compile(source).expect_err(source);
+        assert_eq!(
+            &&source[diagnostic.span.clone()],
+            at,
+            "{source}: {diagnostic}"
+        );
+        assert!(
+            diagnostic.expected.contains(expected),
+            "{source}: {diagnostic}"
+        );
+        let expected_hint = hint.map(|word| format!("did you mean '{word}'?"));
+        assert_eq!(diagnostic.hint, expected_hint, "{source}");
     }
 }
 
 #[test]
-fn every_broken_rule_is_reported() {
+fn every_rule_violation_is_reported() {
     let source = "class a { versions v 50%; } class b { deadline 0s; }";
-    let faults = compile_all(source).expect_err("two classes are broken");
-    assert_eq!(faults.len(), 3, "{faults:?}");
+    let diagnostics = compile_all(source).expect_err("both classes should be rejected");
+    assert_eq!(diagnostics.len(), 3, "{diagnostics:?}");
 }
 
 #[test]
-fn a_rendered_fault_shows_line_column_and_hint() {
+fn a_rendered_error_shows_line_column_and_hint() {
     let source = "class a {\n    deadlin 3s;\n}\n";
     let text = compile(source)
-        .expect_err("a fault")
+        .expect_err("the misspelt setting should be rejected")
         .render("a.policy", source);
     assert!(text.contains("a.policy:2:5"), "{text}");
     assert!(text.contains("did you mean 'deadline'?"), "{text}");
@@ -235,22 +249,36 @@
         "class a when {} path == \"/\" {{}}",
         "not ".repeat(100_000 / 8)
     );
-    let fault = compile(&deep).expect_err("too deep");
-    assert!(fault.message.contains("nested too deeply"), "{fault}");
+    let diagnostic = compile(&deep).expect_err("deep nesting should be rejected");
+    assert!(
+        diagnostic.message.contains("nested too deeply"),
+        "{diagnostic}"
+    );
     let open = format!("class a when {}", "(".repeat(60_000));
     assert!(compile(&open).is_err());
     let wide = vec!["path == \"/\""; 33].join(" or ");
-    let fault = compile(&format!("class a when {wide} {{}}")).expect_err("too wide");
-    assert!(fault.message.contains("too many comparisons"), "{fault}");
+    let diagnostic = compile(&format!("class a when {wide} {{}}"))
+        .expect_err("too many comparisons should be rejected");
+    assert!(
+        diagnostic.message.contains("too many comparisons"),
+        "{diagnostic}"
+    );
     let classes: String = (0..33)
         .map(|i| format!("class c{i} when path == \"/\" {{}}"))
         .collect();
-    let fault = compile(&classes).expect_err("too many");
-    assert!(fault.message.contains("too many classes"), "{fault}");
+    let diagnostic = compile(&classes).expect_err("too many classes should be rejected");
+    assert!(
+        diagnostic.message.contains("too many classes"),
+        "{diagnostic}"
+    );
     let headers = ["header \"x\" present"; 7].join(" or ");
-    let fault = compile(&format!("class a when {headers} {{}}")).expect_err("too costly");
-    assert!(fault.message.contains("comparisons of headers"), "{fault}");
+    let diagnostic = compile(&format!("class a when {headers} {{}}"))
+        .expect_err("too many header comparisons should be rejected");
+    assert!(
+        diagnostic.message.contains("comparisons of headers"),
+        "{diagnostic}"
+    );
     let long = "#".repeat(70_000);
-    let fault = compile(&long).expect_err("too long");
-    assert!(fault.message.contains("too long"), "{fault}");
+    let diagnostic = compile(&long).expect_err("a long program should be rejected");
+    assert!(diagnostic.message.contains("too long"), "{diagnostic}");
 }
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties over arbitrary texts and arbitrary syntax trees.
+//! Property tests of the compiler over arbitrary texts and arbitrary syntax trees.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 use tansyhall_core::Role;
 use tansyhall_fixed_cases::fixed_cases;
 use tansyhall_policy::ast::{
-    BoundSubject, ClassAst, ClassSetting, Comparison, Condition, FallbackAst, Name, NumberFact,
-    NumberOperator, PolicyAst, PoolAst, PoolSetting, PriorityName, ShareAst, TenantAst,
+    ClassAst, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst, Name,
+    NumberFact, NumberOperator, PolicyAst, PoolAst, PoolSetting, PriorityName, ShareAst, TenantAst,
     TenantLimit, TextFact, TextOperator,
 };
 use tansyhall_policy::parser::parse;
 use tansyhall_policy::{compile_all, RequestFacts};
 
-/// Words and marks of the language, so that random programs get past the first token.
+/// Words and symbols of the language. Purely random text would be rejected at its first token.
 const FRAGMENTS: &[&str] = &[
     "class",
     "tenant",
@@ -183,15 +183,15 @@
 }
 
 fn pool() -> impl Strategy<Value = PoolAst> {
-    let subject = || {
+    let selector = || {
         prop_oneof![
-            select(Role::ALL.to_vec()).prop_map(BoundSubject::Role),
-            name().prop_map(BoundSubject::Model),
+            select(Role::ALL.to_vec()).prop_map(EngineSelectorAst::Role),
+            name().prop_map(EngineSelectorAst::Model),
         ]
     };
     let setting = prop_oneof![
-        (subject(), any::<u64>()).prop_map(|(s, n)| PoolSetting::Least(s, n)),
-        (subject(), any::<u64>()).prop_map(|(s, n)| PoolSetting::Most(s, n)),
+        (selector(), any::<u64>()).prop_map(|(s, n)| PoolSetting::Least(s, n)),
+        (selector(), any::<u64>()).prop_map(|(s, n)| PoolSetting::Most(s, n)),
         (any::<u64>(), duration()).prop_map(|(n, window)| PoolSetting::Changes(n, window)),
         (0u8..=100).prop_map(PoolSetting::ChangeWorth),
     ];
@@ -208,26 +208,31 @@
     )
 }
 
-/// The meaning of a condition, straight from the tree.
-fn oracle(condition: &Condition, facts: &RequestFacts<'_>) -> bool {
+/// Evaluates a condition by walking its tree, as a reference for the compiled form. Only single
+/// comparisons are evaluated by a compiled program.
+fn evaluate_tree(condition: &Condition, facts: &RequestFacts<'_>) -> bool {
     match condition {
-        Condition::Not(inner) => !oracle(inner, facts),
-        Condition::And(left, right) => oracle(left, facts) && oracle(right, facts),
-        Condition::Or(left, right) => oracle(left, facts) || oracle(right, facts),
+        Condition::Not(inner) => !evaluate_tree(inner, facts),
+        Condition::And(left, right) => evaluate_tree(left, facts) && evaluate_tree(right, facts),
+        Condition::Or(left, right) => evaluate_tree(left, facts) || evaluate_tree(right, facts),
         Condition::Test(_) => {
             let source = format!("class hit when {condition} {{}}");
-            let program = compile_all(&source).expect("one test compiles");
+            let program = compile_all(&source).expect("a single comparison should compile");
             &*program.classify(facts).name == "hit"
         }
     }
 }
 
-fn check_diagnostics(source: &str) {
-    if let Err(faults) = compile_all(source) {
-        assert!(!faults.is_empty());
-        for fault in faults {
-            assert!(source.get(fault.span.clone()).is_some(), "{:?}", fault.span);
-            assert!(!fault.render("p", source).is_empty());
+fn assert_diagnostics_are_valid(source: &str) {
+    if let Err(diagnostics) = compile_all(source) {
+        assert!(!diagnostics.is_empty());
+        for diagnostic in diagnostics {
+            assert!(
+                source.get(diagnostic.span.clone()).is_some(),
+                "{:?}",
+                diagnostic.span
+            );
+            assert!(!diagnostic.render("p", source).is_empty());
         }
     }
 }
@@ -236,32 +241,32 @@
     #![proptest_config(fixed_cases(11))]
 
     #[test]
-    fn arbitrary_text_never_crashes_the_compiler(source in any::<String>()) {
-        check_diagnostics(&source);
+    fn arbitrary_text_never_panics_the_compiler(source in any::<String>()) {
+        assert_diagnostics_are_valid(&source);
     }
 
     #[test]
-    fn arbitrary_fragments_never_crash_the_compiler(words in vec(select(FRAGMENTS), 0..60)) {
-        check_diagnostics(&words.join(" "));
+    fn arbitrary_fragments_never_panic_the_compiler(words in vec(select(FRAGMENTS), 0..60)) {
+        assert_diagnostics_are_valid(&words.join(" "));
     }
 
     #[test]
     fn a_formatted_tree_parses_to_itself(tree in policy()) {
         let text = tree.to_string();
-        prop_assert_eq!(parse(&text).map_err(|fault| fault.render("p", &text)), Ok(tree));
+        prop_assert_eq!(parse(&text).map_err(|diagnostic| diagnostic.render("p", &text)), Ok(tree));
     }
 
     #[test]
-    fn compiled_conditions_mean_what_the_tree_means(
+    fn compiled_conditions_agree_with_the_syntax_tree(
         condition in condition(),
         prompt_tokens in 0u64..200_000_000,
         path in "[a-z/]{0,4}",
     ) {
         let source = format!("class hit when {condition} {{}}");
-        let program = compile_all(&source).expect("it compiles");
+        let program = compile_all(&source).expect("the condition should compile");
         let facts = RequestFacts::new(&path, prompt_tokens);
         let hit = &*program.classify(&facts).name == "hit";
-        prop_assert_eq!(hit, oracle(&condition, &facts));
+        prop_assert_eq!(hit, evaluate_tree(&condition, &facts));
         prop_assert_eq!(program.explain(&facts).class.name, program.classify(&facts).name.clone());
     }
 }
