--- a/crates/dissemination/src/dissemination.rs
+++ b/crates/dissemination/src/dissemination.rs
@@ -112,7 +112,7 @@
 }
 
 impl Dissemination {
-    /// Creates the state of a node that has just started_at and holds no document.
+    /// Creates the state of a node that has just started and holds no document.
     pub fn new(settings: DisseminationSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -241,7 +241,7 @@
     }
 
     /// Returns whether this node should follow the store: on behalf of its zone, or because it has
-    /// just started_at and the answers of its peers were not sufficient to complete the recovery.
+    /// just started and the answers of its peers were not sufficient to complete the recovery.
     pub fn follows_store(&self) -> bool {
         self.view.is_watcher || self.needs_store
     }
--- a/crates/dissemination/src/recovery.rs
+++ b/crates/dissemination/src/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of a node that has just started: decides when it knows enough to serve. Nodes store
-//! nothing on disk, so the first revision that a restarted node receives may be older than the one
+//! Recovery of a node that has just started: decides when it knows enough to serve. Nodes persist
+//! no state, so the first revision that a restarted node receives may be older than the one
 //! that it served before. It therefore queries the members of its zone before it puts a revision in
 //! force.
 
--- a/crates/engine/src/client.rs
+++ b/crates/engine/src/client.rs
@@ -1,6 +1,6 @@
-//! The engine client. Its errors state whether the work may have run: a request that was refused or
-//! for which no connection was made has not run. Any other failure occurs after the first byte was
-//! sent, so that the work may have run.
+//! The engine client. Its errors state whether the work may have run: a request that was refused, or
+//! for which no connection was made, has not run. A request that fails otherwise after its first
+//! byte was sent may have run.
 //!
 //! Refusals, answers to orders, handles and reports contain nothing that identifies the request
 //! they answer. Each call therefore uses a separate connection, so that a late or duplicate answer
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Sends an order and returns the engine's answer, which may be a error_from_response.
+    /// Sends an order and returns the engine's answer, which may be a refusal.
     pub async fn order(
         &self,
         address: SocketAddr,
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -3,7 +3,7 @@
 //!
 //! The HTTP client library ends a body without an error when the connection is closed between two
 //! of its chunks, so that a truncated answer would be accepted as complete. A complete answer
-//! declares its end in the body before the connection is closed. An answer whose end is marked only
+//! declares its length or its end before the connection is closed. An answer whose end is marked only
 //! by the closing of the connection cannot be distinguished from a truncated one, and fails.
 
 use std::io;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -69,7 +69,7 @@
 /// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Statistics {
-    /// Probes started_at.
+    /// Probes started.
     pub probes: u64,
     /// Probes that received neither a direct nor an indirect answer.
     pub failed_probes: u64,
@@ -252,7 +252,7 @@
         leaving.map(|mark| &mark.name)
     }
 
-    /// Returns whether this node has has_joined its zone, or no answer to its join requests is to
+    /// Returns whether this node has joined its zone, or no answer to its join requests is to
     /// be expected: it has nobody to contact, or the grace period has passed.
     pub fn is_settled(&self, now: Timestamp) -> bool {
         let grace = self.settings.join_grace;
