--- a/crates/node/src/callers/application.rs
+++ b/crates/node/src/callers/application.rs
@@ -20,7 +20,7 @@
 use tansyhall_config::settings::Limits;
 use tansyhall_config::Backend;
 use tansyhall_core::{EngineName, ServiceName, TenantName, Verdict};
-use tansyhall_engine::transport::{connector, never_sent};
+use tansyhall_engine::transport::{build_connector, never_sent};
 
 use super::admit::{
     admit, classify, end_rejected, options, register_request, rejection, require_configuration,
@@ -49,7 +49,7 @@
 /// Returns the HTTP client of one worker thread, with its pool of connections to application
 /// workers.
 pub fn client(limits: &Limits) -> awc::Client {
-    let connector = connector(limits.connect_timeout, limits.max_backend_connections);
+    let connector = build_connector(limits.connect_timeout, limits.max_backend_connections);
     awc::Client::builder()
         .connector(connector)
         .no_default_headers()
@@ -100,7 +100,7 @@
     let max_bytes = node.settings.limits.max_forwarded_body_bytes;
     let length = content_length(http);
     if length.is_some_and(|length| length > max_bytes) {
-        let message = format!("the body exceeds {max_bytes} bytes");
+        let message = format!("the body passes {max_bytes} bytes");
         let status = StatusCode::PAYLOAD_TOO_LARGE;
         return Err(rejection(node, "too-large", status, message));
     }
@@ -210,7 +210,7 @@
         earlier_verdict: Verdict,
     ) -> Failure {
         if self.body.is_too_large() {
-            let message = "the body exceeds the limit".to_owned();
+            let message = "the body passes the limit".to_owned();
             let mut failure = rejection(
                 self.node,
                 "too-large",
@@ -371,7 +371,7 @@
                 Some((Ok(bytes), Some(body)))
             }
             Some(Err(error)) => {
-                let message = format!("the worker's answer was interrupted: {error}");
+                let message = format!("the worker's answer broke off: {error}");
                 let failure = Failure::may_have_run(StatusCode::BAD_GATEWAY, message.clone());
                 body.in_progress.end(RequestOutcome::Failed(failure));
                 Some((Err(std::io::Error::other(message)), None))
--- a/crates/node/tests/support/mod.rs
+++ b/crates/node/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A node's callers' side in this process, with engines and workers of the test's choice, and no
-//! platform.
+//! Runs the part of a node that serves callers in the test process, with the engines and workers that
+//! the test starts and without a platform.
 
 #![allow(dead_code)]
 
@@ -16,32 +16,32 @@
 use tansyhall_engine::protocol::{FenceToken, Order, OrderAction, OrderReply};
 use tansyhall_engine::sse::SseDecoder;
 use tansyhall_engine::EngineClient;
-use tansyhall_node::configuration::InForce;
+use tansyhall_node::configuration::ConfigurationInForce;
 use tansyhall_node::Node;
 use tansyhall_standin::engine::{self, answer_text, EngineOptions};
 
 pub const MODEL: &str = "base";
 pub const PROMPT: &str = "which families receive rice and lentils";
 
-pub fn listener() -> (TcpListener, SocketAddr) {
+pub fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     (listener, address)
 }
 
-/// An address where nobody listens.
-pub fn dead_address() -> SocketAddr {
-    listener().1
+/// Returns an address at which no process listens.
+pub fn unused_address() -> SocketAddr {
+    bind_listener().1
 }
 
-/// A mixed stand-in engine.
+/// Starts a stand-in engine in the mixed role.
 pub fn start_engine(name: &str) -> SocketAddr {
     start_engine_as(name, Role::Mixed)
 }
 
-/// A stand-in engine in a role.
+/// Starts a stand-in engine in the given role.
 pub fn start_engine_as(name: &str, role: Role) -> SocketAddr {
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     let options = EngineOptions {
         name: name.into(),
         role,
@@ -91,7 +91,8 @@
     configuration
 }
 
-/// Starts a node's callers' side; `limits` is the settings' table of that name.
+/// Starts the part of a node that serves callers; `limits` is the content of the settings' table of
+/// that name.
 pub fn start_node(
     engines: &[SocketAddr],
     workers: &[SocketAddr],
@@ -104,15 +105,16 @@
     );
     let settings = NodeSettings::parse("test", &text).expect("settings");
     let node = Node::new(settings).expect("a node");
-    let in_force = InForce::new(configuration(engines, workers)).expect("a configuration");
+    let in_force =
+        ConfigurationInForce::new(configuration(engines, workers)).expect("a configuration");
     node.in_force.store(Arc::new(in_force));
-    let (listener, address) = listener();
+    let (listener, address) = bind_listener();
     let server = tansyhall_node::server::serve_callers(listener, Arc::clone(&node));
     actix_rt::spawn(server.expect("a server"));
     (node, address)
 }
 
-/// A client with no timeouts of its own.
+/// Returns an HTTP client without timeouts and redirects.
 pub fn client() -> awc::Client {
     awc::Client::builder()
         .disable_timeout()
@@ -120,16 +122,20 @@
         .finish()
 }
 
-pub fn body(max_tokens: u32, stream: bool) -> Value {
+pub fn completion_body(max_tokens: u32, stream: bool) -> Value {
     json!({ "model": MODEL, "prompt": PROMPT, "max_tokens": max_tokens, "stream": stream })
 }
 
-pub fn expected(tokens: u32) -> String {
+pub fn expected_text(tokens: u32) -> String {
     answer_text(MODEL, PROMPT, tokens)
 }
 
-/// Asks for a completion.
-pub async fn ask(node: SocketAddr, headers: &[(&str, &str)], body: &Value) -> ClientResponse {
+/// Sends a request for a completion.
+pub async fn request_completion(
+    node: SocketAddr,
+    headers: &[(&str, &str)],
+    body: &Value,
+) -> ClientResponse {
     let mut request = client().post(format!("http://{node}/v1/completions"));
     for (name, value) in headers {
         request = request.insert_header((*name, *value));
@@ -142,17 +148,17 @@
     value.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-pub async fn json_of(response: &mut ClientResponse) -> Value {
+pub async fn read_json(response: &mut ClientResponse) -> Value {
     response.json().await.expect("a JSON body")
 }
 
-/// What an engine recorded.
+/// Returns the requests and orders that a stand-in engine has recorded.
 pub async fn get_records(engine: SocketAddr) -> Value {
     let sent = client().get(format!("http://{engine}/standin/records"));
-    json_of(&mut sent.send().await.expect("an answer")).await
+    read_json(&mut sent.send().await.expect("an answer")).await
 }
 
-/// Drains an engine under an authority of the test's own.
+/// Orders an engine to drain, with the test as the holder of the authority.
 pub async fn order_drain(engine: SocketAddr) {
     let engines = EngineClient::new(Duration::from_secs(1));
     let state = engines.state(engine).await.expect("a state");
@@ -166,28 +172,28 @@
     assert_eq!(reply, OrderReply::Accepted);
 }
 
-/// Switches an engine's faults.
+/// Sets the faults that a stand-in engine injects.
 pub async fn set_faults(engine: SocketAddr, faults: Value) {
     let url = format!("http://{engine}/standin/faults");
     let response = client().post(url).send_json(&faults).await;
     assert_eq!(response.expect("an answer").status(), 204);
 }
 
-/// A streamed answer as far as it has been read.
-pub struct Reader {
+/// Reads a streamed answer and holds what has been read so far.
+pub struct StreamReader {
     response: ClientResponse,
     decoder: SseDecoder,
-    /// Generated text.
+    /// The generated text.
     pub text: String,
-    /// Comment lines.
+    /// The comment lines.
     pub comments: Vec<String>,
-    /// The verdict, once the stream has said it.
+    /// The verdict, once the stream has stated it.
     pub verdict: Option<String>,
-    /// Whether the connection broke.
-    pub broken: bool,
+    /// Whether the connection was lost before the end of the stream.
+    pub connection_lost: bool,
 }
 
-impl Reader {
+impl StreamReader {
     pub fn new(response: ClientResponse) -> Self {
         Self {
             response,
@@ -195,16 +201,16 @@
             text: String::new(),
             comments: Vec::new(),
             verdict: None,
-            broken: false,
+            connection_lost: false,
         }
     }
 
-    /// Reads one piece of the stream; false at its end.
+    /// Reads one chunk of the stream; returns false at its end.
     pub async fn read(&mut self) -> bool {
         let bytes = match self.response.next().await {
             None => return false,
             Some(Err(_)) => {
-                self.broken = true;
+                self.connection_lost = true;
                 return false;
             }
             Some(Ok(bytes)) => bytes,
@@ -229,14 +235,14 @@
         true
     }
 
-    /// Reads until some text has come.
+    /// Reads until some text has been received.
     pub async fn read_text(&mut self) {
         while self.text.is_empty() {
             assert!(self.read().await, "the stream ended before any text");
         }
     }
 
-    /// Reads to the end.
+    /// Reads to the end of the stream.
     pub async fn read_all(mut self) -> Self {
         while self.read().await {}
         self
