--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use tansyhall_core::{ModelName, ServiceName, TenantName, Timestamp};
 use tansyhall_engine::protocol::{estimate_tokens, Priority};
-use tansyhall_policy::ast::PriorityName;
+use tansyhall_policy::ast::ClassPriority;
 use tansyhall_policy::Class;
 use tansyhall_policy::RequestFacts;
 
@@ -192,9 +192,9 @@
 
 fn priority_of(class: &Class) -> Priority {
     match class.priority {
-        PriorityName::Interactive => Priority::Interactive,
-        PriorityName::Standard => Priority::Standard,
-        PriorityName::Batch => Priority::Batch,
+        ClassPriority::Interactive => Priority::Interactive,
+        ClassPriority::Standard => Priority::Standard,
+        ClassPriority::Batch => Priority::Batch,
     }
 }
 
--- a/crates/policy/src/ast.rs
+++ b/crates/policy/src/ast.rs
@@ -150,7 +150,7 @@
     /// Maximum time from the request's arrival to the complete answer.
     Deadline(Duration),
     /// Priority in the queue.
-    Priority(PriorityName),
+    Priority(ClassPriority),
     /// The request must run at most once.
     NotRepeatable,
     /// Preferred zones in order of preference.
@@ -183,9 +183,9 @@
     pub percent: u8,
 }
 
-/// A priority as named in programs.
+/// The priority that a class gives to its requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PriorityName {
+pub enum ClassPriority {
     /// A person waits for the answer.
     Interactive,
     /// The default.
@@ -194,12 +194,12 @@
     Batch,
 }
 
-impl PriorityName {
+impl ClassPriority {
     /// All priorities by their names in programs.
-    pub const NAMES: [(&'static str, PriorityName); 3] = [
-        ("interactive", PriorityName::Interactive),
-        ("standard", PriorityName::Standard),
-        ("batch", PriorityName::Batch),
+    pub const NAMES: [(&'static str, ClassPriority); 3] = [
+        ("interactive", ClassPriority::Interactive),
+        ("standard", ClassPriority::Standard),
+        ("batch", ClassPriority::Batch),
     ];
 }
 
--- a/crates/policy/src/class.rs
+++ b/crates/policy/src/class.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use tansyhall_core::{ModelName, Role, ZoneName};
 
-use crate::ast::PriorityName;
+use crate::ast::ClassPriority;
 
 /// Deadline of a class that does not set one.
 pub const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
@@ -23,7 +23,7 @@
     /// Maximum time from the request's arrival to the complete answer.
     pub deadline: Duration,
     /// Priority in the queue.
-    pub priority: PriorityName,
+    pub priority: ClassPriority,
     /// Whether a request may be retried although an earlier attempt may have run.
     pub repeatable: bool,
     /// Where requests are routed.
@@ -40,7 +40,7 @@
         Self {
             name: name.into(),
             deadline: DEFAULT_DEADLINE,
-            priority: PriorityName::Standard,
+            priority: ClassPriority::Standard,
             repeatable: true,
             route: Arc::default(),
             versions: Arc::default(),
--- a/crates/policy/src/format.rs
+++ b/crates/policy/src/format.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::ast::{
-    ClassAst, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst, Name,
-    NumberFact, NumberOperator, PolicyAst, PoolAst, PoolSetting, PriorityName, ShareAst, TenantAst,
+    ClassAst, ClassPriority, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst,
+    Name, NumberFact, NumberOperator, PolicyAst, PoolAst, PoolSetting, ShareAst, TenantAst,
     TenantLimit, TextFact, TextOperator,
 };
 use crate::diagnostic::Diagnostic;
@@ -220,13 +220,13 @@
     }
 }
 
-impl PriorityName {
+impl ClassPriority {
     /// Returns the priority's name in programs.
     pub const fn name(self) -> &'static str {
         match self {
-            PriorityName::Interactive => "interactive",
-            PriorityName::Standard => "standard",
-            PriorityName::Batch => "batch",
+            ClassPriority::Interactive => "interactive",
+            ClassPriority::Standard => "standard",
+            ClassPriority::Batch => "batch",
         }
     }
 }
--- a/crates/policy/src/parser/items.rs
+++ b/crates/policy/src/parser/items.rs
@@ -5,8 +5,8 @@
 use super::cursor::Cursor;
 use super::{MAX_BLOCKS, MAX_CLASSES, MAX_ENTRIES};
 use crate::ast::{
-    ClassAst, ClassSetting, EngineSelectorAst, FallbackAst, Name, PolicyAst, PoolAst, PoolSetting,
-    PriorityName, ShareAst, TenantAst, TenantLimit,
+    ClassAst, ClassPriority, ClassSetting, EngineSelectorAst, FallbackAst, Name, PolicyAst,
+    PoolAst, PoolSetting, ShareAst, TenantAst, TenantLimit,
 };
 use crate::diagnostic::Diagnostic;
 use crate::lexer::Token;
@@ -126,7 +126,7 @@
         Ok(match self.expect_one_of(&CLASS_KEYWORDS)? {
             ClassKeyword::Deadline => ClassSetting::Deadline(self.duration()?),
             ClassKeyword::Priority => {
-                ClassSetting::Priority(self.expect_one_of(&PriorityName::NAMES)?)
+                ClassSetting::Priority(self.expect_one_of(&ClassPriority::NAMES)?)
             }
             ClassKeyword::NotRepeatable => ClassSetting::NotRepeatable,
             ClassKeyword::Prefer => {
--- a/crates/policy/tests/programs.rs
+++ b/crates/policy/tests/programs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use tansyhall_policy::ast::PriorityName;
+use tansyhall_policy::ast::ClassPriority;
 use tansyhall_policy::{
     compile, compile_all, EngineSelector, Fallback, Program, ReferenceKind, RequestFacts, Share,
 };
@@ -33,7 +33,7 @@
     assert_eq!(&*class.name, "ration-slip");
     assert!(!class.repeatable);
     assert_eq!(class.deadline, Duration::from_secs(5));
-    assert_eq!(class.priority, PriorityName::Interactive);
+    assert_eq!(class.priority, ClassPriority::Interactive);
 }
 
 #[test]
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -8,8 +8,8 @@
 use tansyhall_core::Role;
 use tansyhall_fixed_cases::fixed_cases;
 use tansyhall_policy::ast::{
-    ClassAst, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst, Name,
-    NumberFact, NumberOperator, PolicyAst, PoolAst, PoolSetting, PriorityName, ShareAst, TenantAst,
+    ClassAst, ClassPriority, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst,
+    Name, NumberFact, NumberOperator, PolicyAst, PoolAst, PoolSetting, ShareAst, TenantAst,
     TenantLimit, TextFact, TextOperator,
 };
 use tansyhall_policy::parser::parse;
@@ -152,7 +152,8 @@
 fn class() -> impl Strategy<Value = ClassAst> {
     let setting = prop_oneof![
         duration().prop_map(ClassSetting::Deadline),
-        select(PriorityName::NAMES.map(|(_, name)| name).to_vec()).prop_map(ClassSetting::Priority),
+        select(ClassPriority::NAMES.map(|(_, name)| name).to_vec())
+            .prop_map(ClassSetting::Priority),
         Just(ClassSetting::NotRepeatable),
         names().prop_map(ClassSetting::Prefer),
         Just(ClassSetting::Fallback(FallbackAst::Any)),
