--- a/crates/node/src/callers/admit.rs
+++ b/crates/node/src/callers/admit.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use tansyhall_core::{ModelName, ServiceName, TenantName, Timestamp};
 use tansyhall_engine::protocol::{estimate_tokens, Priority};
-use tansyhall_policy::ast::PriorityName;
+use tansyhall_policy::ast::ClassPriority;
 use tansyhall_policy::Class;
 use tansyhall_policy::RequestFacts;
 
@@ -55,7 +55,7 @@
             Err(rejection(node, "body", StatusCode::BAD_REQUEST, message))
         }
         Ok(Err(_)) => {
-            let message = format!("the body exceeds {} bytes", limits.max_body_bytes);
+            let message = format!("the body passes {} bytes", limits.max_body_bytes);
             let status = StatusCode::PAYLOAD_TOO_LARGE;
             Err(rejection(node, "too-large", status, message))
         }
@@ -192,9 +192,9 @@
 
 fn priority_of(class: &Class) -> Priority {
     match class.priority {
-        PriorityName::Interactive => Priority::Interactive,
-        PriorityName::Standard => Priority::Standard,
-        PriorityName::Batch => Priority::Batch,
+        ClassPriority::Interactive => Priority::Interactive,
+        ClassPriority::Standard => Priority::Standard,
+        ClassPriority::Batch => Priority::Batch,
     }
 }
 
