--- a/crates/cli/tests/fault_soak.rs
+++ b/crates/cli/tests/fault_soak.rs
@@ -14,7 +14,7 @@
 #[actix_rt::test]
 async fn a_short_soak_violates_no_rule() {
     let plan = EpisodePlan {
-        least_successes: MIN_SUCCESSES,
+        min_successes: MIN_SUCCESSES,
         ..EpisodePlan::new(SEED, DURATION)
     };
     let episode = run_episode(plan)
--- a/crates/fault-soak/src/caller/mod.rs
+++ b/crates/fault-soak/src/caller/mod.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::sleep;
 
-use crate::evidence::{Outcome, Sent};
+use crate::evidence::{Outcome, SentRequest};
 use crate::worker::Notebook;
 use client::Client;
 use requests::CallerRequest;
@@ -138,7 +138,7 @@
         );
         let address = self.plan.gateways[gateway];
         let outcome = self.client.ask(gateway, address, request, patience).await;
-        let sent = Sent {
+        let sent = SentRequest {
             key: request.key.clone(),
             route: request.route,
             prompt: request.prompt_text(),
--- a/crates/fault-soak/src/caller/requests.rs
+++ b/crates/fault-soak/src/caller/requests.rs
@@ -8,7 +8,7 @@
 use tansyhall_platform_standin::{DEADLINE, LAST_EVENT, PROMPT_PARTS, REQUEST_ID};
 
 use crate::evidence::Outcome;
-use crate::identity::{body_hash, RequestKey, DEADLY};
+use crate::identity::{body_hash, RequestKey, CRASH_BODY_PREFIX};
 use crate::routes::RouteKind;
 
 /// The host of all routes.
@@ -81,7 +81,7 @@
     /// Draws a request that ends each worker which begins to run it; its tries differ by their ids only.
     pub fn draw_deadly(name: &str, random: &mut ChaCha8Rng) -> Self {
         let mut request = Self::draw(String::new(), name, random);
-        request.body = [DEADLY, name.as_bytes()].join(&b' ');
+        request.body = [CRASH_BODY_PREFIX, name.as_bytes()].join(&b' ');
         request.key.body = body_hash(&request.body);
         request
     }
--- a/crates/fault-soak/src/episode.rs
+++ b/crates/fault-soak/src/episode.rs
@@ -34,17 +34,17 @@
     /// Number of callers.
     pub callers: usize,
     /// Number of requests that crash each worker which starts to run them. Each has its own caller, which repeats it.
-    pub deadly_requests: usize,
+    pub crashing_requests: usize,
     /// The episode continues without new faults until callers have received this many complete successful answers.
-    pub least_successes: usize,
+    pub min_successes: usize,
     /// Whether to include what gateways are known not to withstand: unsolved faults, and callers that send requests
     /// before the gateways know each other.
-    pub with_unsolved: bool,
+    pub include_unsolved: bool,
     /// Mechanisms of the gateways that are disabled, by their names in the settings. Without a mechanism, the judge for
     /// it must find violations.
-    pub switched_off: Vec<String>,
+    pub disabled_mechanisms: Vec<String>,
     /// The program of another build that runs alongside this one, as during an upgrade or a rollback of a fleet.
-    pub beside: Option<PathBuf>,
+    pub other_build: Option<PathBuf>,
 }
 
 /// Rules that the build in production does not implement. They are not checked if another build runs alongside.
@@ -58,11 +58,11 @@
             duration,
             gateways: 3,
             callers: 32,
-            deadly_requests: 2,
-            least_successes: 100,
-            with_unsolved: false,
-            switched_off: Vec::new(),
-            beside: None,
+            crashing_requests: 2,
+            min_successes: 100,
+            include_unsolved: false,
+            disabled_mechanisms: Vec::new(),
+            other_build: None,
         }
     }
 }
@@ -93,11 +93,11 @@
 /// Runs an episode and checks its evidence.
 pub async fn run_episode(plan: EpisodePlan) -> Result<Episode> {
     let logs = tempfile::tempdir()?;
-    let faults = Fault::played(plan.with_unsolved);
+    let faults = Fault::played(plan.include_unsolved);
     let schedule = Schedule::of_seed(plan.seed, WORKERS.len(), plan.duration, &faults);
     let mixes = &schedule.first_mixes;
     let site = Site::start(&plan, mixes, logs.path()).await?;
-    if !plan.with_unsolved {
+    if !plan.include_unsolved {
         site.until_gateways_know_each_other().await;
     }
     let site = Rc::new(site);
@@ -107,14 +107,14 @@
     let callers = (0..plan.callers)
         .map(|number| actix_rt::spawn(call(caller_plan(&plan, number, &site, &is_over))));
     let mut caller_tasks: Vec<_> = callers.collect();
-    let crashing_callers = plan.callers..plan.callers + plan.deadly_requests;
+    let crashing_callers = plan.callers..plan.callers + plan.crashing_requests;
     caller_tasks.extend(
         crashing_callers.map(|number| {
             actix_rt::spawn(repeat_deadly(caller_plan(&plan, number, &site, &is_over)))
         }),
     );
     let actions = start_actions(&site, &schedule).await;
-    wait_for_successes(site.notebook(), plan.least_successes).await;
+    wait_for_successes(site.notebook(), plan.min_successes).await;
     is_over.set(true);
     for task in caller_tasks {
         task.await?;
@@ -128,7 +128,7 @@
     link_task.abort();
     let (evidence, faults) = site.notebook().take();
     let mut violations = judge(&evidence);
-    if plan.beside.is_some() {
+    if plan.other_build.is_some() {
         violations.retain(|violation| !RULES_UNKNOWN_IN_PRODUCTION.contains(&violation.rule));
     }
     Ok(Episode {
--- a/crates/fault-soak/src/evidence.rs
+++ b/crates/fault-soak/src/evidence.rs
@@ -10,29 +10,29 @@
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Evidence {
     /// Requests as callers sent them, with their outcomes.
-    pub sent: Vec<Sent>,
+    pub sent: Vec<SentRequest>,
     /// Executions of requests by workers.
     pub runs: Vec<Run>,
     /// Requests that arrived at workers, to be run or for prefill alone, including those that were refused.
     pub arrivals: Vec<Arrival>,
     /// Prefills that workers did for other workers.
-    pub readings: Vec<Reading>,
+    pub readings: Vec<Prefill>,
     /// Other requests to workers: reports, orders, health checks and releases of KV caches.
     pub calls: Vec<Call>,
     /// Bytes received on callers' connections while no request was outstanding.
     pub stray: Vec<StrayBytes>,
     /// Bytes received by workers that are not a valid request.
-    pub garbled: Vec<Garbled>,
+    pub garbled: Vec<InvalidBytes>,
     /// Refusals in which a worker asked for back-off.
-    pub rests: Vec<Rest>,
+    pub rests: Vec<BackoffRequest>,
     /// Periods in which workers announced rate limits.
-    pub rate_limits: Vec<NamedLimit>,
+    pub rate_limits: Vec<AnnouncedRateLimit>,
     /// Workers that a request crashed.
-    pub worker_ends: Vec<WorkerEnd>,
+    pub worker_ends: Vec<WorkerCrash>,
     /// Periods in which a gateway was stopped, frozen or killed, or its link to the store had a fault.
-    pub troubles: Vec<Trouble>,
+    pub troubles: Vec<GatewayFaultPeriod>,
     /// Periods in which the link to a worker had a fault.
-    pub worker_troubles: Vec<WorkerTrouble>,
+    pub worker_troubles: Vec<WorkerLinkFaultPeriod>,
     /// Unexpected exits of gateway processes, with name and exit status.
     pub ended: Vec<String>,
     /// Gateways that did not apply the last configuration in time.
@@ -52,7 +52,7 @@
 
 /// A request that a caller sent.
 #[derive(Debug, Clone, Serialize)]
-pub struct Sent {
+pub struct SentRequest {
     /// The identity of the request.
     pub key: RequestKey,
     /// Its route.
@@ -152,7 +152,7 @@
 
 /// A prefill that a worker did for another worker.
 #[derive(Debug, Clone, Serialize)]
-pub struct Reading {
+pub struct Prefill {
     /// `IP:PORT/HANDLE` of the KV cache, as in [`Run::cache_source`].
     pub place: String,
     /// The request.
@@ -180,7 +180,7 @@
 
 /// A refusal in which a worker asked for back-off, sent without a fault injected at the worker.
 #[derive(Debug, Clone, Serialize)]
-pub struct Rest {
+pub struct BackoffRequest {
     /// The request.
     pub key: RequestKey,
     /// The worker.
@@ -193,7 +193,7 @@
 
 /// A period in which a worker announced a rate limit in its answers.
 #[derive(Debug, Clone, Serialize)]
-pub struct NamedLimit {
+pub struct AnnouncedRateLimit {
     /// The worker.
     pub worker: String,
     /// The limit for all gateways together, in thousandths of a request per second.
@@ -206,7 +206,7 @@
 
 /// A crash of a worker that a request caused.
 #[derive(Debug, Clone, Serialize)]
-pub struct WorkerEnd {
+pub struct WorkerCrash {
     /// The request.
     pub key: RequestKey,
     /// The worker.
@@ -217,7 +217,7 @@
 
 /// A period in which a gateway was stopped, frozen or killed, or its link to the store had a fault.
 #[derive(Debug, Clone, Serialize)]
-pub struct Trouble {
+pub struct GatewayFaultPeriod {
     /// The gateway.
     pub gateway: usize,
     /// Its start, in milliseconds from the start of the episode.
@@ -228,7 +228,7 @@
 
 /// A period in which the link to a worker had a fault.
 #[derive(Debug, Clone, Serialize)]
-pub struct WorkerTrouble {
+pub struct WorkerLinkFaultPeriod {
     /// The worker's incarnation at the start of the period.
     pub worker: String,
     /// Its start, in milliseconds from the start of the episode.
@@ -252,7 +252,7 @@
 
 /// Bytes received by a worker that are not a valid request.
 #[derive(Debug, Clone, Serialize)]
-pub struct Garbled {
+pub struct InvalidBytes {
     /// The worker.
     pub worker: String,
     /// The first bytes, as text.
--- a/crates/fault-soak/src/gateways.rs
+++ b/crates/fault-soak/src/gateways.rs
@@ -10,7 +10,7 @@
 use tansyhall_testing::{gateway, gateway_of, GatewayAddresses, GatewayProcess};
 use tokio::time::sleep;
 
-use crate::judges::{EXTRA, RATIO, WINDOW_S};
+use crate::judges::{BASE_RETRIES, BUDGET_WINDOW_S, RETRY_RATIO};
 use crate::link::Link;
 use crate::site::{LOCAL_ZONE, TAKEOVER_PAUSE_MS};
 
@@ -214,9 +214,9 @@
             metrics: addresses.metrics,
             store: self.store.entrance,
             operations: self.place.operations,
-            retry_ratio: RATIO,
-            retry_extra: EXTRA,
-            retry_window_s: WINDOW_S,
+            retry_ratio: RETRY_RATIO,
+            retry_extra: BASE_RETRIES,
+            retry_window_s: BUDGET_WINDOW_S,
             grace_s: GRACE_S,
             takeover_pause_ms: TAKEOVER_PAUSE_MS,
         };
--- a/crates/fault-soak/src/identity.rs
+++ b/crates/fault-soak/src/identity.rs
@@ -16,7 +16,7 @@
 }
 
 /// Prefix of the body of a request that crashes each worker which starts to run it.
-pub const DEADLY: &[u8] = b"deadly";
+pub const CRASH_BODY_PREFIX: &[u8] = b"deadly";
 
 /// Returns the hash of a body.
 pub fn body_hash(body: &[u8]) -> u64 {
--- a/crates/fault-soak/src/judges/budget.rs
+++ b/crates/fault-soak/src/judges/budget.rs
@@ -9,11 +9,11 @@
 use crate::routes::RouteKind;
 
 /// Maximum number of retries per request of the same window.
-pub const RATIO: f64 = 0.05;
-/// Number of retries allowed per window in addition to [`RATIO`].
-pub const EXTRA: u32 = 30;
+pub const RETRY_RATIO: f64 = 0.05;
+/// Number of retries allowed per window in addition to [`RETRY_RATIO`].
+pub const BASE_RETRIES: u32 = 30;
 /// Length of the window in seconds.
-pub const WINDOW_S: u64 = 10;
+pub const BUDGET_WINDOW_S: u64 = 10;
 /// Number of requests that may run on too many workers without a violation.
 const MAX_REQUESTS_ON_TOO_MANY_WORKERS: usize = 3;
 
@@ -40,7 +40,7 @@
 }
 
 fn check_retries(evidence: &Evidence, is_engine: IsEngine) -> Option<Violation> {
-    let window_ms = WINDOW_S * 1_000;
+    let window_ms = BUDGET_WINDOW_S * 1_000;
     let mut sent: Vec<u64> = evidence
         .sent
         .iter()
@@ -60,7 +60,7 @@
             None => 0,
         });
         let max_requests = requests.into_iter().max().unwrap_or(0);
-        count(&retries, **end) as f64 > RATIO * max_requests as f64 + f64::from(EXTRA)
+        count(&retries, **end) as f64 > RETRY_RATIO * max_requests as f64 + f64::from(BASE_RETRIES)
     })?;
     let what = format!(
         "{} retries in the window that ends at {window_end} ms",
--- a/crates/fault-soak/src/judges/mixed.rs
+++ b/crates/fault-soak/src/judges/mixed.rs
@@ -5,7 +5,9 @@
 
 use super::stream_events::read_events;
 use super::{Rule, Violation};
-use crate::evidence::{CallerAnswer, Evidence, Outcome, Reading, Run, RunBody, Sent, StrayBytes};
+use crate::evidence::{
+    CallerAnswer, Evidence, Outcome, Prefill, Run, RunBody, SentRequest, StrayBytes,
+};
 use crate::identity::Mark;
 
 /// Finds answers that belong to another request, or that differ from what the worker sent.
@@ -24,7 +26,7 @@
     answers.chain(stray).chain(caches).collect()
 }
 
-fn check_answer(sent: &Sent, runs: &HashMap<&str, &Run>) -> Option<Violation> {
+fn check_answer(sent: &SentRequest, runs: &HashMap<&str, &Run>) -> Option<Violation> {
     let violation =
         |what: &str, run: Option<&Run>| Some(Violation::for_request(Rule::Mixed, what, sent, run));
     let answer = match &sent.outcome {
@@ -57,7 +59,7 @@
     .and_then(|what| violation(what, Some(run)))
 }
 
-fn check_unsigned(sent: &Sent, answer: &CallerAnswer) -> Option<Violation> {
+fn check_unsigned(sent: &SentRequest, answer: &CallerAnswer) -> Option<Violation> {
     let violation = |what| Some(Violation::for_request(Rule::Mixed, what, sent, None));
     if answer.is_success() {
         return violation("successful answer has no signature of a worker");
@@ -82,7 +84,7 @@
     None
 }
 
-fn check_stream(sent: &Sent, answer: &CallerAnswer) -> Option<&'static str> {
+fn check_stream(sent: &SentRequest, answer: &CallerAnswer) -> Option<&'static str> {
     let read = read_events(&answer.body);
     if read.events.iter().any(|event| event.mark.key != sent.key) {
         return Some("stream contains an event of another request");
@@ -103,7 +105,7 @@
 }
 
 fn check_caches(evidence: &Evidence) -> Vec<Violation> {
-    let prefills: HashMap<&str, &Reading> = evidence
+    let prefills: HashMap<&str, &Prefill> = evidence
         .readings
         .iter()
         .map(|prefill| (prefill.place.as_str(), prefill))
--- a/crates/fault-soak/src/judges/mod.rs
+++ b/crates/fault-soak/src/judges/mod.rs
@@ -18,10 +18,10 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::evidence::{Evidence, Run, Sent};
+use crate::evidence::{Evidence, Run, SentRequest};
 
 pub use barred::check_barred;
-pub use budget::{check_budget, EXTRA, RATIO, WINDOW_S};
+pub use budget::{check_budget, BASE_RETRIES, BUDGET_WINDOW_S, RETRY_RATIO};
 pub use configuration::check_configuration;
 pub use ended::check_ended;
 pub use leaving::check_leaving;
@@ -83,7 +83,12 @@
         }
     }
 
-    fn for_request(rule: Rule, what: impl Into<String>, sent: &Sent, run: Option<&Run>) -> Self {
+    fn for_request(
+        rule: Rule,
+        what: impl Into<String>,
+        sent: &SentRequest,
+        run: Option<&Run>,
+    ) -> Self {
         Self::new(rule, what, (sent, run))
     }
 }
--- a/crates/fault-soak/src/judges/order.rs
+++ b/crates/fault-soak/src/judges/order.rs
@@ -5,7 +5,7 @@
 
 use super::stream_events::{read_events, StreamBody, StreamEvent};
 use super::{Rule, Violation};
-use crate::evidence::{CallerAnswer, Evidence, Outcome, Run, RunBody, Sent};
+use crate::evidence::{CallerAnswer, Evidence, Outcome, Run, RunBody, SentRequest};
 
 /// Finds streams whose events are missing, duplicated, out of order, or of several runs without a resumption.
 pub fn check_order(evidence: &Evidence) -> Vec<Violation> {
@@ -30,7 +30,7 @@
 }
 
 fn check_stream(
-    sent: &Sent,
+    sent: &SentRequest,
     answer: &CallerAnswer,
     runs: &HashMap<u64, &Run>,
 ) -> Option<&'static str> {
@@ -58,7 +58,7 @@
 
 /// Returns whether an event is followed by one of another run that did not resume the stream right after it.
 fn has_unresumed_run_change(
-    sent: &Sent,
+    sent: &SentRequest,
     events: &[StreamEvent],
     runs: &HashMap<u64, &Run>,
 ) -> bool {
--- a/crates/fault-soak/src/judges/rate_limit.rs
+++ b/crates/fault-soak/src/judges/rate_limit.rs
@@ -4,7 +4,7 @@
 
 use super::senders::{SentRequests, Span};
 use super::{Rule, Violation};
-use crate::evidence::{Arrival, Evidence, NamedLimit, Outcome};
+use crate::evidence::{AnnouncedRateLimit, Arrival, Evidence, Outcome};
 
 /// Length of the window in which requests are counted, in milliseconds.
 const WINDOW_MS: u64 = 4_000;
@@ -40,7 +40,7 @@
     violations.collect()
 }
 
-fn max_requests(limit: &NamedLimit) -> usize {
+fn max_requests(limit: &AnnouncedRateLimit) -> usize {
     let in_window = (limit.millirequests * WINDOW_MS) as f64 / MILLIREQUEST_MILLISECONDS;
     (in_window * LIMIT_TOLERANCE) as usize + EXTRA_REQUESTS
 }
@@ -51,7 +51,7 @@
     evidence: &'a Evidence,
     requests: &SentRequests<'_>,
     notice_times: &NoticeTimes<'_>,
-    limit: &NamedLimit,
+    limit: &AnnouncedRateLimit,
 ) -> Vec<&'a Arrival> {
     let is_announced =
         |at_ms: u64| at_ms >= limit.from_ms && limit.to_ms.is_none_or(|to| at_ms < to);
@@ -81,7 +81,7 @@
 /// left out, since requests that a link delays arrive in a burst.
 fn busiest_window<'a>(
     evidence: &Evidence,
-    limit: &NamedLimit,
+    limit: &AnnouncedRateLimit,
     counted_arrivals: &[&'a Arrival],
 ) -> Vec<&'a Arrival> {
     let windows = counted_arrivals
--- a/crates/fault-soak/src/judges/rest.rs
+++ b/crates/fault-soak/src/judges/rest.rs
@@ -3,7 +3,7 @@
 
 use super::senders::{SentRequests, Span};
 use super::{Rule, Violation};
-use crate::evidence::{Arrival, Evidence, Outcome, Rest};
+use crate::evidence::{Arrival, BackoffRequest, Evidence, Outcome};
 
 /// Time after which a gateway must be backing off, from when the worker asked for it, in milliseconds.
 const BACKOFF_GRACE_MS: u64 = 500;
@@ -31,7 +31,7 @@
 fn arrivals_in_backoff<'a>(
     evidence: &'a Evidence,
     requests: &SentRequests<'_>,
-    backoff: &Rest,
+    backoff: &BackoffRequest,
 ) -> Option<Vec<&'a Arrival>> {
     let refused = requests.unique(&backoff.key)?;
     // A caller that got no complete answer may have disconnected before the gateway received the refusal.
--- a/crates/fault-soak/src/judges/senders.rs
+++ b/crates/fault-soak/src/judges/senders.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::evidence::{Evidence, Sent};
+use crate::evidence::{Evidence, SentRequest};
 use crate::identity::RequestKey;
 
 /// A span of time, in milliseconds from the start of the episode.
@@ -21,11 +21,11 @@
 }
 
 /// The requests that callers sent, by identity.
-pub(super) struct SentRequests<'a>(HashMap<&'a RequestKey, Vec<&'a Sent>>);
+pub(super) struct SentRequests<'a>(HashMap<&'a RequestKey, Vec<&'a SentRequest>>);
 
 impl<'a> SentRequests<'a> {
     pub(super) fn of(evidence: &'a Evidence) -> Self {
-        let mut requests: HashMap<&RequestKey, Vec<&Sent>> = HashMap::new();
+        let mut requests: HashMap<&RequestKey, Vec<&SentRequest>> = HashMap::new();
         for sent in &evidence.sent {
             requests.entry(&sent.key).or_default().push(sent);
         }
@@ -34,7 +34,7 @@
 
     /// Returns the request with this key if it was sent exactly once. If it was sent several times, which of them
     /// arrived at a worker is unknown.
-    pub(super) fn unique(&self, key: &RequestKey) -> Option<&'a Sent> {
+    pub(super) fn unique(&self, key: &RequestKey) -> Option<&'a SentRequest> {
         match self.0.get(key)?.as_slice() {
             [sent] => Some(sent),
             _ => None,
--- a/crates/fault-soak/src/judges/unasked.rs
+++ b/crates/fault-soak/src/judges/unasked.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use super::{Rule, Violation};
-use crate::evidence::{Evidence, Sent};
+use crate::evidence::{Evidence, SentRequest};
 use crate::identity::RequestKey;
 
 /// The HTTP method of all requests of callers.
@@ -11,7 +11,7 @@
 
 /// Finds runs, prefills and bytes at workers that do not come from a request of a caller.
 pub fn check_unasked(evidence: &Evidence) -> Vec<Violation> {
-    let sent: HashMap<&RequestKey, &Sent> =
+    let sent: HashMap<&RequestKey, &SentRequest> =
         evidence.sent.iter().map(|sent| (&sent.key, sent)).collect();
     let mut violations = Vec::new();
     for run in &evidence.runs {
--- a/crates/fault-soak/src/keep.rs
+++ b/crates/fault-soak/src/keep.rs
@@ -9,10 +9,10 @@
 use crate::episode::Episode;
 
 /// Default directory for failed episodes, relative to the working directory.
-pub const KEEP_DIRECTORY: &str = "target/fault-soak";
+pub const DEFAULT_OUTPUT_DIRECTORY: &str = "target/fault-soak";
 
 /// Saves an episode in its own folder below a directory and returns the path of the folder.
-pub fn keep(episode: &Episode, directory: &Path) -> Result<PathBuf> {
+pub fn save_episode(episode: &Episode, directory: &Path) -> Result<PathBuf> {
     let folder = directory.join(format!("seed-{}", episode.plan.seed));
     fs::create_dir_all(&folder)
         .with_context(|| format!("cannot create folder {}", folder.display()))?;
--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -24,15 +24,16 @@
 
 pub use episode::{run_episode, Episode, EpisodePlan};
 pub use evidence::{
-    Arrival, Call, CallerAnswer, Evidence, Garbled, NamedLimit, Outcome, Reading, Rest, Run,
-    RunBody, Sent, StaleConfiguration, StrayBytes, Trouble, WorkerEnd, WorkerTrouble,
+    AnnouncedRateLimit, Arrival, BackoffRequest, Call, CallerAnswer, Evidence, GatewayFaultPeriod,
+    InvalidBytes, Outcome, Prefill, Run, RunBody, SentRequest, StaleConfiguration, StrayBytes,
+    WorkerCrash, WorkerLinkFaultPeriod,
 };
 pub use faults::{Fault, FaultCounts, Mix};
 pub use http::{Framing, Head, ReadError, Reader};
-pub use identity::{body_hash, Mark, RequestKey, DEADLY};
+pub use identity::{body_hash, Mark, RequestKey, CRASH_BODY_PREFIX};
 pub use judges::{judge, Rule, Violation};
-pub use keep::{keep, KEEP_DIRECTORY};
+pub use keep::{save_episode, DEFAULT_OUTPUT_DIRECTORY};
 pub use link::{Link, LinkFault};
-pub use regressions::{regressions, Regression};
+pub use regressions::{load_regressions, Regression};
 pub use routes::RouteKind;
 pub use schedule::{Action, Schedule, ScheduledAction};
--- a/crates/fault-soak/src/regressions.rs
+++ b/crates/fault-soak/src/regressions.rs
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// Fails if a line is malformed.
-pub fn regressions() -> Result<Vec<Regression>> {
+pub fn load_regressions() -> Result<Vec<Regression>> {
     let lines = SEED_LIST.lines().map(str::trim);
     let lines = lines.filter(|line| !line.is_empty() && !line.starts_with('#'));
     lines
--- a/crates/fault-soak/src/routes.rs
+++ b/crates/fault-soak/src/routes.rs
@@ -26,9 +26,9 @@
 }
 
 /// Name of the service of workers that are not engines.
-pub const APPLICATION: &str = "app";
+pub const APPLICATION_SERVICE: &str = "app";
 /// Name of the service of engines.
-pub const ENGINES: &str = "llm";
+pub const ENGINE_SERVICE: &str = "llm";
 
 impl RouteKind {
     /// All routes.
@@ -109,9 +109,9 @@
             max_attempts: self.max_attempts(),
             objective_ms: LATENCY_OBJECTIVE_MS,
             service: if self.is_engine() {
-                ENGINES
+                ENGINE_SERVICE
             } else {
-                APPLICATION
+                APPLICATION_SERVICE
             },
         }
     }
@@ -129,7 +129,7 @@
             resumable: false,
             max_attempts: 2,
             objective_ms: LATENCY_OBJECTIVE_MS,
-            service: APPLICATION,
+            service: APPLICATION_SERVICE,
         });
     }
     routes
--- a/crates/fault-soak/src/site.rs
+++ b/crates/fault-soak/src/site.rs
@@ -15,11 +15,11 @@
 
 use crate::caller::HOST;
 use crate::episode::EpisodePlan;
-use crate::evidence::{StaleConfiguration, Trouble, WorkerTrouble};
+use crate::evidence::{GatewayFaultPeriod, StaleConfiguration, WorkerLinkFaultPeriod};
 use crate::faults::Mix;
 use crate::gateways::{Done, GatewayPlace, GatewaySlot};
 use crate::link::{Link, LinkFault};
-use crate::routes::{routes, APPLICATION, ENGINES};
+use crate::routes::{routes, APPLICATION_SERVICE, ENGINE_SERVICE};
 use crate::schedule::{Action, Edge, Restore};
 use crate::worker::{Notebook, Worker, WorkerPlan};
 
@@ -59,15 +59,15 @@
 
 /// The workers that a site begins with.
 pub const WORKERS: [WorkerPlan; 9] = [
-    worker(APPLICATION, LOCAL_ZONE, None),
-    worker(APPLICATION, LOCAL_ZONE, None),
-    worker(APPLICATION, LOCAL_ZONE, None),
-    worker(APPLICATION, OTHER_ZONE, None),
-    worker(ENGINES, LOCAL_ZONE, Some("prefill")),
-    worker(ENGINES, LOCAL_ZONE, Some("prefill")),
-    worker(ENGINES, LOCAL_ZONE, Some("decode")),
-    worker(ENGINES, LOCAL_ZONE, Some("decode")),
-    worker(ENGINES, OTHER_ZONE, Some("decode")),
+    worker(APPLICATION_SERVICE, LOCAL_ZONE, None),
+    worker(APPLICATION_SERVICE, LOCAL_ZONE, None),
+    worker(APPLICATION_SERVICE, LOCAL_ZONE, None),
+    worker(APPLICATION_SERVICE, OTHER_ZONE, None),
+    worker(ENGINE_SERVICE, LOCAL_ZONE, Some("prefill")),
+    worker(ENGINE_SERVICE, LOCAL_ZONE, Some("prefill")),
+    worker(ENGINE_SERVICE, LOCAL_ZONE, Some("decode")),
+    worker(ENGINE_SERVICE, LOCAL_ZONE, Some("decode")),
+    worker(ENGINE_SERVICE, OTHER_ZONE, Some("decode")),
 ];
 
 /// A site.
@@ -104,8 +104,8 @@
                 number,
                 directory: directory.to_owned(),
                 operations: operations.address,
-                switched_off: plan.switched_off.clone(),
-                beside: plan.beside.clone(),
+                switched_off: plan.disabled_mechanisms.clone(),
+                beside: plan.other_build.clone(),
             };
             let slot = GatewaySlot::start(place, &site.store).await?;
             site.gateways.push(slot);
@@ -142,7 +142,7 @@
         let performed = self.perform_untold(action).await;
         if let Some(gateway) = gateway {
             let to_ms = self.notebook.now_ms();
-            let trouble = Trouble {
+            let trouble = GatewayFaultPeriod {
                 gateway,
                 from_ms,
                 to_ms,
@@ -397,7 +397,7 @@
         sleep(time).await;
         link.set_fault(LinkFault::None);
         if let Some(worker) = harmed {
-            let trouble = WorkerTrouble {
+            let trouble = WorkerLinkFaultPeriod {
                 worker,
                 from_ms,
                 to_ms: self.notebook.now_ms(),
--- a/crates/fault-soak/src/worker/answers.rs
+++ b/crates/fault-soak/src/worker/answers.rs
@@ -13,10 +13,10 @@
 
 use super::reply::Reply;
 use super::state::{SeenArrival, WorkerState};
-use crate::evidence::{Rest, Run, RunBody};
+use crate::evidence::{BackoffRequest, Run, RunBody};
 use crate::faults::{Aspect, Fault};
 use crate::http::Head;
-use crate::identity::{body_hash, Mark, RequestKey, DEADLY};
+use crate::identity::{body_hash, Mark, RequestKey, CRASH_BODY_PREFIX};
 use crate::routes::RouteKind;
 
 const PREFILL: &str = "prefill";
@@ -150,7 +150,7 @@
 
     fn ask_for_rest(&self, key: RequestKey, rest_ms: u64) -> Reply {
         self.notebook.count_fault("worker asks for rest");
-        let rest = Rest {
+        let rest = BackoffRequest {
             key,
             worker: self.id.clone(),
             at_ms: self.notebook.now_ms(),
@@ -237,7 +237,7 @@
             }
         };
         let reply = reply.with(SEAL, &run.seal);
-        match request.body.starts_with(DEADLY) {
+        match request.body.starts_with(CRASH_BODY_PREFIX) {
             true => reply.ending_worker(run.mark.key),
             false => reply,
         }
--- a/crates/fault-soak/src/worker/connection.rs
+++ b/crates/fault-soak/src/worker/connection.rs
@@ -13,7 +13,7 @@
 use super::answers::Request;
 use super::reply::{Ending, Reply};
 use super::state::WorkerState;
-use crate::evidence::Rest;
+use crate::evidence::BackoffRequest;
 use crate::faults::{Aspect, Fault};
 use crate::http::{Framing, ReadError, Reader};
 use crate::identity::RequestKey;
@@ -175,7 +175,7 @@
 
     /// Sends an answer that asks for rest, without faults. It is noted where none of an earlier answer is in its way:
     /// what comes in its place is not believed.
-    async fn deliver_rest(&mut self, reply: &Reply, rest: &Rest) -> std::io::Result<()> {
+    async fn deliver_rest(&mut self, reply: &Reply, rest: &BackoffRequest) -> std::io::Result<()> {
         let is_alone = self.late.is_empty();
         self.send_late().await?;
         self.write(&reply.steps(Ending::Told).concat()).await?;
--- a/crates/fault-soak/src/worker/reply.rs
+++ b/crates/fault-soak/src/worker/reply.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::evidence::Rest;
+use crate::evidence::BackoffRequest;
 use crate::identity::RequestKey;
 
 /// An answer.
@@ -18,7 +18,7 @@
     pub(super) pause: Duration,
     is_stream: bool,
     /// The rest that it asks for.
-    pub(super) rest: Option<Rest>,
+    pub(super) rest: Option<BackoffRequest>,
     /// The request that ends the worker, if it does.
     pub(super) deadly: Option<RequestKey>,
 }
@@ -66,7 +66,7 @@
     }
 
     /// The same with a rest that it asks for.
-    pub(super) fn asking_for(mut self, rest: Rest) -> Self {
+    pub(super) fn asking_for(mut self, rest: BackoffRequest) -> Self {
         self.rest = Some(rest);
         self
     }
--- a/crates/fault-soak/src/worker/state.rs
+++ b/crates/fault-soak/src/worker/state.rs
@@ -14,7 +14,8 @@
 
 use super::{entry, WorkerPlan};
 use crate::evidence::{
-    Arrival, Call, Evidence, Garbled, NamedLimit, Reading, Rest, Run, WorkerEnd,
+    AnnouncedRateLimit, Arrival, BackoffRequest, Call, Evidence, InvalidBytes, Prefill, Run,
+    WorkerCrash,
 };
 use crate::faults::{Aspect, Fault, FaultCounts, Mix};
 use crate::identity::RequestKey;
@@ -82,7 +83,7 @@
         let handle = format!("c{:x}", pages.next_handle);
         let place = format!("{address}/{handle}");
         pages.caches.insert(place.clone(), ());
-        pages.evidence.readings.push(Reading { place, key, at_ms });
+        pages.evidence.readings.push(Prefill { place, key, at_ms });
         handle
     }
 
@@ -185,7 +186,7 @@
 
     /// Ends it under a request.
     pub(super) fn end(&self, key: RequestKey) {
-        let end = WorkerEnd {
+        let end = WorkerCrash {
             key,
             worker: self.id.clone(),
             at_ms: self.notebook.now_ms(),
@@ -242,7 +243,7 @@
             }
             evidence
                 .rate_limits
-                .extend(millirequests.map(|millirequests| NamedLimit {
+                .extend(millirequests.map(|millirequests| AnnouncedRateLimit {
                     worker: self.id.clone(),
                     millirequests,
                     from_ms: now_ms,
@@ -255,7 +256,7 @@
         self.changing.lock().limit_milli
     }
 
-    pub(super) fn record_rest(&self, rest: Rest) {
+    pub(super) fn record_rest(&self, rest: BackoffRequest) {
         self.notebook.record(|evidence| evidence.rests.push(rest));
     }
 
@@ -345,7 +346,7 @@
     }
 
     pub(super) fn record_garbled(&self, bytes: String) {
-        let garbled = Garbled {
+        let garbled = InvalidBytes {
             worker: self.id.clone(),
             bytes,
             at_ms: self.notebook.now_ms(),
--- a/crates/fault-soak/tests/judges.rs
+++ b/crates/fault-soak/tests/judges.rs
@@ -10,12 +10,12 @@
 };
 use tansyhall_fault_soak::judges::{
     check_barred, check_budget, check_configuration, check_ended, check_leaving, check_mixed,
-    check_order, check_rate_limit, check_refused, check_rest, check_twice, check_unasked, EXTRA,
-    WINDOW_S,
+    check_order, check_rate_limit, check_refused, check_rest, check_twice, check_unasked,
+    BASE_RETRIES, BUDGET_WINDOW_S,
 };
 use tansyhall_fault_soak::{
-    judge, Evidence, Garbled, NamedLimit, Outcome, Rest, RouteKind, Rule, StaleConfiguration,
-    StrayBytes, Trouble, WorkerEnd, WorkerTrouble,
+    judge, AnnouncedRateLimit, BackoffRequest, Evidence, GatewayFaultPeriod, InvalidBytes, Outcome,
+    RouteKind, Rule, StaleConfiguration, StrayBytes, WorkerCrash, WorkerLinkFaultPeriod,
 };
 
 fn rules(evidence: &Evidence) -> Vec<Rule> {
@@ -247,7 +247,7 @@
     evidence.readings.push(reading("1.1.1.1:1/c1", key("b")));
     assert_eq!(check_unasked(&evidence).len(), 1);
     let mut evidence = plain_evidence();
-    evidence.garbled.push(Garbled {
+    evidence.garbled.push(InvalidBytes {
         worker: "i-1".into(),
         bytes: "rest of a body".into(),
         at_ms: 0,
@@ -331,7 +331,7 @@
 #[test]
 fn budget_detects_more_retries_than_the_fleet_may_send() {
     // A single request raises the budget by only a fraction of a retry above the fixed number.
-    let max_retries = EXTRA as usize;
+    let max_retries = BASE_RETRIES as usize;
     assert!(check_budget(&evidence_with_arrivals(max_retries + 1, true)).is_empty());
     assert_eq!(
         check_budget(&evidence_with_arrivals(max_retries + 2, true)).len(),
@@ -346,11 +346,11 @@
 
 #[test]
 fn budget_counts_each_window_separately() {
-    let max_retries = EXTRA as usize;
+    let max_retries = BASE_RETRIES as usize;
     let mut evidence = evidence_with_arrivals(2 * max_retries, true);
     assert_eq!(check_budget(&evidence).len(), 1);
     for arrival in evidence.arrivals.iter_mut().skip(max_retries + 2) {
-        arrival.at_ms = 3 * 1_000 * WINDOW_S;
+        arrival.at_ms = 3 * 1_000 * BUDGET_WINDOW_S;
     }
     assert!(check_budget(&evidence).is_empty());
 }
@@ -377,7 +377,7 @@
 fn evidence_with_crashes(crashes_ms: &[u64], arrivals_ms: &[u64]) -> Evidence {
     let mut evidence = Evidence::default();
     for at_ms in crashes_ms {
-        evidence.worker_ends.push(WorkerEnd {
+        evidence.worker_ends.push(WorkerCrash {
             key: key(&format!("end-{at_ms}")),
             worker: "i-1".into(),
             at_ms: *at_ms,
@@ -406,7 +406,7 @@
 #[test]
 fn barred_ignores_arrivals_from_a_gateway_with_a_recent_fault() {
     let mut evidence = evidence_with_crashes(&[1, 2, 3], &[13_001, 13_002, 13_003, 13_004]);
-    let fault_period = |gateway, to_ms| Trouble {
+    let fault_period = |gateway, to_ms| GatewayFaultPeriod {
         gateway,
         from_ms: 9_000,
         to_ms,
@@ -448,7 +448,7 @@
     other_incarnation.arrivals[0].is_meant = false;
     assert!(check_leaving(&other_incarnation).is_empty());
     let mut excused = evidence_with_leaving_worker(0, 3_001);
-    excused.troubles.push(Trouble {
+    excused.troubles.push(GatewayFaultPeriod {
         gateway: 0,
         from_ms: 2_000,
         to_ms: 2_010,
@@ -462,7 +462,7 @@
     let run = plain_run(1, key("refused"));
     let refused = with_outcome(sent(RouteKind::Once, key("refused")), answer(&run));
     let mut evidence = evidence(vec![refused], Vec::new());
-    evidence.rests.push(Rest {
+    evidence.rests.push(BackoffRequest {
         key: key("refused"),
         worker: "i-1".into(),
         at_ms: 1_000,
@@ -487,7 +487,7 @@
     assert!(check_rest(&evidence_with_backoff(&[1_501, 2_999])).is_empty());
     assert!(check_rest(&evidence_with_backoff(&[1_400, 1_500, 2_999, 3_000, 3_001])).is_empty());
     let mut excused = evidence_with_backoff(&[1_501, 2_000, 2_999]);
-    excused.worker_troubles.push(WorkerTrouble {
+    excused.worker_troubles.push(WorkerLinkFaultPeriod {
         worker: "i-1".into(),
         from_ms: 900,
         to_ms: 1_001,
@@ -508,7 +508,7 @@
         answer.names_limit = true;
     }
     let mut evidence = evidence(vec![first], vec![run]);
-    evidence.rate_limits.push(NamedLimit {
+    evidence.rate_limits.push(AnnouncedRateLimit {
         worker: "i-1".into(),
         millirequests: 500,
         from_ms: 1_000,
@@ -545,14 +545,14 @@
     let after_limit: Vec<u64> = nine.iter().map(|at_ms| at_ms + 18_000).collect();
     assert!(check_rate_limit(&evidence_with_rate_limit(0, &after_limit)).is_empty());
     let mut excused = evidence_with_rate_limit(0, &nine);
-    excused.troubles.push(Trouble {
+    excused.troubles.push(GatewayFaultPeriod {
         gateway: 0,
         from_ms: 1_600,
         to_ms: 1_610,
     });
     assert!(check_rate_limit(&excused).is_empty());
     let mut delayed = evidence_with_rate_limit(0, &nine);
-    delayed.worker_troubles.push(WorkerTrouble {
+    delayed.worker_troubles.push(WorkerLinkFaultPeriod {
         worker: "i-1".into(),
         from_ms: 1_000,
         to_ms: 1_900,
--- a/crates/fault-soak/tests/parts.rs
+++ b/crates/fault-soak/tests/parts.rs
@@ -4,7 +4,8 @@
 
 use proptest::prelude::*;
 use tansyhall_fault_soak::{
-    regressions, Fault, Framing, Link, LinkFault, Mark, ReadError, Reader, RequestKey, Schedule,
+    load_regressions, Fault, Framing, Link, LinkFault, Mark, ReadError, Reader, RequestKey,
+    Schedule,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -75,7 +76,7 @@
 
 #[test]
 fn the_list_of_regressions_parses() {
-    regressions().expect("list of regression seeds should parse");
+    load_regressions().expect("list of regression seeds should parse");
 }
 
 /// Sends an answer through a link with a fault. Returns the bytes that the reader received and how its stream ended.
--- a/crates/fault-soak/tests/records/mod.rs
+++ b/crates/fault-soak/tests/records/mod.rs
@@ -2,8 +2,8 @@
 
 use bytes::Bytes;
 use tansyhall_fault_soak::{
-    Arrival, CallerAnswer, Evidence, Mark, Outcome, Reading, RequestKey, RouteKind, Run, RunBody,
-    Sent,
+    Arrival, CallerAnswer, Evidence, Mark, Outcome, Prefill, RequestKey, RouteKind, Run, RunBody,
+    SentRequest,
 };
 
 const PROMPT: &str = "- - -";
@@ -19,7 +19,7 @@
     }
 }
 
-pub fn evidence(sent: Vec<Sent>, runs: Vec<Run>) -> Evidence {
+pub fn evidence(sent: Vec<SentRequest>, runs: Vec<Run>) -> Evidence {
     Evidence {
         sent,
         runs,
@@ -27,8 +27,8 @@
     }
 }
 
-pub fn sent(route: RouteKind, key: RequestKey) -> Sent {
-    Sent {
+pub fn sent(route: RouteKind, key: RequestKey) -> SentRequest {
+    SentRequest {
         key,
         route,
         prompt: PROMPT.into(),
@@ -40,7 +40,7 @@
     }
 }
 
-pub fn with_outcome(mut sent: Sent, outcome: Outcome) -> Sent {
+pub fn with_outcome(mut sent: SentRequest, outcome: Outcome) -> SentRequest {
     sent.outcome = outcome;
     sent
 }
@@ -107,8 +107,8 @@
     format!("id: {number}\ndata: {number}/{LAST_EVENT} {mark}\n\n")
 }
 
-pub fn reading(place: &str, key: RequestKey) -> Reading {
-    Reading {
+pub fn reading(place: &str, key: RequestKey) -> Prefill {
+    Prefill {
         place: place.into(),
         key,
         at_ms: 0,
--- a/crates/lab/src/fault_soak.rs
+++ b/crates/lab/src/fault_soak.rs
@@ -9,7 +9,8 @@
 use futures_util::future::{select, Either};
 use pico_args::Arguments;
 use tansyhall_fault_soak::{
-    keep, regressions, run_episode, Episode, EpisodePlan, FaultCounts, KEEP_DIRECTORY,
+    load_regressions, run_episode, save_episode, Episode, EpisodePlan, FaultCounts,
+    DEFAULT_OUTPUT_DIRECTORY,
 };
 
 const HELP: &str = "\
@@ -61,19 +62,19 @@
     if !rest.is_empty() {
         bail!("unknown arguments {rest:?}; see tansyhall-lab fault-soak --help");
     }
-    let directory = directory.unwrap_or_else(|| KEEP_DIRECTORY.into());
+    let directory = directory.unwrap_or_else(|| DEFAULT_OUTPUT_DIRECTORY.into());
     let mut code = ExitCode::SUCCESS;
     for mut plan in plans {
-        plan.with_unsolved = with_unsolved;
+        plan.include_unsolved = with_unsolved;
         plan.gateways = gateways.unwrap_or(plan.gateways);
-        plan.deadly_requests = deadly.unwrap_or(plan.deadly_requests);
-        plan.switched_off.clone_from(&switched_off);
-        plan.beside.clone_from(&beside);
+        plan.crashing_requests = deadly.unwrap_or(plan.crashing_requests);
+        plan.disabled_mechanisms.clone_from(&switched_off);
+        plan.other_build.clone_from(&beside);
         let episode = actix_rt::System::new().block_on(run_or_stop(plan))?;
         print_episode(&episode, json);
         if !episode.violations.is_empty() {
             code = ExitCode::FAILURE;
-            println!("kept in {}", keep(&episode, &directory)?.display());
+            println!("kept in {}", save_episode(&episode, &directory)?.display());
         }
     }
     Ok(code)
@@ -100,7 +101,7 @@
 
 fn plans(arguments: &mut Arguments) -> Result<Vec<EpisodePlan>> {
     if arguments.contains("--regressions") {
-        let known = regressions()?.into_iter();
+        let known = load_regressions()?.into_iter();
         return Ok(known
             .map(|known| EpisodePlan::new(known.seed, known.duration))
             .collect());
