--- a/crates/authority/tests/order_machine.rs
+++ b/crates/authority/tests/order_machine.rs
@@ -10,7 +10,7 @@
 use tansyhall_core::{Duration, Incarnation, Role, Timestamp};
 use tansyhall_engine::protocol::{EngineState, Order, OrderAction};
 use tansyhall_engine_model::{Control, ControlTiming};
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 
 const HOLDERS: usize = 2;
 const LINK_CAPACITY: usize = 6;
@@ -246,7 +246,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(fixed_number_of_cases(SEED, 2_000))]
+    #![proptest_config(config_with_seed_and_cases(SEED, 2_000))]
 
     #[test]
     fn no_random_history_violates_a_safety_rule(sequential 1..120 => Pool);
--- a/crates/cli/src/commands/dev.rs
+++ b/crates/cli/src/commands/dev.rs
@@ -5,7 +5,7 @@
 
 use anyhow::Result;
 use pico_args::Arguments;
-use tansyhall_load::fleet::{Fleet, MODEL, TOKEN};
+use tansyhall_load::fleet::{Fleet, MODEL, OPERATOR_TOKEN};
 use tansyhall_load::{workload, Summary, Workload};
 
 use crate::exit::{self, Usage};
@@ -82,10 +82,10 @@
 }
 
 async fn run_until_interrupted(fleet: Fleet) -> Result<()> {
-    let callers = fleet.callers()[0];
+    let callers = fleet.caller_addresses()[0];
     println!(
-        "callers: {callers}   admin: {} (token {TOKEN})",
-        fleet.admin()
+        "callers: {callers}   admin: {} (token {OPERATOR_TOKEN})",
+        fleet.admin_address()
     );
     println!(
         "curl -N http://{callers}/v1/completions -d '{{\"model\":\"{MODEL}\",\"prompt\":\"which \
--- a/crates/cli/tests/application_cluster/mod.rs
+++ b/crates/cli/tests/application_cluster/mod.rs
@@ -9,7 +9,9 @@
 use serde_json::Value;
 use tansyhall_node::at_most_once::ViewRecord;
 use tansyhall_store::{EtcdStore, KeyValueStore};
-use tansyhall_testing::{eventually, get_json, get_metric, standin, tansyhall, Fleet, Standin};
+use tansyhall_testing::{
+    eventually, get_json, get_metric, run_tansyhall, start_standin, Fleet, Standin,
+};
 
 const VIEW: &str = "tansyhall_journal_view";
 const VIEWS_KEY: &str = "/tansyhall/journal/views";
@@ -49,7 +51,7 @@
     /// Workers for these nodes.
     pub async fn start_with(fleet: Fleet, workers: usize) -> Self {
         let names = (0..workers).map(|index| format!("app-{index}"));
-        let workers = names.map(|name| standin(&["app", "--name", &name]));
+        let workers = names.map(|name| start_standin(&["app", "--name", &name]));
         let cluster = Self {
             fleet,
             workers: workers.collect(),
@@ -85,12 +87,12 @@
         let file = directory.path().join("resources.toml");
         std::fs::write(&file, text).expect("the resources are written");
         let file = file.to_str().expect("a UTF-8 path");
-        let admin = self.fleet.admin(0).to_string();
-        tansyhall(&["ctl", "--node", &admin, "apply", file]);
+        let admin = self.fleet.admin_address(0).to_string();
+        run_tansyhall(&["ctl", "--node", &admin, "apply", file]);
     }
 
     pub async fn view(&self, index: usize) -> Option<f64> {
-        get_metric(self.fleet.admin(index), VIEW).await
+        get_metric(self.fleet.admin_address(index), VIEW).await
     }
 
     pub async fn await_view_after(&self, index: usize, view: f64) {
--- a/crates/cli/tests/at_most_once_processes.rs
+++ b/crates/cli/tests/at_most_once_processes.rs
@@ -6,7 +6,7 @@
 use application_cluster::{send, Cluster, AT_ONCE, NEVER};
 use futures_util::future::join_all;
 use serde_json::json;
-use tansyhall_testing::{eventually, get_json, get_metric, standin, Fleet, NodePlan};
+use tansyhall_testing::{eventually, get_json, get_metric, start_standin, Fleet, NodeOptions};
 
 const SIZE: usize = 5;
 
@@ -153,7 +153,7 @@
     cluster.fleet.set_faults(json!({ "outage": true })).await;
     eventually("the outage is noticed", || async {
         let name = "tansyhall_store_errors_total";
-        let errors = get_metric(cluster.fleet.admin(others[0]), name).await?;
+        let errors = get_metric(cluster.fleet.admin_address(others[0]), name).await?;
         (errors >= 2.0).then_some(())
     })
     .await;
@@ -191,13 +191,13 @@
 
 #[actix_rt::test]
 async fn a_key_is_recognised_in_other_zones_and_so_is_its_requests_status() {
-    let platform = standin(&["platform"]);
+    let platform = start_standin(&["platform"]);
     let address = platform.address;
-    let plans = ["kalimati", "balkhu", "thimi"].map(|zone| NodePlan {
+    let plans = ["kalimati", "balkhu", "thimi"].map(|zone| NodeOptions {
         zone,
         platform: address,
     });
-    let fleet = Fleet::start_planned(platform, plans.to_vec()).await;
+    let fleet = Fleet::start_with_options(platform, plans.to_vec()).await;
     let cluster = Cluster::start_with(fleet, 1).await;
     let first = cluster.print_slip(0, "slip-1", AT_ONCE).await;
     assert_eq!(first.status, 200, "{first:?}");
--- a/crates/cli/tests/authority_failures.rs
+++ b/crates/cli/tests/authority_failures.rs
@@ -11,8 +11,8 @@
 use tansyhall_engine::protocol::{FenceToken, OrderAction, OrderReply};
 use tansyhall_standin::engine::{RecordedOrder, Records};
 use tansyhall_testing::{
-    eventually, get_json, get_metric, node, node_settings, standin, standin_at, tansyhall,
-    NodeProcess, Standin,
+    eventually, get_json, get_metric, node_settings, run_tansyhall, start_node, start_standin,
+    start_standin_at, NodeProcess, Standin,
 };
 
 const POOL: &str = "assistant-kalimati";
@@ -41,8 +41,8 @@
     async fn start(names: &[&str]) -> Self {
         let mut cluster = Self {
             directory: tempfile::tempdir().expect("a directory"),
-            platform: standin(&["platform"]),
-            engine: standin(&ENGINE),
+            platform: start_standin(&["platform"]),
+            engine: start_standin(&ENGINE),
             nodes: Vec::new(),
         };
         for name in names {
@@ -55,7 +55,7 @@
 
     fn start_node(&mut self, name: &str) {
         let settings = node_settings(name, "kalimati", self.platform.address);
-        let started = node(self.directory.path(), name, &settings);
+        let started = start_node(self.directory.path(), name, &settings);
         self.nodes.push(started);
     }
 
@@ -74,7 +74,7 @@
         std::fs::write(&file, text).expect("the resources are written");
         let file = file.to_str().expect("a UTF-8 path");
         let admin = self.nodes[node].admin.to_string();
-        tansyhall(&["ctl", "--node", &admin, "apply", file]);
+        run_tansyhall(&["ctl", "--node", &admin, "apply", file]);
     }
 
     /// The index of the node that holds the pool.
@@ -258,7 +258,7 @@
         .child
         .wait()
         .expect("the engine has ended");
-    cluster.engine = standin_at(&ENGINE, address);
+    cluster.engine = start_standin_at(&ENGINE, address);
     cluster.changed().await;
     let orders = cluster.orders().await;
     assert_orderly(&orders);
--- a/crates/cli/tests/callers_crash.rs
+++ b/crates/cli/tests/callers_crash.rs
@@ -6,8 +6,8 @@
 
 use tansyhall_standin::engine::answer_text;
 use tansyhall_testing::{
-    eventually, get_json, node, node_settings, standin, stream_completion, tansyhall, NodeProcess,
-    Standin, StreamOutcome, StreamRequest,
+    eventually, get_json, node_settings, run_tansyhall, start_node, start_standin,
+    stream_completion, NodeProcess, Standin, StreamOutcome, StreamRequest,
 };
 
 const MODEL: &str = "base";
@@ -35,15 +35,15 @@
 
 async fn start_fleet() -> Fleet {
     let directory = tempfile::tempdir().expect("a directory");
-    let platform = standin(&["platform"]);
-    let engines = ["engine-0", "engine-1"].map(|name| standin(&["engine", "--name", name]));
+    let platform = start_standin(&["platform"]);
+    let engines = ["engine-0", "engine-1"].map(|name| start_standin(&["engine", "--name", name]));
     let settings = node_settings("node-0", "kalimati", platform.address);
     let settings = format!("{settings}[limits]\nengine_stall = '500ms'\n");
-    let node = node(directory.path(), "node-0", &settings);
+    let node = start_node(directory.path(), "node-0", &settings);
     let file = directory.path().join("resources.toml");
     std::fs::write(&file, resources(&engines)).expect("the resources are written");
     let file = file.to_str().expect("a UTF-8 path");
-    tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
+    run_tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
     eventually("the configuration is in force", || async {
         let status = get_json(node.admin, "/admin/v1/status").await?;
         (status["configuration_revision"].as_u64()? > 0).then_some(())
--- a/crates/cli/tests/configuration_spread.rs
+++ b/crates/cli/tests/configuration_spread.rs
@@ -2,14 +2,16 @@
 //! take what it read, and a restarted one is given what its peers have.
 
 use serde_json::json;
-use tansyhall_testing::{eventually, get_json, get_metric, standin, Fleet, Link, NodePlan};
+use tansyhall_testing::{
+    eventually, get_json, get_metric, start_standin, Fleet, Link, NodeOptions,
+};
 
 const SIZE: usize = 5;
 const SUBJECT: usize = 3;
 
 async fn await_one_follower(fleet: &Fleet) {
     eventually("one node follows the store", || async {
-        (fleet.followers().await == 1).then_some(())
+        (fleet.store_follower_count().await == 1).then_some(())
     })
     .await;
 }
@@ -22,7 +24,9 @@
 
 async fn pulls(fleet: &Fleet, index: usize) -> f64 {
     let name = "tansyhall_configuration_pulls_total{outcome=\"held\"}";
-    get_metric(fleet.admin(index), name).await.unwrap_or(0.0)
+    get_metric(fleet.admin_address(index), name)
+        .await
+        .unwrap_or(0.0)
 }
 
 // Guards against callers who are told by a node that has just started that nobody serves what they ask for.
@@ -54,7 +58,7 @@
         pulled += usize::from(pulls(&fleet, index).await > before);
     }
     assert_eq!(pulled, SIZE - 1, "all but the follower pulled from a peer");
-    assert_eq!(fleet.followers().await, 1);
+    assert_eq!(fleet.store_follower_count().await, 1);
 }
 
 #[actix_rt::test]
@@ -64,7 +68,7 @@
     await_one_follower(&fleet).await;
     let name = "tansyhall_configuration_follows_store";
     let mut follower = 0;
-    while get_metric(fleet.admin(follower), name).await != Some(1.0) {
+    while get_metric(fleet.admin_address(follower), name).await != Some(1.0) {
         follower += 1;
     }
     fleet.kill(follower);
@@ -84,7 +88,7 @@
     let newest = fleet.apply_everywhere("hills").await;
     fleet.set_faults(json!({ "outage": true })).await;
     fleet.restart(SUBJECT);
-    let admin = fleet.admin(SUBJECT);
+    let admin = fleet.admin_address(SUBJECT);
     // Until it has asked its peers it has nothing in force, and then at once the newest.
     let first = eventually("the restarted node has a configuration", || async {
         let revision = fleet.revision(SUBJECT).await?;
@@ -108,11 +112,11 @@
     fleet.set_faults(json!({ "outage": true })).await;
     fleet.restart(0);
     eventually("the node wants to follow the store", || async {
-        (fleet.followers().await == 1).then_some(())
+        (fleet.store_follower_count().await == 1).then_some(())
     })
     .await;
     assert_eq!(fleet.revision(0).await, Some(0));
-    let url = format!("http://{}/health/ready", fleet.admin(0));
+    let url = format!("http://{}/health/ready", fleet.admin_address(0));
     let ready = awc::Client::default().get(url).send().await;
     assert_eq!(ready.expect("an answer").status(), 503);
     assert_refused_for_now(&fleet).await;
@@ -122,17 +126,17 @@
 
 #[actix_rt::test]
 async fn a_zone_cut_off_from_the_store_follows_another_zone() {
-    let platform = standin(&["platform"]);
+    let platform = start_standin(&["platform"]);
     let link = Link::open(platform.address);
-    let near = NodePlan {
+    let near = NodeOptions {
         zone: "kalimati",
         platform: platform.address,
     };
-    let far = NodePlan {
+    let far = NodeOptions {
         zone: "balkhu",
-        platform: link.entrance,
+        platform: link.listen_address,
     };
-    let fleet = Fleet::start_planned(platform, vec![near, near, near, far, far]).await;
+    let fleet = Fleet::start_with_options(platform, vec![near, near, near, far, far]).await;
     let before = fleet.apply_everywhere("valley").await;
     link.set_cut(true);
     let after = fleet.apply_everywhere("hills").await;
--- a/crates/cli/tests/dispatch_split.rs
+++ b/crates/cli/tests/dispatch_split.rs
@@ -10,8 +10,8 @@
 use tansyhall_engine::EngineClient;
 use tansyhall_standin::engine::answer_text;
 use tansyhall_testing::{
-    eventually, get_json, node, node_settings, standin, stream_completion, tansyhall, NodeProcess,
-    Standin, StreamOutcome, StreamRequest,
+    eventually, get_json, node_settings, run_tansyhall, start_node, start_standin,
+    stream_completion, NodeProcess, Standin, StreamOutcome, StreamRequest,
 };
 
 const MODEL: &str = "base";
@@ -63,16 +63,17 @@
 /// Starts a node and its engines, and waits until requests are split between them.
 async fn start_fleet() -> Fleet {
     let directory = tempfile::tempdir().expect("a directory");
-    let platform = standin(&["platform"]);
-    let engine = |(name, role): &(&str, &str)| standin(&["engine", "--name", name, "--role", role]);
+    let platform = start_standin(&["platform"]);
+    let engine =
+        |(name, role): &(&str, &str)| start_standin(&["engine", "--name", name, "--role", role]);
     let engines: Vec<Standin> = ENGINES.iter().map(engine).collect();
     let settings = node_settings("node-0", "kalimati", platform.address);
     let settings = format!("{settings}[limits]\nengine_stall = '500ms'\n");
-    let node = node(directory.path(), "node-0", &settings);
+    let node = start_node(directory.path(), "node-0", &settings);
     let file = directory.path().join("resources.toml");
     std::fs::write(&file, resources(&engines)).expect("the resources are written");
     let file = file.to_str().expect("a UTF-8 path");
-    tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
+    run_tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
     let fleet = Fleet {
         node,
         engines,
--- a/crates/cli/tests/gateway_platform/silent_connections.rs
+++ b/crates/cli/tests/gateway_platform/silent_connections.rs
@@ -47,11 +47,11 @@
 const SHORT_DEADLINE_MS: u64 = 2_000;
 
 fn silence_all(links: &[Link]) {
-    links.iter().for_each(Link::silence_open);
+    links.iter().for_each(Link::blackhole_open_connections);
 }
 
 fn lost_bytes(links: &[Link]) -> u64 {
-    links.iter().map(Link::lost_bytes).sum()
+    links.iter().map(Link::discarded_bytes).sum()
 }
 
 fn open_connections(links: &[Link]) -> usize {
@@ -276,12 +276,12 @@
     let site = Site::start(&[], 0).await;
     let endpoint = site.open_store_endpoint();
     let link = Link::open(endpoint.address);
-    let store = PlatformStore::new(link.entrance);
+    let store = PlatformStore::new(link.listen_address);
     let reads = (0..REQUESTS).map(|_| store.range("op/"));
     for read in join_all(reads).await {
         read.expect("the store answers");
     }
-    link.silence_open();
+    link.blackhole_open_connections();
     store.range("op/").await.expect("the store answers again");
 }
 
@@ -290,13 +290,13 @@
     let site = Site::start(&[], 0).await;
     let endpoint = site.open_store_endpoint();
     let link = Link::open(endpoint.address);
-    let store = PlatformStore::new(link.entrance);
+    let store = PlatformStore::new(link.listen_address);
     let mut watch = store.watch("op/", Revision(1)).await.expect("a watch");
     let watched = watch.next().await.expect("the watch has not ended");
     watched.expect("the store answers");
     let silencing = async {
         loop {
-            link.silence_open();
+            link.blackhole_open_connections();
             actix_rt::time::sleep(SILENCING_INTERVAL).await;
         }
     };
@@ -456,7 +456,7 @@
     let link = Link::open(gateway.addresses.callers);
     let mut callers = Vec::new();
     for number in 0..200 {
-        let mut caller = TcpStream::connect(link.entrance)
+        let mut caller = TcpStream::connect(link.listen_address)
             .await
             .expect("a connection");
         let parts = [
@@ -468,7 +468,7 @@
         sent.await.expect("part of a request is sent");
         callers.push(caller);
     }
-    link.silence_open();
+    link.blackhole_open_connections();
     for number in 0..20 {
         let started = Instant::now();
         let answer = send_request(gateway, &format!("r-{number}"), REPEATABLE, b"x").await;
--- a/crates/cli/tests/gateway_platform/support/mod.rs
+++ b/crates/cli/tests/gateway_platform/support/mod.rs
@@ -14,7 +14,8 @@
     WorkerPlan,
 };
 use tansyhall_testing::{
-    eventually, free_peer_address, gateway, get_metric, GatewayAddresses, GatewayProcess, Link,
+    eventually, free_peer_address, get_metric, start_gateway, GatewayAddresses, GatewayProcess,
+    Link,
 };
 
 pub use caller::{
@@ -208,7 +209,7 @@
         let name = format!("gateway-{number}");
         let store = self.store_address(&endpoint);
         let settings = self.settings(&name, &addresses, store);
-        let process = gateway(self._directory.path(), &name, &settings, addresses);
+        let process = start_gateway(self._directory.path(), &name, &settings, addresses);
         self.gateways.push(SiteGateway(process));
         self.store_endpoints.push(endpoint);
     }
@@ -224,7 +225,7 @@
             return endpoint.address;
         }
         let link = Link::open(endpoint.address);
-        let entrance = link.entrance;
+        let entrance = link.listen_address;
         self.store_links.push(link);
         entrance
     }
@@ -236,7 +237,7 @@
             let key = format!("servers/{}", worker.worker.id);
             let (entry, _) = self.store.get(&key).expect("the worker's entry");
             let mut entry: Value = serde_json::from_slice(&entry).expect("JSON");
-            entry["address"] = json!(link.entrance.to_string());
+            entry["address"] = json!(link.listen_address.to_string());
             self.store.put(&key, &entry);
             link
         };
@@ -251,7 +252,7 @@
         let link = |gateway: &SiteGateway| {
             let peers = gateway.addresses.peers.to_string();
             let link = Link::open(gateway.addresses.peers);
-            let entrance = link.entrance.to_string();
+            let entrance = link.listen_address.to_string();
             for key in self.store.keys(GATEWAYS_PREFIX) {
                 let (entry, _) = self.store.get(&key).expect("the gateway's entry");
                 let entry = String::from_utf8(entry).expect("UTF-8");
--- a/crates/cli/tests/leaving_workers.rs
+++ b/crates/cli/tests/leaving_workers.rs
@@ -19,11 +19,11 @@
         "name": "app-0", "kind": "app", "zone": "kalimati", "leaving": true,
         "address": cluster.workers[LEAVING].address,
     }]);
-    cluster.fleet.list_machines(leaving).await;
+    cluster.fleet.set_machines(leaving).await;
     for index in 0..SIZE {
         eventually("the mark is known", || async {
             let gauge = "tansyhall_leaving_backends";
-            let marked = get_metric(cluster.fleet.admin(index), gauge).await?;
+            let marked = get_metric(cluster.fleet.admin_address(index), gauge).await?;
             (marked == 1.0).then_some(())
         })
         .await;
--- a/crates/cli/tests/limits_process.rs
+++ b/crates/cli/tests/limits_process.rs
@@ -4,7 +4,9 @@
 use std::time::Instant;
 
 use serde_json::json;
-use tansyhall_testing::{eventually, get_json, node, node_settings, standin, tansyhall};
+use tansyhall_testing::{
+    eventually, get_json, node_settings, run_tansyhall, start_node, start_standin,
+};
 
 /// Requests a second that the tenant may send.
 const LIMIT: u64 = 5;
@@ -26,14 +28,14 @@
 #[actix_rt::test]
 async fn engines_run_no_more_requests_than_the_tenant_may_send() {
     let directory = tempfile::tempdir().expect("a directory");
-    let platform = standin(&["platform"]);
-    let engine = standin(&["engine", "--name", "engine-0"]);
+    let platform = start_standin(&["platform"]);
+    let engine = start_standin(&["engine", "--name", "engine-0"]);
     let settings = node_settings("node-0", "kalimati", platform.address);
-    let node = node(directory.path(), "node-0", &settings);
+    let node = start_node(directory.path(), "node-0", &settings);
     let file = directory.path().join("resources.toml");
     std::fs::write(&file, resources(engine.address)).expect("the resources are written");
     let file = file.to_str().expect("a UTF-8 path");
-    tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
+    run_tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
     eventually("the configuration is in force", || async {
         let status = get_json(node.admin, "/admin/v1/status").await?;
         (status["configuration_revision"].as_u64()? > 0).then_some(())
--- a/crates/cli/tests/membership_processes.rs
+++ b/crates/cli/tests/membership_processes.rs
@@ -13,12 +13,12 @@
     let mut fleet = Fleet::start(SIZE).await;
     fleet.kill(SUBJECT);
     for index in OTHERS {
-        fleet.await_members(index, "dead", 1).await;
-        fleet.await_members(index, "alive", SIZE - 1).await;
+        fleet.await_member_count(index, "dead", 1).await;
+        fleet.await_member_count(index, "alive", SIZE - 1).await;
     }
     fleet.restart(SUBJECT);
     for index in 0..SIZE {
-        fleet.await_members(index, "alive", SIZE).await;
+        fleet.await_member_count(index, "alive", SIZE).await;
     }
 }
 
@@ -27,11 +27,11 @@
     let fleet = Fleet::start(SIZE).await;
     fleet.nodes[SUBJECT].process.signal("STOP");
     for index in OTHERS {
-        fleet.await_members(index, "dead", 1).await;
+        fleet.await_member_count(index, "dead", 1).await;
     }
     fleet.nodes[SUBJECT].process.signal("CONT");
     for index in 0..SIZE {
-        fleet.await_members(index, "alive", SIZE).await;
+        fleet.await_member_count(index, "alive", SIZE).await;
     }
 }
 
@@ -42,7 +42,7 @@
     for index in OTHERS {
         eventually("the node is known to be leaving", || async {
             let leaving = "tansyhall_member_changes_total{state=\"leaving\"}";
-            let changes = get_metric(fleet.admin(index), leaving).await?;
+            let changes = get_metric(fleet.admin_address(index), leaving).await?;
             (changes >= 1.0).then_some(())
         })
         .await;
@@ -59,12 +59,12 @@
         }])
     };
     for leaving in [true, false] {
-        fleet.list_machines(list(leaving)).await;
+        fleet.set_machines(list(leaving)).await;
         let expected = if leaving { 1.0 } else { 0.0 };
         for index in 0..SIZE {
             eventually("the mark is known", || async {
                 let gauge = "tansyhall_leaving_backends";
-                let marked = get_metric(fleet.admin(index), gauge).await?;
+                let marked = get_metric(fleet.admin_address(index), gauge).await?;
                 (marked == expected).then_some(())
             })
             .await;
@@ -80,16 +80,18 @@
     let malformed = "tansyhall_peer_malformed_total";
     let counted = eventually("garbage is counted", || async {
         socket
-            .send_to(b"\xff\xff garbage", fleet.peers(0))
+            .send_to(b"\xff\xff garbage", fleet.peer_address(0))
+            .await
+            .ok()?;
+        let mut stream = tokio::net::TcpStream::connect(fleet.peer_address(0))
             .await
             .ok()?;
-        let mut stream = tokio::net::TcpStream::connect(fleet.peers(0)).await.ok()?;
         stream.write_all(&[0xff; 64]).await.ok()?;
-        let counted = get_metric(fleet.admin(0), malformed).await?;
+        let counted = get_metric(fleet.admin_address(0), malformed).await?;
         (counted >= 2.0).then_some(counted)
     })
     .await;
     assert!(counted >= 2.0);
-    fleet.await_members(0, "alive", 2).await;
-    fleet.await_members(1, "alive", 2).await;
+    fleet.await_member_count(0, "alive", 2).await;
+    fleet.await_member_count(1, "alive", 2).await;
 }
--- a/crates/cli/tests/operators_admin/support.rs
+++ b/crates/cli/tests/operators_admin/support.rs
@@ -7,7 +7,9 @@
 use awc::http::{header, Method, StatusCode};
 use serde_json::{json, Value};
 use sha2::{Digest, Sha256};
-use tansyhall_testing::{node, node_settings, standin, NodeProcess, Standin, TOKEN};
+use tansyhall_testing::{
+    node_settings, start_node, start_standin, NodeProcess, Standin, OPERATOR_TOKEN,
+};
 
 /// Token of an account that may only read.
 pub const VIEWER: &str = "viewer-token";
@@ -32,7 +34,7 @@
 impl Fleet {
     /// Starts the platform and two nodes.
     pub fn start() -> Self {
-        let platform = standin(&["platform"]);
+        let platform = start_standin(&["platform"]);
         let directory = tempfile::tempdir().expect("a directory");
         let start = |name| {
             let settings = node_settings(name, "kalimati", platform.address);
@@ -40,7 +42,7 @@
             let notaries = account("notary", "operator", NOTARIES, "tenant = 'notaries'\n");
             let limits = format!("[limits]\nmax_admin_body_bytes = {MAX_ADMIN_BODY_BYTES}\n");
             let settings = format!("{settings}{viewer}{notaries}{limits}");
-            node(directory.path(), name, &settings)
+            start_node(directory.path(), name, &settings)
         };
         let nodes = [start("node-0"), start("node-1")];
         Self {
@@ -61,7 +63,7 @@
             .arg("ctl")
             .args(arguments)
             .env("TANSYHALL_NODE", self.admin(index).to_string())
-            .env("TANSYHALL_TOKEN", TOKEN)
+            .env("TANSYHALL_TOKEN", OPERATOR_TOKEN)
             .output()
             .expect("tansyhall runs")
     }
@@ -99,7 +101,7 @@
             admin,
             method,
             path,
-            token: Some(TOKEN),
+            token: Some(OPERATOR_TOKEN),
             condition: None,
             body: Vec::new(),
         }
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -9,7 +9,8 @@
 use tansyhall_engine::sse::SseDecoder;
 use tansyhall_standin::engine::answer_text;
 use tansyhall_testing::{
-    eventually, get_json, get_metric, node, node_settings, standin, tansyhall, NodeProcess, Standin,
+    eventually, get_json, get_metric, node_settings, run_tansyhall, start_node, start_standin,
+    NodeProcess, Standin,
 };
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
@@ -108,13 +109,13 @@
     /// Starts every process and waits until a first configuration is in force.
     async fn start() -> Self {
         let directory = tempfile::tempdir().expect("a directory");
-        let platform = standin(&["platform"]);
-        let engine = |name| standin(&["engine", "--name", name, "--role-change-ms", "100"]);
+        let platform = start_standin(&["platform"]);
+        let engine = |name| start_standin(&["engine", "--name", name, "--role-change-ms", "100"]);
         let engines = [engine("engine-0"), engine("engine-1")];
-        let worker = standin(&["app", "--name", "app-0"]);
+        let worker = start_standin(&["app", "--name", "app-0"]);
         let start = |name: &str| {
             let settings = node_settings(name, "kalimati", platform.address);
-            node(directory.path(), name, &settings)
+            start_node(directory.path(), name, &settings)
         };
         let nodes = [start("node-0"), start("node-1")];
         let fleet = Self {
@@ -153,7 +154,7 @@
         std::fs::write(&file, text).expect("the resources are written");
         let file = file.to_str().expect("a UTF-8 path");
         let admin = self.nodes[0].admin.to_string();
-        tansyhall(&["ctl", "--node", &admin, "apply", file]);
+        run_tansyhall(&["ctl", "--node", &admin, "apply", file]);
     }
 
     /// Begins long streams until both engines have one in progress, so that whichever is chosen for
--- a/crates/config/tests/decoders.rs
+++ b/crates/config/tests/decoders.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::sample::select;
 use tansyhall_config::{NodeSettings, Resource, ResourceFile, ResourceKey, ResourceKind};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 
 /// Fragments of valid files. Purely random text would be rejected at its first line.
 const FRAGMENTS: &[&str] = &[
@@ -67,7 +67,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(31))]
+    #![proptest_config(config_with_seed(31))]
 
     #[test]
     fn arbitrary_text_never_panics_a_decoder(
--- a/crates/dissemination/tests/history.rs
+++ b/crates/dissemination/tests/history.rs
@@ -7,7 +7,7 @@
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
 use tansyhall_dissemination::{ApplyError, Document, History, PullBody};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 
 const CAPACITY: usize = 4;
 
@@ -16,7 +16,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(1))]
+    #![proptest_config(config_with_seed(1))]
 
     #[test]
     fn a_peer_at_any_revision_obtains_the_newest_document(contents in vec(resources(), 1..12)) {
--- a/crates/dissemination/tests/spread.rs
+++ b/crates/dissemination/tests/spread.rs
@@ -10,7 +10,7 @@
 use tansyhall_dissemination::{
     Action, Dissemination, DisseminationSettings, MembershipView, Peer, PullOutcome, RevisionStatus,
 };
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 
 const TICK: Duration = Duration::from_millis(100);
 /// The ticks between the probes of a node. In a probe, both nodes report the revision that they
@@ -304,7 +304,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(1))]
+    #![proptest_config(config_with_seed(1))]
 
     /// No node returns to an older revision after any sequence of stops, restarts and changes. Once
     /// all nodes and the store run again, every node has the newest revision in force.
--- a/crates/engine/tests/second_answers.rs
+++ b/crates/engine/tests/second_answers.rs
@@ -10,7 +10,7 @@
     OrderAction, OrderReply, Priority, Prompt, Refusal,
 };
 use tansyhall_engine::{EngineClient, EngineError};
-use tansyhall_twice_answering::{Answer, Second, TwiceAnswering, ARRIVAL};
+use tansyhall_twice_answering::{Answer, DuplicateAnswerServer, DuplicateTiming, DELIVERY_TIME};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -36,13 +36,13 @@
     let stale = OrderReply::StaleToken {
         highest: FenceToken(4),
     };
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let answers = vec![answer(200, &OrderReply::Accepted), answer(409, &stale)];
-        let engine = TwiceAnswering::start(second, answers);
+        let engine = DuplicateAnswerServer::start(second, answers);
         let client = client();
         let first = client.order(engine.address, &order("o-1")).await;
         assert_eq!(first.expect("a reply"), OrderReply::Accepted, "{second:?}");
-        sleep(ARRIVAL).await;
+        sleep(DELIVERY_TIME).await;
         let next = client.order(engine.address, &order("o-2")).await;
         assert_eq!(next.expect("a reply"), stale, "{second:?}");
     }
@@ -58,9 +58,9 @@
 
 #[actix_rt::test]
 async fn the_cache_handle_of_one_request_is_not_accepted_for_another_request() {
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let answers = vec![answer(200, &handle("h-1")), answer(200, &handle("h-2"))];
-        let engine = TwiceAnswering::start(second, answers);
+        let engine = DuplicateAnswerServer::start(second, answers);
         let client = client();
         for (request, expected) in [("r-1", "h-1"), ("r-2", "h-2")] {
             let export = KvExport {
@@ -68,7 +68,7 @@
             };
             let exported = client.export_kv(engine.address, &export).await;
             assert_eq!(exported.expect("a handle").handle, expected, "{second:?}");
-            sleep(ARRIVAL).await;
+            sleep(DELIVERY_TIME).await;
         }
     }
 }
@@ -80,16 +80,16 @@
         source,
         handle: handle(name),
     };
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let answers = vec![
             answer(200, &KvImported { tokens: 16 }),
             answer(503, &refusal("no room")),
         ];
-        let engine = TwiceAnswering::start(second, answers);
+        let engine = DuplicateAnswerServer::start(second, answers);
         let client = client();
         let first = client.import_kv(engine.address, &import("h-1")).await;
         assert_eq!(first.expect("imported").tokens, 16, "{second:?}");
-        sleep(ARRIVAL).await;
+        sleep(DELIVERY_TIME).await;
         let next = client.import_kv(engine.address, &import("h-2")).await;
         assert!(
             matches!(next, Err(EngineError::Unavailable(_))),
@@ -122,19 +122,19 @@
 
 #[actix_rt::test]
 async fn an_accepted_completion_does_not_receive_the_duplicate_refusal_of_another() {
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let answers = vec![
             answer(503, &refusal("draining")),
             (200, b"data: x\n\n".to_vec()),
         ];
-        let engine = TwiceAnswering::start(second, answers);
+        let engine = DuplicateAnswerServer::start(second, answers);
         let client = client();
         let first = client.complete(engine.address, &request("r-1")).await;
         assert!(
             matches!(first, Err(EngineError::Unavailable(_))),
             "{second:?}"
         );
-        sleep(ARRIVAL).await;
+        sleep(DELIVERY_TIME).await;
         let next = client.complete(engine.address, &request("r-2")).await;
         assert!(next.is_ok(), "{second:?}");
     }
@@ -146,14 +146,14 @@
         running,
         ..LoadReport::default()
     };
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let answers = vec![answer(200, &report(1)), answer(200, &report(2))];
-        let engine = TwiceAnswering::start(second, answers);
+        let engine = DuplicateAnswerServer::start(second, answers);
         let client = client();
         for running in [1, 2] {
             let read = client.load(engine.address).await.expect("a report");
             assert_eq!(read.running, running, "{second:?}");
-            sleep(ARRIVAL).await;
+            sleep(DELIVERY_TIME).await;
         }
     }
 }
--- a/crates/fault-soak/src/gateways.rs
+++ b/crates/fault-soak/src/gateways.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{Context, Result};
 use tansyhall_platform_standin::{GatewayFields, Store, StoreEndpoint, StoreFault};
-use tansyhall_testing::{gateway, gateway_of, GatewayAddresses, GatewayProcess};
+use tansyhall_testing::{start_gateway, start_gateway_program, GatewayAddresses, GatewayProcess};
 use tokio::time::sleep;
 
 use crate::judges::{BASE_RETRIES, BUDGET_WINDOW_S, RETRY_RATIO};
@@ -186,8 +186,10 @@
         let other_build = self.other_build();
         let started = actix_rt::task::spawn_blocking(move || {
             let mut process = match other_build {
-                Some(program) => gateway_of(program, &directory, &name, &settings, addresses),
-                None => gateway(&directory, &name, &settings, addresses),
+                Some(program) => {
+                    start_gateway_program(program, &directory, &name, &settings, addresses)
+                }
+                None => start_gateway(&directory, &name, &settings, addresses),
             };
             let log = directory.join(format!("{name}.log"));
             process.process.copy_output_to(&log)?;
--- a/crates/fixed-cases/src/lib.rs
+++ b/crates/fixed-cases/src/lib.rs
@@ -7,7 +7,7 @@
 
 /// Returns a configuration with the default number of cases, which are generated from `seed`. Failing cases are
 /// not saved in files, because the seed reproduces them.
-pub fn fixed_cases(seed: u64) -> Config {
+pub fn config_with_seed(seed: u64) -> Config {
     Config {
         rng_seed: RngSeed::Fixed(seed),
         failure_persistence: None,
@@ -16,9 +16,9 @@
 }
 
 /// Returns a configuration with `cases` cases, which are generated from `seed`.
-pub fn fixed_number_of_cases(seed: u64, cases: u32) -> Config {
+pub fn config_with_seed_and_cases(seed: u64, cases: u32) -> Config {
     Config {
         cases,
-        ..fixed_cases(seed)
+        ..config_with_seed(seed)
     }
 }
--- a/crates/forwarding/tests/budget_and_mirror.rs
+++ b/crates/forwarding/tests/budget_and_mirror.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::{ServiceName, Timestamp};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::{
     sharing_gateways, Item, Mirror, MirrorChange, Position, RetryShare, RetryShareSettings,
     RetryShares, Snapshot, Touched,
@@ -20,7 +20,7 @@
 const SEED: u64 = 20_261_202;
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// Gateways that know the number of gateways and attempt any number of retries stay within the
     /// fleet's budget in every window.
--- a/crates/forwarding/tests/cost_model.rs
+++ b/crates/forwarding/tests/cost_model.rs
@@ -1,7 +1,7 @@
 //! The cost model learns within a few observations, and outliers change it only a little.
 
 use proptest::prelude::*;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::cost_model::{CostModel, Prior};
 
 /// Seed of the property tests.
@@ -71,7 +71,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// Whatever is observed, the expected cost is finite and not negative.
     #[test]
--- a/crates/forwarding/tests/directory.rs
+++ b/crates/forwarding/tests/directory.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::{Role, ServiceName, Timestamp, ZoneName};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::{
     Admission, Demand, Directory, EngineCapacity, GatewayKey, Load, LoadEntry, LoadReport, Need,
     Objectives, PromptPart, SendResult, SendTicket, Worker, WorkerId, WorkerKey, WorkerState,
@@ -390,7 +390,7 @@
 const SEED: u64 = 20_261_202;
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// Whatever the order in which sends begin and end and workers are announced and withdrawn, no
     /// load remains once all sends have ended.
--- a/crates/forwarding/tests/mirror_updates.rs
+++ b/crates/forwarding/tests/mirror_updates.rs
@@ -1,7 +1,7 @@
 //! A mirror that applies a peer's updates has the same contents as the peer's mirror.
 
 use proptest::prelude::*;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
 
 /// Seed of the property test.
@@ -39,7 +39,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     #[test]
     fn a_peer_that_updates_occasionally_has_the_same_contents(
--- a/crates/forwarding/tests/quarantine_together.rs
+++ b/crates/forwarding/tests/quarantine_together.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::Timestamp;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::quarantine::{SUSPECT_TTL, WORKER_ENDS_TO_BAR};
 use tansyhall_forwarding::{Audience, Fingerprint, Quarantine, QuarantineUpdate, WorkerKey};
 
@@ -264,7 +264,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// One message in three is lost: all gateways still bar the request within the time limit.
     #[test]
--- a/crates/forwarding/tests/relay_plan.rs
+++ b/crates/forwarding/tests/relay_plan.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::{Timestamp, ZoneName};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::relay_plan::{GATEWAYS_PER_RELAY, MAX_COPY_AGE};
 use tansyhall_forwarding::{Position, RelayCandidate, RelayPlan, StoreReadState, Upstream};
 
@@ -61,7 +61,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// Gateways that know the same members agree: one gateway follows the store, and every other one asks it or another
     /// relay, which asks it in turn. There are no more relays than the zone needs.
--- a/crates/forwarding/tests/request_machine.rs
+++ b/crates/forwarding/tests/request_machine.rs
@@ -1,7 +1,7 @@
 //! State machine of a request: the action that follows each failure, and the result for the caller.
 
 use proptest::prelude::*;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::{
     Action, AttemptPolicy, Conclusion, Need, PromptHandle, PromptReadFailure, Repeatability,
     RequestEvent, RequestMachine, SendFailure, WorkerId,
@@ -298,7 +298,7 @@
 const SEED: u64 = 20_261_202;
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// For any outcomes of the sends: the request finishes; no more workers may have run it than its route allows; a
     /// request that runs at most once is not sent again after it may have run; and the caller receives "not run" only
--- a/crates/forwarding/tests/restored_mirror.rs
+++ b/crates/forwarding/tests/restored_mirror.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::{Item, Mirror, MirrorChange, MirrorUpdate, Position, Snapshot};
 
 /// Seed of the property test.
@@ -92,7 +92,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     #[test]
     fn gateways_that_read_the_store_and_update_each_other_converge_to_the_store(steps in steps()) {
--- a/crates/forwarding/tests/scheduler_plan.rs
+++ b/crates/forwarding/tests/scheduler_plan.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::ZoneName;
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_forwarding::scheduler_plan::{GATEWAYS_PER_SCHEDULER, MAX_FULL_RATE_REPORTERS};
 use tansyhall_forwarding::{SchedulerCandidate, SchedulerPlan};
 
@@ -35,7 +35,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_number_of_cases(SEED, 64))]
+    #![proptest_config(config_with_seed_and_cases(SEED, 64))]
 
     #[test]
     fn every_gateway_asks_a_scheduler_of_its_zone(gateways in 1_usize..1_200, zones in 1_usize..8) {
--- a/crates/forwarding/tests/streams.rs
+++ b/crates/forwarding/tests/streams.rs
@@ -1,7 +1,7 @@
 //! Event streams are split at event boundaries, independent of how their bytes arrive.
 
 use proptest::prelude::*;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::EventFramer;
 
 #[test]
@@ -25,7 +25,7 @@
 const SEED: u64 = 20_261_202;
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// For any split of a stream into chunks, each event is returned complete, once and in order.
     #[test]
--- a/crates/forwarding/tests/tenant_shares.rs
+++ b/crates/forwarding/tests/tenant_shares.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::Timestamp;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_forwarding::{TenantKey, TenantShares, WorkOutcome};
 
 const SEED: u64 = 20_261_202;
@@ -42,7 +42,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// Otherwise the queue would become shorter than necessary.
     #[test]
--- a/crates/gateway/tests/placement_messages.rs
+++ b/crates/gateway/tests/placement_messages.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use prost::Message;
 use tansyhall_core::ServiceName;
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_forwarding::{
     GatewayKey, LimitStatement, LoadReport, Need, Objectives, Placement, PlacementAnswer,
     PlacementId, PlacementMessage, PlacementNeed, PlacementNotice, PlacementRequest, PromptPart,
@@ -172,7 +172,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_number_of_cases(SEED, 128))]
+    #![proptest_config(config_with_seed_and_cases(SEED, 128))]
 
     #[test]
     fn placement_messages_keep_their_content(
--- a/crates/gateway/tests/production_messages.rs
+++ b/crates/gateway/tests/production_messages.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use prost::Message;
 use tansyhall_core::Role;
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_forwarding::{
     Item, Mirror, Need, PlacementAnswer, PlacementMessage, PlacementNeed, PlacementNotice,
     Position, SendResult, Snapshot, StatedLimit, WorkerId, WorkerNotice,
@@ -287,7 +287,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_number_of_cases(SEED, 512))]
+    #![proptest_config(config_with_seed_and_cases(SEED, 512))]
 
     #[test]
     fn corrupted_messages_are_rejected_or_decoded_without_a_panic(
--- a/crates/gateway/tests/questions_to_gateways.rs
+++ b/crates/gateway/tests/questions_to_gateways.rs
@@ -8,7 +8,7 @@
 use tansyhall_gateway::deflated_values::DeflatedValues;
 use tansyhall_gateway::peers;
 use tansyhall_gateway::update_message::UpdateMessage;
-use tansyhall_twice_answering::{Answer, Second, TwiceAnswering, ARRIVAL};
+use tansyhall_twice_answering::{Answer, DuplicateAnswerServer, DuplicateTiming, DELIVERY_TIME};
 use tokio::time::sleep;
 
 /// Number of requests that are sent one after another.
@@ -34,7 +34,11 @@
     (200, message.encode_to_vec())
 }
 
-async fn revision(client: &mut awc::Client, gateway: &TwiceAnswering, after: u64) -> Option<u64> {
+async fn revision(
+    client: &mut awc::Client,
+    gateway: &DuplicateAnswerServer,
+    after: u64,
+) -> Option<u64> {
     let after = Position::new(0, after);
     let result = peers::fetch_update(client, gateway.address, after, Duration::ZERO).await;
     match result.ok()?.update? {
@@ -45,9 +49,9 @@
 
 #[actix_rt::test]
 async fn a_late_second_answer_is_not_taken_for_the_answer_to_the_next_request() {
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let numbered_answer = |target: &str| answer(target, parameter(target, "number"));
-        let gateway = TwiceAnswering::answering(second, numbered_answer);
+        let gateway = DuplicateAnswerServer::start_with_handler(second, numbered_answer);
         let mut client = peers::client();
         let mut answered = 0;
         for after in 1..=REQUESTS {
@@ -57,7 +61,7 @@
                 "{second:?}: accepted revision {revision:?} of a mismatched answer"
             );
             answered += u64::from(revision.is_some());
-            sleep(ARRIVAL).await;
+            sleep(DELIVERY_TIME).await;
         }
         assert!(
             answered >= REQUESTS / 2,
@@ -68,9 +72,9 @@
 
 #[actix_rt::test]
 async fn an_answer_of_an_older_gateway_without_request_number_is_accepted() {
-    let gateway = TwiceAnswering::answering(
-        Second::Never {
-            after: Duration::ZERO,
+    let gateway = DuplicateAnswerServer::start_with_handler(
+        DuplicateTiming::NoDuplicate {
+            answer_delay: Duration::ZERO,
         },
         |target| answer(target, 0),
     );
@@ -80,9 +84,9 @@
 #[actix_rt::test]
 async fn an_answer_of_an_older_gateway_without_epoch_gets_the_epoch_of_the_request() {
     const EPOCH: u64 = 4;
-    let gateway = TwiceAnswering::answering(
-        Second::Never {
-            after: Duration::ZERO,
+    let gateway = DuplicateAnswerServer::start_with_handler(
+        DuplicateTiming::NoDuplicate {
+            answer_delay: Duration::ZERO,
         },
         |target| answer(target, 0),
     );
--- a/crates/gateway/tests/usage_messages.rs
+++ b/crates/gateway/tests/usage_messages.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use prost::Message;
 use tansyhall_core::TenantName;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_gateway::usage::{RowsMessage, UsageMessage};
 use tansyhall_usage::{Collection, Source, SourceUsage, TenantCounts, UnixMillis, WindowNumber};
 
@@ -41,7 +41,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     #[test]
     fn messages_keep_the_counts(usage in usage()) {
--- a/crates/journal/tests/journal_machine.rs
+++ b/crates/journal/tests/journal_machine.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use tansyhall_core::{Duration, Incarnation, RequestId, Timestamp};
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_journal::{
     Attempt, AttemptId, ChangeStep, Decision, KeyOrigin, Member, RecordKey, Replica, ReplicaLimits,
     View, ViewChange, ViewNumber,
@@ -276,7 +276,7 @@
 }
 
 prop_state_machine! {
-    #![proptest_config(fixed_number_of_cases(SEED, 2_000))]
+    #![proptest_config(config_with_seed_and_cases(SEED, 2_000))]
 
     #[test]
     fn at_most_one_attempt_runs_and_not_run_is_true(sequential 1..100 => Zone);
--- a/crates/lab/src/agree/mod.rs
+++ b/crates/lab/src/agree/mod.rs
@@ -10,7 +10,7 @@
 use pico_args::Arguments;
 use tansyhall_core::Timestamp;
 use tansyhall_engine_model::CostModel;
-use tansyhall_load::fleet::{ENGINES, NODES, ROLE_CHANGE};
+use tansyhall_load::fleet::{ENGINE_COUNT, NODE_COUNT, ROLE_CHANGE_DURATION};
 use tansyhall_load::{arrivals, workload, Fleet, RequestShape, Workload};
 use tansyhall_routing::ChoiceSettings;
 
@@ -86,10 +86,10 @@
         .map(|(due, shape)| traced(due, &shape))
         .collect();
     let conditions = Conditions {
-        engines: ENGINES,
-        nodes: NODES,
+        engines: ENGINE_COUNT,
+        nodes: NODE_COUNT,
         costs: CostModel::default(),
-        role_change: ROLE_CHANGE,
+        role_change: ROLE_CHANGE_DURATION,
         report_period: Duration::from_millis(250),
         report_lag: REPORT_LAG,
         report_loss: 0.0,
--- a/crates/lab/src/load/fleet.rs
+++ b/crates/lab/src/load/fleet.rs
@@ -7,7 +7,8 @@
 use procfs::process::Process as ProcessInfo;
 use procfs::WithCurrentSystemInfo;
 use tansyhall_testing::{
-    eventually, get_json, node, node_settings, standin, tansyhall, NodeProcess, Standin,
+    eventually, get_json, node_settings, run_tansyhall, start_node, start_standin, NodeProcess,
+    Standin,
 };
 
 /// Engines that hold the concurrent streams.
@@ -28,18 +29,18 @@
     /// Starts everything and waits until the configuration is in force.
     pub async fn start(threads: usize) -> Result<Self> {
         let directory = tempfile::tempdir()?;
-        let platform = standin(&["platform"]);
-        let worker = standin(&["app", "--name", "app-0"]);
+        let platform = start_standin(&["platform"]);
+        let worker = start_standin(&["app", "--name", "app-0"]);
         let engines: Vec<Standin> = (0..ENGINES)
-            .map(|index| standin(&["engine", "--name", &format!("engine-{index}")]))
+            .map(|index| start_standin(&["engine", "--name", &format!("engine-{index}")]))
             .collect();
         let settings = node_settings("node-0", "local", platform.address)
             .replace("threads = 2", &format!("threads = {threads}"));
-        let node = node(directory.path(), "node-0", &settings);
+        let node = start_node(directory.path(), "node-0", &settings);
         let file = directory.path().join("resources.toml");
         std::fs::write(&file, resources(&engines, worker.address))?;
         let file = file.to_str().context("a UTF-8 path")?;
-        tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
+        run_tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
         eventually("the configuration is in force", || async {
             let status = get_json(node.admin, "/admin/v1/status").await?;
             (status["configuration_revision"].as_u64()? > 0).then_some(())
--- a/crates/load/src/fleet.rs
+++ b/crates/load/src/fleet.rs
@@ -17,13 +17,13 @@
 /// The model that the engines of the fleet load.
 pub const MODEL: &str = "base";
 /// Bearer token of the operator account of the fleet.
-pub const TOKEN: &str = "dev-token";
+pub const OPERATOR_TOKEN: &str = "dev-token";
 /// Number of nodes in the fleet.
-pub const NODES: usize = 2;
+pub const NODE_COUNT: usize = 2;
 /// Number of engines in the fleet, all with the mixed role.
-pub const ENGINES: usize = 4;
+pub const ENGINE_COUNT: usize = 4;
 /// Time for which an engine is unavailable during a role change.
-pub const ROLE_CHANGE: Duration = Duration::from_secs(3);
+pub const ROLE_CHANGE_DURATION: Duration = Duration::from_secs(3);
 /// Timeout for the configuration to be in force on every node.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -47,13 +47,13 @@
         actix_rt::spawn(platform::serve(listener)?);
         let mut engines = Vec::new();
         let weights = engine::Weights::default();
-        for index in 0..ENGINES {
+        for index in 0..ENGINE_COUNT {
             let (listener, address) = free_listener()?;
             let options = EngineOptions {
                 name: format!("engine-{index}").as_str().into(),
                 role: Role::Mixed,
                 model: ModelName::from(MODEL),
-                role_change: ROLE_CHANGE,
+                role_change: ROLE_CHANGE_DURATION,
                 costs: Default::default(),
                 weights: weights.clone(),
             };
@@ -67,7 +67,7 @@
                 name: "app-0".into(),
             },
         )?);
-        let nodes: Result<Vec<_>> = (0..NODES)
+        let nodes: Result<Vec<_>> = (0..NODE_COUNT)
             .map(|index| tansyhall_node::run(settings(index, platform)?))
             .collect();
         let fleet = Self {
@@ -83,7 +83,7 @@
         let url = format!("http://{}/admin/v1/apply", self.nodes[0].admin);
         let result = awc::Client::default()
             .post(url)
-            .bearer_auth(TOKEN)
+            .bearer_auth(OPERATOR_TOKEN)
             .send_body(resources)
             .await;
         let mut response =
@@ -123,12 +123,12 @@
     }
 
     /// Returns the address for callers of each node.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.callers).collect()
     }
 
     /// Returns the administration address of the first node.
-    pub fn admin(&self) -> SocketAddr {
+    pub fn admin_address(&self) -> SocketAddr {
         self.nodes[0].admin
     }
 
@@ -138,7 +138,8 @@
         load: &Workload,
         progress: impl FnMut(&Summary),
     ) -> Result<Summary> {
-        let mut summary = crate::run(load, &self.callers(), MODEL, progress).await;
+        let mut summary =
+            crate::run_workload(load, &self.caller_addresses(), MODEL, progress).await;
         summary.role_changes = self.role_changes().await?;
         Ok(summary)
     }
@@ -162,7 +163,7 @@
         name: "dev".into(),
         role: OperatorRole::Operator,
         tenant: None,
-        token_sha256: hex::encode(Sha256::digest(TOKEN.as_bytes())),
+        token_sha256: hex::encode(Sha256::digest(OPERATOR_TOKEN.as_bytes())),
     });
     Ok(settings)
 }
--- a/crates/load/src/generator.rs
+++ b/crates/load/src/generator.rs
@@ -32,7 +32,7 @@
 
 /// Sends the requests of a workload to the nodes in turn and returns the results. Calls `progress` with the
 /// counts so far about once a second.
-pub async fn run(
+pub async fn run_workload(
     workload: &Workload,
     nodes: &[SocketAddr],
     model: &str,
@@ -81,7 +81,7 @@
     let mut arrivals = Vec::new();
     let mut phase_start = Duration::ZERO;
     for phase in &workload.phases {
-        let length = workload.duration.mul_f64(phase.part);
+        let length = workload.duration.mul_f64(phase.duration_fraction);
         phase_arrivals(phase, phase_start, length, &mut random, &mut arrivals);
         phase_start += length;
     }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -10,6 +10,6 @@
 pub mod workload;
 
 pub use fleet::Fleet;
-pub use generator::{arrivals, run};
+pub use generator::{arrivals, run_workload};
 pub use summary::Summary;
 pub use workload::{Phase, RequestShape, Workload};
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone)]
 pub struct Phase {
     /// The fraction of the duration of the workload.
-    pub part: f64,
+    pub duration_fraction: f64,
     /// Requests per second of each shape.
     pub rates: Vec<(RequestShape, f64)>,
 }
@@ -64,36 +64,36 @@
         let phases = match name {
             "mix-shift" => vec![
                 Phase {
-                    part: 0.3,
+                    duration_fraction: 0.3,
                     rates: vec![(review_shape(), 4.0), (counter_shape(), 4.0)],
                 },
                 Phase {
-                    part: 0.4,
+                    duration_fraction: 0.4,
                     rates: vec![(review_shape(), 1.0), (counter_shape(), 16.0)],
                 },
                 Phase {
-                    part: 0.3,
+                    duration_fraction: 0.3,
                     rates: vec![(review_shape(), 8.0), (counter_shape(), 2.0)],
                 },
             ],
             // Shifts the mix like `mix-shift`, at many times its request rate.
             "mix-surge" => vec![
                 Phase {
-                    part: 0.3,
+                    duration_fraction: 0.3,
                     rates: vec![(review_shape(), 25.0), (counter_shape(), 60.0)],
                 },
                 Phase {
-                    part: 0.4,
+                    duration_fraction: 0.4,
                     rates: vec![(review_shape(), 5.0), (counter_shape(), 150.0)],
                 },
                 Phase {
-                    part: 0.3,
+                    duration_fraction: 0.3,
                     rates: vec![(review_shape(), 45.0), (counter_shape(), 20.0)],
                 },
             ],
             "steady" => {
                 vec![Phase {
-                    part: 1.0,
+                    duration_fraction: 1.0,
                     rates: vec![(review_shape(), 2.0), (counter_shape(), 8.0)],
                 }]
             }
--- a/crates/node/tests/applications.rs
+++ b/crates/node/tests/applications.rs
@@ -13,7 +13,7 @@
 use support::{bind_listener, client, header, read_json, start_node, unused_address};
 use tansyhall_standin::app::{self, AppOptions};
 use tansyhall_testing::get_json;
-use tansyhall_twice_answering::{Second, TwiceAnswering, ARRIVAL};
+use tansyhall_twice_answering::{DuplicateAnswerServer, DuplicateTiming, DELIVERY_TIME};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -210,9 +210,9 @@
 
 #[actix_rt::test]
 async fn no_caller_gets_a_repeated_answer_of_another_request() {
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let answers = vec![(200, b"rice".to_vec()), (200, b"lentils".to_vec())];
-        let worker = TwiceAnswering::start(second, answers);
+        let worker = DuplicateAnswerServer::start(second, answers);
         let (_node, address) = start_node(&[], &[worker.address], "");
         // Both requests use one connection to the node, so that the same thread of the node handles
         // them.
@@ -222,7 +222,7 @@
             let mut response = request.send().await.expect("an answer");
             let body = response.body().await.expect("a complete answer");
             assert_eq!(body, expected.as_bytes(), "{second:?}");
-            actix_rt::time::sleep(ARRIVAL).await;
+            actix_rt::time::sleep(DELIVERY_TIME).await;
         }
     }
 }
--- a/crates/node/tests/at_most_once_messages.rs
+++ b/crates/node/tests/at_most_once_messages.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use tansyhall_config::NodeSettings;
 use tansyhall_core::{FleetId, RequestId, Timestamp};
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_journal::{
     Attempt, AttemptId, ChangeStep, Decision, KeyOrigin, Member, RecordKey, Records, View,
     ViewChange, ViewNumber, VIEW_SIZE,
@@ -237,7 +237,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_number_of_cases(1, 2_000))]
+    #![proptest_config(config_with_seed_and_cases(1, 2_000))]
 
     #[test]
     fn one_key_runs_at_most_once(steps in vec(step(), 0..60)) {
--- a/crates/node/tests/configuration_store.rs
+++ b/crates/node/tests/configuration_store.rs
@@ -12,7 +12,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use tansyhall_config::{Policy, Resource, ResourceKey, ResourceKind};
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_node::configuration::{
     Author, Change, ChangeError, ConfigurationStore, Precondition,
 };
@@ -291,7 +291,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_number_of_cases(23, 512))]
+    #![proptest_config(config_with_seed_and_cases(23, 512))]
 
     #[test]
     fn results_of_changes_are_reported_correctly_and_unseen_changes_are_not_overwritten(
--- a/crates/node/tests/limits_canary.rs
+++ b/crates/node/tests/limits_canary.rs
@@ -4,7 +4,7 @@
 use actix_web::http::header::{HeaderMap, HeaderName, HeaderValue};
 use proptest::prelude::*;
 use tansyhall_core::RequestId;
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_node::limits::{Variant, AFFINITY_HEADER};
 use tansyhall_policy::{compile, Class};
 
@@ -35,7 +35,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_number_of_cases(24, 64))]
+    #![proptest_config(config_with_seed_and_cases(24, 64))]
 
     #[test]
     fn shares_are_met_and_versions_and_adapters_are_independent(
--- a/crates/planner/tests/role_balance.rs
+++ b/crates/planner/tests/role_balance.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::{Role, Timestamp, ZoneName};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_planner::{balance_roles, BalancedEngine, ExpectedDemand, RecentPeak};
 
 fn engine(zone: &str, role: Role, streams: u32) -> BalancedEngine {
@@ -202,7 +202,7 @@
 const SEED: u64 = 20_261_202;
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// With constant streams the changes come to an end, and both roles have engines.
     #[test]
--- a/crates/planner/tests/worker_balance.rs
+++ b/crates/planner/tests/worker_balance.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::ZoneName;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_planner::{
     affordable_workers, balance_workers, WorkerLimits, WorkerTargets, ZoneGoal, ZoneWorkers,
 };
@@ -159,7 +159,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     #[test]
     fn goals_respect_the_limits_and_reach_the_wanted_number(
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use proptest::sample::select;
 use tansyhall_core::Role;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_policy::ast::{
     ClassAst, ClassPriority, ClassSetting, Comparison, Condition, EngineSelectorAst, FallbackAst,
     Name, NumberFact, NumberOperator, PolicyAst, PoolAst, PoolSetting, ShareAst, TenantAst,
@@ -239,7 +239,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(11))]
+    #![proptest_config(config_with_seed(11))]
 
     #[test]
     fn arbitrary_text_never_panics_the_compiler(source in any::<String>()) {
--- a/crates/proto/tests/codec.rs
+++ b/crates/proto/tests/codec.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use tansyhall_core::{Duration, FleetId, Incarnation};
 use tansyhall_dissemination::{Delta, Document, PullBody, ResourceChange};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_membership::{
     BackendMark, Body, ConfigurationStatus, Contact, LoadSummary, MemberAddresses, MemberRecord,
     MemberState, Message, Sender, ZoneDigest,
@@ -148,7 +148,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(1))]
+    #![proptest_config(config_with_seed(1))]
 
     #[test]
     fn a_datagram_survives_encoding(message in message()) {
--- a/crates/proto/tests/requests.rs
+++ b/crates/proto/tests/requests.rs
@@ -6,7 +6,7 @@
 use proptest::option;
 use proptest::prelude::*;
 use tansyhall_core::{FleetId, Incarnation, RequestId};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_journal::{
     AttemptId, Member, RecordKey, Records, SealReply, View, ViewDigest, ViewNumber, VoteReply,
 };
@@ -118,7 +118,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(1))]
+    #![proptest_config(config_with_seed(1))]
 
     #[test]
     fn a_request_survives_encoding(request in request()) {
--- a/crates/routing/tests/prefix.rs
+++ b/crates/routing/tests/prefix.rs
@@ -3,7 +3,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use tansyhall_core::Incarnation;
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_routing::prefix::{BlockChange, BlockEvent, PrefixIndex};
 
 const MAX_BLOCKS: usize = 6;
@@ -73,7 +73,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_cases(5))]
+    #![proptest_config(config_with_seed(5))]
 
     #[test]
     fn the_index_holds_the_same_blocks_as_a_simple_model(steps in vec(step(), 0..60)) {
--- a/crates/shares/tests/safety.rs
+++ b/crates/shares/tests/safety.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::sample::Index;
 use support::Fleet;
-use tansyhall_fixed_cases::fixed_number_of_cases;
+use tansyhall_fixed_cases::config_with_seed_and_cases;
 use tansyhall_shares::{Event, LimitKey};
 
 const NODES: usize = 4;
@@ -86,7 +86,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_number_of_cases(20, 512))]
+    #![proptest_config(config_with_seed_and_cases(20, 512))]
 
     #[test]
     fn usable_shares_never_exceed_the_limit(
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -15,7 +15,7 @@
 const MAX_EVENTS: usize = 10_000;
 /// Maximum number of events in one answer.
 const MAX_EVENTS_IN_ANSWER: usize = 1_000;
-/// Maximum number of requests whose KV caches can be exported_blocks; older ones are removed.
+/// Maximum number of requests whose KV caches can be exported; older ones are removed.
 const MAX_EXPORTABLE: usize = 1_024;
 
 /// The event log. The sequence number grows by one for each change, including those whose event is lost
@@ -94,7 +94,7 @@
         self.exportable.push_back((id, blocks));
     }
 
-    /// Returns the blocks of the KV cache of a request if it can be exported_blocks.
+    /// Returns the blocks of the KV cache of a request if it can be exported.
     pub(super) fn exported_blocks(&self, id: RequestId) -> Option<Vec<BlockHash>> {
         let mut newest_first = self.exportable.iter().rev();
         let entry = newest_first.find(|(entry_id, _)| *entry_id == id)?;
--- a/crates/standin/src/platform/gateway.rs
+++ b/crates/standin/src/platform/gateway.rs
@@ -380,7 +380,7 @@
     }
 }
 
-/// How often a watch without new events checks whether an is_outage has ended.
+/// How often a watch without new events checks whether an outage has ended.
 const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 fn encode_event(event: &Event) -> Value {
--- a/crates/standin/src/platform/keyspace.rs
+++ b/crates/standin/src/platform/keyspace.rs
@@ -158,7 +158,7 @@
     }
 
     /// Returns the events in the key range from revision `from` on, or the compaction revision as an error if
-    /// `from` has been compacted_revision.
+    /// `from` has been compacted.
     pub fn events(&self, start: &[u8], end: &[u8], from: u64) -> Result<Vec<Event>, u64> {
         if from <= self.compacted_revision {
             return Err(self.compacted_revision);
--- a/crates/store/tests/limits.rs
+++ b/crates/store/tests/limits.rs
@@ -3,11 +3,11 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use tansyhall_core::{Duration, Timestamp};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_store::{Admission, NextStep, Repeatability, RetryPolicy, StoreError, TokenBucket};
 
 proptest! {
-    #![proptest_config(fixed_cases(1))]
+    #![proptest_config(config_with_seed(1))]
 
     /// From the start up to any time, no more calls are admitted than the burst and the rate allow. A call that waits
     /// as long as the bucket requires is admitted.
--- a/crates/store/tests/second_answers.rs
+++ b/crates/store/tests/second_answers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use tansyhall_store::{Compare, EtcdStore, KeyValueStore, Operation, StoreError, Transaction};
-use tansyhall_twice_answering::{Answer, Second, TwiceAnswering, ARRIVAL};
+use tansyhall_twice_answering::{Answer, DuplicateAnswerServer, DuplicateTiming, DELIVERY_TIME};
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -26,19 +26,19 @@
 
 #[actix_rt::test]
 async fn a_second_answer_to_an_applied_transaction_is_not_read_as_the_answer_to_the_next() {
-    for second in Second::ALL {
+    for second in DuplicateTiming::ALL {
         let answers = vec![
             ok(r#"{"header":{"revision":"5"},"succeeded":true}"#),
             ok(r#"{"header":{"revision":"5"}}"#),
         ];
-        let server = TwiceAnswering::start(second, answers);
+        let server = DuplicateAnswerServer::start(second, answers);
         let store = EtcdStore::new(server.address, TIMEOUT);
         let first = store.transact(&transaction("a")).await.expect("applied");
         assert!(first.succeeded, "{second:?}");
-        actix_rt::time::sleep(ARRIVAL).await;
+        actix_rt::time::sleep(DELIVERY_TIME).await;
         let refused = store.transact(&transaction("b")).await.expect("refused");
         assert!(!refused.succeeded, "{second:?}");
-        assert_eq!(server.asked().len(), 2, "{second:?}");
+        assert_eq!(server.requests().len(), 2, "{second:?}");
     }
 }
 
@@ -49,7 +49,7 @@
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let _ = stream.read(&mut [0; 4096]);
-            thread::sleep(ARRIVAL);
+            thread::sleep(DELIVERY_TIME);
         }
     });
     address
--- a/crates/testing/src/fleet.rs
+++ b/crates/testing/src/fleet.rs
@@ -6,8 +6,8 @@
 use tempfile::TempDir;
 
 use crate::{
-    eventually, free_peer_address, get_metric, node, peer_node_settings, standin, tansyhall,
-    NodeProcess, Standin,
+    eventually, free_peer_address, get_metric, peer_node_settings, run_tansyhall, start_node,
+    start_standin, NodeProcess, Standin,
 };
 
 /// The zone of nodes that are started without a zone.
@@ -19,7 +19,7 @@
 
 /// Start options of one node.
 #[derive(Debug, Clone, Copy)]
-pub struct NodePlan {
+pub struct NodeOptions {
     /// The zone of the node.
     pub zone: &'static str,
     /// The address at which the node reaches the platform.
@@ -36,8 +36,8 @@
     /// The platform stand-in.
     pub platform: Standin,
     directory: TempDir,
-    peers: Vec<SocketAddr>,
-    node_options: Vec<NodePlan>,
+    peer_addresses: Vec<SocketAddr>,
+    node_options: Vec<NodeOptions>,
 }
 
 /// Number of fleets that this process has started.
@@ -49,26 +49,26 @@
 impl Fleet {
     /// Starts `size` nodes in one zone and waits until each sees all others as alive.
     pub async fn start(size: usize) -> Self {
-        let platform = standin(&["platform"]);
-        let plan = NodePlan {
+        let platform = start_standin(&["platform"]);
+        let options = NodeOptions {
             zone: DEFAULT_ZONE,
             platform: platform.address,
         };
-        Self::start_planned(platform, vec![plan; size]).await
+        Self::start_with_options(platform, vec![options; size]).await
     }
 
     /// Starts one node for each element of the list and waits until each sees all nodes of its zone as alive.
-    pub async fn start_planned(platform: Standin, node_options: Vec<NodePlan>) -> Self {
-        let peers = node_options.iter().map(|_| free_peer_address()).collect();
-        Self::start_at(platform, node_options, peers).await
+    pub async fn start_with_options(platform: Standin, node_options: Vec<NodeOptions>) -> Self {
+        let peer_addresses = node_options.iter().map(|_| free_peer_address()).collect();
+        Self::start_with_peer_addresses(platform, node_options, peer_addresses).await
     }
 
-    /// Starts one node for each element of the list with the peer address at the same index of `peers`,
+    /// Starts one node for each element of the list with the peer address at the same index of `peer_addresses`,
     /// and waits until each node sees all nodes of its zone as alive.
-    pub async fn start_at(
+    pub async fn start_with_peer_addresses(
         platform: Standin,
-        node_options: Vec<NodePlan>,
-        peers: Vec<SocketAddr>,
+        node_options: Vec<NodeOptions>,
+        peer_addresses: Vec<SocketAddr>,
     ) -> Self {
         let number = STARTED_FLEETS.fetch_add(1, Ordering::Relaxed);
         let mut fleet = Self {
@@ -76,27 +76,32 @@
             platform,
             nodes: Vec::new(),
             directory: tempfile::tempdir().expect("a temporary directory is created"),
-            peers,
+            peer_addresses,
             node_options,
         };
         for index in 0..fleet.node_options.len() {
             let node = fleet.spawn_node(index);
             fleet.nodes.push(node);
         }
-        for (index, plan) in fleet.node_options.iter().enumerate() {
-            let same_zone = fleet.node_options.iter().filter(|it| it.zone == plan.zone);
-            fleet.await_members(index, "alive", same_zone.count()).await;
+        for (index, options) in fleet.node_options.iter().enumerate() {
+            let same_zone = fleet
+                .node_options
+                .iter()
+                .filter(|it| it.zone == options.zone);
+            fleet
+                .await_member_count(index, "alive", same_zone.count())
+                .await;
         }
         fleet
     }
 
     fn spawn_node(&self, index: usize) -> NodeProcess {
         let name = format!("node-{index}");
-        let seeds = &self.peers[..MAX_SEEDS.min(self.peers.len())];
-        let NodePlan { zone, platform } = self.node_options[index];
-        let peers = self.peers[index];
-        let settings = peer_node_settings(&self.name, &name, zone, platform, peers, seeds);
-        node(self.directory.path(), &name, &settings)
+        let seeds = &self.peer_addresses[..MAX_SEEDS.min(self.peer_addresses.len())];
+        let NodeOptions { zone, platform } = self.node_options[index];
+        let peer_address = self.peers[index];
+        let settings = peer_node_settings(&self.name, &name, zone, platform, peer_address, seeds);
+        start_node(self.directory.path(), &name, &settings)
     }
 
     /// Kills the process of a node and starts a new one with the same name and peer address.
@@ -113,12 +118,12 @@
     }
 
     /// Returns the address at which other nodes reach a node.
-    pub fn peers(&self, index: usize) -> SocketAddr {
-        self.peers[index]
+    pub fn peer_address(&self, index: usize) -> SocketAddr {
+        self.peer_addresses[index]
     }
 
     /// Returns the administration address of a node.
-    pub fn admin(&self, index: usize) -> SocketAddr {
+    pub fn admin_address(&self, index: usize) -> SocketAddr {
         self.nodes[index].admin
     }
 
@@ -129,10 +134,10 @@
         let file = self.directory.path().join("resources.toml");
         std::fs::write(&file, text).expect("the resources are written");
         let file = file.to_str().expect("a UTF-8 path");
-        tansyhall(&[
+        run_tansyhall(&[
             "ctl",
             "--node",
-            &self.admin(index).to_string(),
+            &self.admin_address(index).to_string(),
             "apply",
             file,
         ]);
@@ -168,31 +173,31 @@
 
     /// Replaces the machine list of the platform stand-in. The stand-in publishes the new list after a
     /// delay.
-    pub async fn list_machines(&self, machines: serde_json::Value) {
+    pub async fn set_machines(&self, machines: serde_json::Value) {
         let url = format!("http://{}/standin/machines", self.platform.address);
         let answer = awc::Client::default().put(url).send_json(&machines).await;
         assert!(answer.expect("an answer").status().is_success());
     }
 
     /// Returns the number of members that a node sees in a state.
-    pub async fn members(&self, index: usize, state: &str) -> Option<usize> {
+    pub async fn member_count(&self, index: usize, state: &str) -> Option<usize> {
         let name = format!("{MEMBERS_METRIC}{{state=\"{state}\"}}");
-        let count = get_metric(self.admin(index), &name).await?;
+        let count = get_metric(self.admin_address(index), &name).await?;
         Some(count as usize)
     }
 
     /// Waits until a node sees `count` members in a state.
-    pub async fn await_members(&self, index: usize, state: &str, count: usize) {
+    pub async fn await_member_count(&self, index: usize, state: &str, count: usize) {
         eventually(
             &format!("node {index} sees {count} members in state {state}"),
-            || async { (self.members(index, state).await? == count).then_some(()) },
+            || async { (self.member_count(index, state).await? == count).then_some(()) },
         )
         .await;
     }
 
     /// Returns the configuration revision that a node has in force; zero means none.
     pub async fn revision(&self, index: usize) -> Option<u64> {
-        let revision = get_metric(self.admin(index), REVISION_METRIC).await?;
+        let revision = get_metric(self.admin_address(index), REVISION_METRIC).await?;
         Some(revision as u64)
     }
 
@@ -206,11 +211,11 @@
     }
 
     /// Returns the number of nodes that follow the configuration store.
-    pub async fn followers(&self) -> usize {
+    pub async fn store_follower_count(&self) -> usize {
         let mut followers = 0;
         for index in 0..self.nodes.len() {
             let name = "tansyhall_configuration_follows_store";
-            let follows = get_metric(self.admin(index), name).await;
+            let follows = get_metric(self.admin_address(index), name).await;
             followers += usize::from(follows == Some(1.0));
         }
         followers
--- a/crates/testing/src/gateway.rs
+++ b/crates/testing/src/gateway.rs
@@ -54,13 +54,13 @@
 }
 
 /// Starts a gateway. `settings` must contain `addresses`.
-pub fn gateway(
+pub fn start_gateway(
     directory: &Path,
     name: &str,
     settings: &str,
     addresses: GatewayAddresses,
 ) -> GatewayProcess {
-    gateway_of(
+    start_gateway_program(
         program_path("tansyhall"),
         directory,
         name,
@@ -71,7 +71,7 @@
 
 /// Starts a gateway from the program at this path, such as one of another build. `settings` must contain
 /// `addresses`.
-pub fn gateway_of(
+pub fn start_gateway_program(
     program: PathBuf,
     directory: &Path,
     name: &str,
--- a/crates/testing/src/lib.rs
+++ b/crates/testing/src/lib.rs
@@ -8,8 +8,8 @@
 mod gateway;
 mod link;
 
-pub use fleet::{Fleet, NodePlan};
-pub use gateway::{gateway, gateway_of, GatewayAddresses, GatewayProcess};
+pub use fleet::{Fleet, NodeOptions};
+pub use gateway::{start_gateway, start_gateway_program, GatewayAddresses, GatewayProcess};
 pub use link::Link;
 
 use std::fs::OpenOptions;
@@ -25,8 +25,8 @@
 pub use completion::{stream_completion, StreamOutcome, StreamRequest};
 
 /// Bearer token of the operator account in the settings from [`node_settings`].
-pub const TOKEN: &str = "secret";
-/// SHA-256 of [`TOKEN`].
+pub const OPERATOR_TOKEN: &str = "secret";
+/// SHA-256 of [`OPERATOR_TOKEN`].
 const TOKEN_SHA256: &str = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 /// Maximum time to wait for a condition. A wait that reaches it fails the test.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(60);
@@ -35,7 +35,7 @@
 pub struct Process {
     /// The process.
     pub child: Child,
-    /// The unread_stdout rest of its standard output, after the first line.
+    /// The unread rest of its standard output, after the first line.
     unread_stdout: Option<BufReader<std::process::ChildStdout>>,
     /// The first line of its standard output.
     pub first_line: String,
@@ -143,12 +143,12 @@
 }
 
 /// Starts a stand-in on a free port.
-pub fn standin(arguments: &[&str]) -> Standin {
-    standin_at(arguments, SocketAddr::from(([127, 0, 0, 1], 0)))
+pub fn start_standin(arguments: &[&str]) -> Standin {
+    start_standin_at(arguments, SocketAddr::from(([127, 0, 0, 1], 0)))
 }
 
 /// Starts a stand-in at an address, such as the address of a stand-in that has been killed.
-pub fn standin_at(arguments: &[&str], address: SocketAddr) -> Standin {
+pub fn start_standin_at(arguments: &[&str], address: SocketAddr) -> Standin {
     let listen = address.to_string();
     let mut all = arguments.to_vec();
     all.extend(["--listen", &listen]);
@@ -253,7 +253,7 @@
 }
 
 /// Starts a node with the given settings.
-pub fn node(directory: &std::path::Path, name: &str, settings: &str) -> NodeProcess {
+pub fn start_node(directory: &std::path::Path, name: &str, settings: &str) -> NodeProcess {
     let file = directory.join(format!("{name}.toml"));
     std::fs::write(&file, settings).expect("the settings are written");
     let file = file.to_str().expect("a UTF-8 path");
@@ -270,10 +270,10 @@
 }
 
 /// Runs `tansyhall` until it exits and returns its standard output. Panics if it fails.
-pub fn tansyhall(arguments: &[&str]) -> String {
+pub fn run_tansyhall(arguments: &[&str]) -> String {
     let output = Command::new(program_path("tansyhall"))
         .args(arguments)
-        .env("TANSYHALL_TOKEN", TOKEN)
+        .env("TANSYHALL_TOKEN", OPERATOR_TOKEN)
         .output()
         .expect("tansyhall runs");
     let errors = String::from_utf8_lossy(&output.stderr);
@@ -284,7 +284,7 @@
 /// Sends an HTTP GET request and parses the answer as JSON. Returns `None` if either fails.
 pub async fn get_json(address: SocketAddr, path: &str) -> Option<Value> {
     let request = awc::Client::default().get(format!("http://{address}{path}"));
-    let mut response = request.bearer_auth(TOKEN).send().await.ok()?;
+    let mut response = request.bearer_auth(OPERATOR_TOKEN).send().await.ok()?;
     response.json().limit(64 << 20).await.ok()
 }
 
--- a/crates/testing/src/link.rs
+++ b/crates/testing/src/link.rs
@@ -15,7 +15,7 @@
 /// A TCP proxy that forwards connections until it is cut.
 pub struct Link {
     /// The address at which the proxy listens.
-    pub entrance: SocketAddr,
+    pub listen_address: SocketAddr,
     is_cut: watch::Sender<bool>,
     blackhole_generation: watch::Sender<u64>,
     counts: Arc<Counts>,
@@ -27,7 +27,7 @@
 struct Counts {
     open: AtomicUsize,
     answered_bytes: AtomicU64,
-    lost_bytes: AtomicU64,
+    discarded_bytes: AtomicU64,
 }
 
 impl Link {
@@ -46,7 +46,7 @@
         };
         let task = actix_rt::spawn(accept_connections(listener, context));
         Self {
-            entrance,
+            listen_address: entrance,
             is_cut,
             blackhole_generation,
             counts,
@@ -63,7 +63,7 @@
     /// Black-holes the connections that are open now, permanently and in both directions: data sent on
     /// them is read and discarded, there is no reset, and neither end learns that the other has closed.
     /// Connections opened later are forwarded.
-    pub fn silence_open(&self) {
+    pub fn blackhole_open_connections(&self) {
         self.blackhole_generation
             .send_modify(|blackhole_generation| *blackhole_generation += 1);
     }
@@ -79,8 +79,8 @@
     }
 
     /// Returns the number of bytes that clients have sent on black-holed connections.
-    pub fn lost_bytes(&self) -> u64 {
-        self.counts.lost_bytes.load(Ordering::Relaxed)
+    pub fn discarded_bytes(&self) -> u64 {
+        self.counts.discarded_bytes.load(Ordering::Relaxed)
     }
 }
 
@@ -155,7 +155,7 @@
         },
     };
     // Keeps both sockets open until the client has closed its end and the test is over.
-    discard_until_closed(&mut client, Some(&context.counts.lost_bytes)).await;
+    discard_until_closed(&mut client, Some(&context.counts.discarded_bytes)).await;
     drop(open);
     discard_until_closed(&mut server, None).await;
     let _ = blackhole_generation.wait_for(|_| false).await;
--- a/crates/twice-answering/src/lib.rs
+++ b/crates/twice-answering/src/lib.rs
@@ -10,57 +10,57 @@
 use std::time::Duration;
 
 /// Time after which sent bytes are assumed to have arrived.
-pub const ARRIVAL: Duration = Duration::from_millis(60);
+pub const DELIVERY_TIME: Duration = Duration::from_millis(60);
 
 /// When the duplicate of an answer is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Second {
+pub enum DuplicateTiming {
     /// Together with the answer.
-    AtOnce,
+    Immediate,
     /// Shortly after the answer, while no request is in progress on the connection.
     WhileIdle,
     /// After the next request has been received, before the answer to that request.
-    BeforeTheNext,
+    BeforeNextAnswer,
     /// No duplicate is sent, and the answer is delayed.
-    Never {
+    NoDuplicate {
         /// Delay of the answer.
-        after: Duration,
+        answer_delay: Duration,
     },
 }
 
-impl Second {
+impl DuplicateTiming {
     /// All variants that send a duplicate.
-    pub const ALL: [Self; 3] = [Self::AtOnce, Self::WhileIdle, Self::BeforeTheNext];
+    pub const ALL: [Self; 3] = [Self::Immediate, Self::WhileIdle, Self::BeforeNextAnswer];
 }
 
 /// Status code and body of an answer.
 pub type Answer = (u16, Vec<u8>);
 
 /// A server that sends its answers in order, regardless of the connection on which a request arrives.
-pub struct TwiceAnswering {
+pub struct DuplicateAnswerServer {
     /// The address at which it listens.
     pub address: SocketAddr,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl TwiceAnswering {
+impl DuplicateAnswerServer {
     /// Starts a server that sends these answers in order.
-    pub fn start(timing: Second, answers: Vec<Answer>) -> Self {
+    pub fn start(timing: DuplicateTiming, answers: Vec<Answer>) -> Self {
         let answers = Mutex::new(answers);
-        Self::answering(timing, move |_| {
+        Self::start_with_handler(timing, move |_| {
             answers.lock().expect("not poisoned").remove(0)
         })
     }
 
     /// Starts a server that computes the answer to each request from its method and target.
-    pub fn answering(
-        timing: Second,
+    pub fn start_with_handler(
+        timing: DuplicateTiming,
         answer: impl Fn(&str) -> Answer + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-        let record = Arc::clone(&asked);
+        let requests: Arc<Mutex<Vec<String>>> = Arc::default();
+        let record = Arc::clone(&requests);
         let answer = Arc::new(answer);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -68,18 +68,18 @@
                 thread::spawn(move || serve_connection(stream, timing, &record, &*answer));
             }
         });
-        Self { address, asked }
+        Self { address, requests }
     }
 
     /// Returns the requests received so far, each as method and target in lower case.
-    pub fn asked(&self) -> Vec<String> {
-        self.asked.lock().expect("not poisoned").clone()
+    pub fn requests(&self) -> Vec<String> {
+        self.requests.lock().expect("not poisoned").clone()
     }
 }
 
 fn serve_connection(
     mut stream: TcpStream,
-    timing: Second,
+    timing: DuplicateTiming,
     record: &Mutex<Vec<String>>,
     answer: &dyn Fn(&str) -> Answer,
 ) {
@@ -91,16 +91,16 @@
         let mut bytes = pending_duplicate.take().unwrap_or_default();
         bytes.extend_from_slice(&answer);
         match timing {
-            Second::AtOnce => bytes.extend_from_slice(&answer),
-            Second::BeforeTheNext => pending_duplicate = Some(answer.clone()),
-            Second::Never { after } => thread::sleep(after),
-            Second::WhileIdle => {}
+            DuplicateTiming::Immediate => bytes.extend_from_slice(&answer),
+            DuplicateTiming::BeforeNextAnswer => pending_duplicate = Some(answer.clone()),
+            DuplicateTiming::NoDuplicate { answer_delay } => thread::sleep(answer_delay),
+            DuplicateTiming::WhileIdle => {}
         }
         if stream.write_all(&bytes).is_err() {
             return;
         }
-        if timing == Second::WhileIdle {
-            thread::sleep(ARRIVAL / 2);
+        if timing == DuplicateTiming::WhileIdle {
+            thread::sleep(DELIVERY_TIME / 2);
             let _ = stream.write_all(&answer);
         }
     }
--- a/crates/usage/tests/counting.rs
+++ b/crates/usage/tests/counting.rs
@@ -6,7 +6,7 @@
 
 use proptest::prelude::*;
 use tansyhall_core::{TenantName, Timestamp};
-use tansyhall_fixed_cases::fixed_cases;
+use tansyhall_fixed_cases::config_with_seed;
 use tansyhall_usage::{
     next_step, ClockReading, Collection, FleetClock, KnownReports, ReportStep, Source, SourceUsage,
     TenantCounts, UnixMillis, UsageMeter, UsageSender, WindowNumber, WindowTiming,
@@ -209,7 +209,7 @@
 const SEED: u64 = 20_261_202;
 
 proptest! {
-    #![proptest_config(fixed_cases(SEED))]
+    #![proptest_config(config_with_seed(SEED))]
 
     /// Messages are lost, repeated and reordered, acknowledgements are lost and collectors change. Once the last
     /// message has arrived, the collection has counted exactly the requests that started.
