--- a/crates/cli/tests/application_cluster/mod.rs
+++ b/crates/cli/tests/application_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Nodes, a platform and the workers of one application, as separate processes. The workers' own
-//! records tell how often a request ran.
+//! Nodes, a platform and the workers of one application, as separate processes. The workers' records show how often a
+//! request ran.
 
 #![allow(dead_code)]
 
@@ -13,25 +13,25 @@
     eventually, get_json, get_metric, run_tansyhall, start_standin, Fleet, Standin,
 };
 
-const VIEW: &str = "tansyhall_journal_view";
+const VIEW_METRIC: &str = "tansyhall_journal_view";
 const VIEWS_KEY: &str = "/tansyhall/journal/views";
-/// A worker's answer that does not come while the test runs.
-pub const NEVER: &str = "/stock/slip?delay_ms=600000";
-/// A request that the worker answers at once.
-pub const AT_ONCE: &str = "/stock/slip";
+/// Path of a request that the worker does not answer while the test runs.
+pub const UNANSWERED_PATH: &str = "/stock/slip?delay_ms=600000";
+/// Path of a request that the worker answers at once.
+pub const IMMEDIATE_PATH: &str = "/stock/slip";
 const STORE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(2);
 
-/// What a caller was told.
+/// The answer that a caller received.
 #[derive(Debug)]
-pub struct Told {
+pub struct CallerAnswer {
     pub status: u16,
     pub verdict: String,
     pub request: String,
     pub body: Value,
 }
 
-impl Told {
-    pub fn says(&self, text: &str) -> bool {
+impl CallerAnswer {
+    pub fn body_contains(&self, text: &str) -> bool {
         self.body.to_string().contains(text)
     }
 }
@@ -43,12 +43,12 @@
 }
 
 impl Cluster {
-    /// Nodes that share a view, and a worker.
+    /// Starts nodes that share a view, and one worker.
     pub async fn start(size: usize) -> Self {
         Self::start_with(Fleet::start(size).await, 1).await
     }
 
-    /// Workers for these nodes.
+    /// Starts workers for these nodes, and waits until every node has the configuration and a view.
     pub async fn start_with(fleet: Fleet, workers: usize) -> Self {
         let names = (0..workers).map(|index| format!("app-{index}"));
         let workers = names.map(|name| start_standin(&["app", "--name", &name]));
@@ -64,7 +64,7 @@
         cluster
     }
 
-    /// How many nodes there are.
+    /// Returns the number of nodes.
     pub fn size(&self) -> usize {
         self.fleet.nodes.len()
     }
@@ -92,7 +92,7 @@
     }
 
     pub async fn view(&self, index: usize) -> Option<f64> {
-        get_metric(self.fleet.admin_address(index), VIEW).await
+        get_metric(self.fleet.admin_address(index), VIEW_METRIC).await
     }
 
     pub async fn await_view_after(&self, index: usize, view: f64) {
@@ -103,7 +103,7 @@
         .await;
     }
 
-    /// The indices of the present view's members, and of the other nodes.
+    /// Returns the indices of the active view's members, and those of the other nodes.
     pub async fn members(&self) -> (Vec<usize>, Vec<usize>) {
         let store = EtcdStore::new(self.fleet.platform.address, STORE_TIMEOUT);
         let range = store.range(VIEWS_KEY).await.expect("the store answers");
@@ -113,7 +113,7 @@
         let names: BTreeSet<String> = view
             .members
             .iter()
-            .map(|placed| placed.member.node.to_string())
+            .map(|entry| entry.member.node.to_string())
             .collect();
         (0..self.size()).partition(|index| names.contains(&format!("node-{index}")))
     }
@@ -122,23 +122,23 @@
         self.fleet.nodes[index].callers
     }
 
-    pub async fn print_slip(&self, index: usize, key: &str, path: &'static str) -> Told {
+    pub async fn send_with_key(&self, index: usize, key: &str, path: &'static str) -> CallerAnswer {
         send(self.callers(index), key.to_owned(), path).await
     }
 
-    /// What a worker was asked.
+    /// Returns the records of the requests that a worker received.
     pub async fn records_at(&self, worker: usize) -> Vec<Value> {
         let records = get_json(self.workers[worker].address, "/standin/records").await;
         let records = records.expect("the worker's records");
         records.as_array().cloned().unwrap_or_default()
     }
 
-    /// Times that a worker was asked.
+    /// Returns the number of requests that a worker received.
     pub async fn runs_at(&self, worker: usize) -> usize {
         self.records_at(worker).await.len()
     }
 
-    /// Times that the workers were asked.
+    /// Returns the number of requests that all workers received.
     pub async fn runs(&self) -> usize {
         let mut runs = 0;
         for worker in 0..self.workers.len() {
@@ -148,7 +148,7 @@
     }
 
     pub async fn await_runs(&self, count: usize) {
-        eventually("the worker has been asked", || async {
+        eventually("the workers have received the requests", || async {
             (self.runs().await >= count).then_some(())
         })
         .await;
@@ -156,13 +156,13 @@
 }
 
 /// Sends a request with an idempotency key to a node.
-pub async fn send(node: SocketAddr, key: String, path: &'static str) -> Told {
-    tell(post(node, path).insert_header(("idempotency-key", key))).await
+pub async fn send(node: SocketAddr, key: String, path: &'static str) -> CallerAnswer {
+    receive_answer(post(node, path).insert_header(("idempotency-key", key))).await
 }
 
 /// Sends a request without an idempotency key to a node.
-pub async fn send_without_key(node: SocketAddr, path: &'static str) -> Told {
-    tell(post(node, path)).await
+pub async fn send_without_key(node: SocketAddr, path: &'static str) -> CallerAnswer {
+    receive_answer(post(node, path)).await
 }
 
 fn post(node: SocketAddr, path: &str) -> awc::ClientRequest {
@@ -170,14 +170,14 @@
     client.post(format!("http://{node}{path}"))
 }
 
-async fn tell(request: awc::ClientRequest) -> Told {
+async fn receive_answer(request: awc::ClientRequest) -> CallerAnswer {
     let mut response = request.send_body("slip").await.expect("an answer");
     let header = |name: &str| {
         let value = response.headers().get(name);
         let value = value.and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
     };
-    Told {
+    CallerAnswer {
         status: response.status().as_u16(),
         verdict: header("tansyhall-verdict"),
         request: header("tansyhall-request-id"),
--- a/crates/cli/tests/at_most_once_processes.rs
+++ b/crates/cli/tests/at_most_once_processes.rs
@@ -1,9 +1,9 @@
-//! Requests that are not repeatable, by separate processes: the same idempotency key through
-//! several nodes, while nodes are killed, frozen and restarted and the store is away.
+//! Requests that are not repeatable, with separate processes: the same idempotency key is sent through several nodes while
+//! nodes are killed, frozen and restarted and the store is unreachable.
 
 mod application_cluster;
 
-use application_cluster::{send, Cluster, AT_ONCE, NEVER};
+use application_cluster::{send, Cluster, IMMEDIATE_PATH, UNANSWERED_PATH};
 use futures_util::future::join_all;
 use serde_json::json;
 use tansyhall_testing::{eventually, get_json, get_metric, start_standin, Fleet, NodeOptions};
@@ -11,45 +11,52 @@
 const SIZE: usize = 5;
 
 #[actix_rt::test]
-async fn one_key_through_all_nodes_at_the_same_time_runs_at_most_once() {
+async fn concurrent_requests_with_one_key_through_all_nodes_run_at_most_once() {
     const ROUNDS: usize = 10;
     let cluster = Cluster::start(SIZE).await;
     let mut completed = 0;
     for round in 0..ROUNDS {
         let key = format!("slip-{round}");
-        let tries = (0..SIZE).map(|index| cluster.print_slip(index, &key, AT_ONCE));
-        let told = join_all(tries).await;
-        let ran = told.iter().filter(|it| it.status == 200).count();
-        assert!(ran <= 1, "{told:?}");
-        assert!(told.iter().all(|it| it.verdict != "not-run"), "{told:?}");
+        let attempts = (0..SIZE).map(|index| cluster.send_with_key(index, &key, IMMEDIATE_PATH));
+        let answers = join_all(attempts).await;
+        let ran = answers.iter().filter(|it| it.status == 200).count();
+        assert!(ran <= 1, "{answers:?}");
+        assert!(
+            answers.iter().all(|it| it.verdict != "not-run"),
+            "{answers:?}"
+        );
         completed += ran;
-        assert_eq!(cluster.runs().await, completed, "{told:?}");
+        assert_eq!(cluster.runs().await, completed, "{answers:?}");
     }
-    assert!(completed > 0, "no try of any key got its quorum");
+    assert!(completed > 0, "no request with any key got a quorum");
 }
 
 #[actix_rt::test]
-async fn a_second_try_through_another_node_is_answered_from_the_record() {
+async fn a_repeated_request_through_another_node_is_answered_from_the_record() {
     let cluster = Cluster::start(SIZE).await;
-    let first = cluster.print_slip(0, "slip-1", AT_ONCE).await;
+    let first = cluster.send_with_key(0, "slip-1", IMMEDIATE_PATH).await;
     assert_eq!((first.status, first.verdict.as_str()), (200, "completed"));
     for index in 1..SIZE {
-        let again = cluster.print_slip(index, "slip-1", AT_ONCE).await;
+        let again = cluster.send_with_key(index, "slip-1", IMMEDIATE_PATH).await;
         assert_eq!((again.status, again.verdict.as_str()), (409, "completed"));
-        assert!(again.says(&first.request), "{again:?}");
+        assert!(again.body_contains(&first.request), "{again:?}");
     }
     assert_eq!(cluster.runs().await, 1);
 }
 
 #[actix_rt::test]
-async fn a_second_try_is_told_that_the_first_is_in_progress_and_its_status_from_any_node() {
+async fn a_repeated_request_is_refused_while_the_first_runs_and_every_node_serves_its_status() {
     let cluster = Cluster::start(SIZE).await;
-    let first = actix_rt::spawn(send(cluster.callers(0), "slip-1".to_owned(), NEVER));
+    let first = actix_rt::spawn(send(
+        cluster.callers(0),
+        "slip-1".to_owned(),
+        UNANSWERED_PATH,
+    ));
     cluster.await_runs(1).await;
-    let second = cluster.print_slip(1, "slip-1", AT_ONCE).await;
+    let second = cluster.send_with_key(1, "slip-1", IMMEDIATE_PATH).await;
     assert_eq!(second.status, 409);
     assert_eq!(second.verdict, "may-have-run");
-    assert!(second.says("in progress"), "{second:?}");
+    assert!(second.body_contains("in progress"), "{second:?}");
     let message = second.body["error"]["message"].as_str().expect("a message");
     let path = message
         .split_whitespace()
@@ -66,26 +73,28 @@
 }
 
 #[actix_rt::test]
-async fn a_try_whose_node_was_killed_is_not_run_again() {
+async fn a_request_whose_node_was_killed_is_not_run_again() {
     let mut cluster = Cluster::start(SIZE).await;
     let (members, others) = cluster.members().await;
     for (round, killed) in [others[0], members[0]].into_iter().enumerate() {
         let key = format!("slip-{round}");
-        let first = actix_rt::spawn(send(cluster.callers(killed), key.clone(), NEVER));
+        let first = actix_rt::spawn(send(cluster.callers(killed), key.clone(), UNANSWERED_PATH));
         cluster.await_runs(round + 1).await;
         cluster.fleet.kill(killed);
         first.abort();
-        let second = cluster.print_slip(others[1], &key, AT_ONCE).await;
+        let second = cluster.send_with_key(others[1], &key, IMMEDIATE_PATH).await;
         assert_eq!(second.verdict, "may-have-run", "{second:?}");
         assert_eq!(cluster.runs().await, round + 1);
     }
 }
 
 #[actix_rt::test]
-async fn the_record_outlives_its_replicas_one_after_the_other() {
+async fn a_record_survives_the_restart_of_each_of_its_replicas() {
     let mut cluster = Cluster::start(SIZE).await;
     let (members, others) = cluster.members().await;
-    let first = cluster.print_slip(others[0], "slip-1", AT_ONCE).await;
+    let first = cluster
+        .send_with_key(others[0], "slip-1", IMMEDIATE_PATH)
+        .await;
     assert_eq!(first.status, 200);
     for member in members {
         let view = cluster.view(others[0]).await.expect("a view");
@@ -93,27 +102,33 @@
         for index in [others[0], others[1], member] {
             cluster.await_view_after(index, view).await;
         }
-        let again = cluster.print_slip(others[1], "slip-1", AT_ONCE).await;
+        let again = cluster
+            .send_with_key(others[1], "slip-1", IMMEDIATE_PATH)
+            .await;
         assert_eq!(again.status, 409, "{again:?}");
     }
     assert_eq!(cluster.runs().await, 1);
-    let other = cluster.print_slip(others[1], "slip-2", AT_ONCE).await;
+    let other = cluster
+        .send_with_key(others[1], "slip-2", IMMEDIATE_PATH)
+        .await;
     assert_eq!(other.status, 200, "{other:?}");
 }
 
 #[actix_rt::test]
-async fn a_frozen_replica_neither_stops_recording_nor_brings_a_key_back() {
+async fn a_frozen_replica_neither_stops_recording_nor_makes_a_used_key_valid_again() {
     let cluster = Cluster::start(SIZE).await;
     let (members, others) = cluster.members().await;
     let frozen = members[0];
     cluster.fleet.nodes[frozen].process.signal("STOP");
-    let first = cluster.print_slip(others[0], "slip-1", AT_ONCE).await;
+    let first = cluster
+        .send_with_key(others[0], "slip-1", IMMEDIATE_PATH)
+        .await;
     assert_eq!(first.status, 200, "{first:?}");
     let view = cluster.view(others[0]).await.expect("a view");
     cluster.await_view_after(others[0], view).await;
     cluster.fleet.nodes[frozen].process.signal("CONT");
     for index in [frozen, others[0], others[1]] {
-        let again = cluster.print_slip(index, "slip-1", AT_ONCE).await;
+        let again = cluster.send_with_key(index, "slip-1", IMMEDIATE_PATH).await;
         assert_ne!(again.verdict, "not-run", "{again:?}");
         assert!(again.status >= 400, "{again:?}");
     }
@@ -121,10 +136,12 @@
 }
 
 #[actix_rt::test]
-async fn with_two_replicas_lost_at_once_nothing_runs_and_the_caller_is_told_so() {
+async fn after_the_loss_of_two_replicas_at_once_nothing_runs_and_callers_get_an_error() {
     let mut cluster = Cluster::start(SIZE).await;
     let (members, others) = cluster.members().await;
-    let first = cluster.print_slip(others[0], "slip-1", AT_ONCE).await;
+    let first = cluster
+        .send_with_key(others[0], "slip-1", IMMEDIATE_PATH)
+        .await;
     assert_eq!(first.status, 200);
     cluster.fleet.kill(members[0]);
     cluster.fleet.kill(members[1]);
@@ -133,11 +150,15 @@
             cluster.fleet.restart(members[0]);
             cluster.fleet.restart(members[1]);
         }
-        // The replica that is left may still know the first try, which is then told as it is.
-        let again = cluster.print_slip(others[1], "slip-1", AT_ONCE).await;
+        // The remaining replica may still have the record of the first request; then the answer reports its true state.
+        let again = cluster
+            .send_with_key(others[1], "slip-1", IMMEDIATE_PATH)
+            .await;
         assert!(again.status >= 400, "{again:?}");
         assert_ne!(again.verdict, "not-run", "{again:?}");
-        let other = cluster.print_slip(others[1], "slip-2", AT_ONCE).await;
+        let other = cluster
+            .send_with_key(others[1], "slip-2", IMMEDIATE_PATH)
+            .await;
         assert_eq!(
             (other.status, other.verdict.as_str()),
             (503, "may-have-run")
@@ -151,26 +172,32 @@
     let cluster = Cluster::start(SIZE).await;
     let (members, others) = cluster.members().await;
     cluster.fleet.set_faults(json!({ "outage": true })).await;
-    eventually("the outage is noticed", || async {
+    eventually("the node has detected the outage", || async {
         let name = "tansyhall_store_errors_total";
         let errors = get_metric(cluster.fleet.admin_address(others[0]), name).await?;
         (errors >= 2.0).then_some(())
     })
     .await;
-    let first = cluster.print_slip(others[0], "slip-1", AT_ONCE).await;
+    let first = cluster
+        .send_with_key(others[0], "slip-1", IMMEDIATE_PATH)
+        .await;
     assert_eq!(first.status, 200, "{first:?}");
     cluster.fleet.nodes[members[0]].process.signal("STOP");
-    let again = cluster.print_slip(others[1], "slip-1", AT_ONCE).await;
+    let again = cluster
+        .send_with_key(others[1], "slip-1", IMMEDIATE_PATH)
+        .await;
     assert_eq!(again.status, 409, "{again:?}");
-    let second = cluster.print_slip(others[1], "slip-2", AT_ONCE).await;
+    let second = cluster
+        .send_with_key(others[1], "slip-2", IMMEDIATE_PATH)
+        .await;
     assert_eq!(second.status, 200, "{second:?}");
     assert_eq!(cluster.runs().await, 2);
 }
 
 #[actix_rt::test]
-async fn the_status_of_a_killed_nodes_request_is_said_to_be_out_of_reach() {
+async fn the_status_of_a_killed_nodes_request_is_reported_as_unreachable() {
     let mut cluster = Cluster::start(SIZE).await;
-    let first = cluster.print_slip(0, "slip-1", AT_ONCE).await;
+    let first = cluster.send_with_key(0, "slip-1", IMMEDIATE_PATH).await;
     let path = format!("/v1/requests/{}", first.request);
     let status = get_json(cluster.callers(1), &path).await.expect("a status");
     assert_eq!(status["state"], "completed", "{status}");
@@ -190,7 +217,7 @@
 }
 
 #[actix_rt::test]
-async fn a_key_is_recognised_in_other_zones_and_so_is_its_requests_status() {
+async fn nodes_of_other_zones_recognise_a_key_and_serve_the_status_of_its_request() {
     let platform = start_standin(&["platform"]);
     let address = platform.address;
     let plans = ["kalimati", "balkhu", "thimi"].map(|zone| NodeOptions {
@@ -199,11 +226,11 @@
     });
     let fleet = Fleet::start_with_options(platform, plans.to_vec()).await;
     let cluster = Cluster::start_with(fleet, 1).await;
-    let first = cluster.print_slip(0, "slip-1", AT_ONCE).await;
+    let first = cluster.send_with_key(0, "slip-1", IMMEDIATE_PATH).await;
     assert_eq!(first.status, 200, "{first:?}");
     let path = format!("/v1/requests/{}", first.request);
     for index in [1, 2] {
-        let again = cluster.print_slip(index, "slip-1", AT_ONCE).await;
+        let again = cluster.send_with_key(index, "slip-1", IMMEDIATE_PATH).await;
         assert_eq!((again.status, again.verdict.as_str()), (409, "completed"));
         let status = get_json(cluster.callers(index), &path).await;
         assert_eq!(status.expect("a status")["state"], "completed");
--- a/crates/cli/tests/authority_failures.rs
+++ b/crates/cli/tests/authority_failures.rs
@@ -1,6 +1,6 @@
-//! Authority under failure, by separate processes: a change of role is under way, held up by a
-//! stream in progress, when its holder is killed or frozen, its engine crashes, or the store goes
-//! away. The engines' own records tell what took effect.
+//! Failures of the authority over a pool, with separate processes. A change of role is delayed by a stream in progress;
+//! meanwhile the holder of the pool is killed or frozen, the engine crashes, or the store becomes unreachable. The
+//! engines' records show which orders took effect.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -16,17 +16,17 @@
 };
 
 const POOL: &str = "assistant-kalimati";
-const ONE_PREFILL: &str = "least = 1";
-const NO_PREFILL: &str = "least = 0, most = 0";
-const HELD: &str = "tansyhall_pools_held";
-const LEASE_VALID: &str = "tansyhall_lease_valid";
-const WITHHELD: &str = "tansyhall_orders_withheld_total";
-/// Rounds without orders that show that the holder had the chance to send one.
+const ONE_PREFILL_BOUNDS: &str = "least = 1";
+const NO_PREFILL_BOUNDS: &str = "least = 0, most = 0";
+const POOLS_HELD_METRIC: &str = "tansyhall_pools_held";
+const LEASE_VALID_METRIC: &str = "tansyhall_lease_valid";
+const ORDERS_WITHHELD_METRIC: &str = "tansyhall_orders_withheld_total";
+/// Number of rounds of withheld orders after which the holder has certainly had the chance to send one.
 const WITHHELD_ROUNDS: f64 = 3.0;
-const ENGINE: [&str; 5] = ["engine", "--name", "engine-0", "--role-change-ms", "1500"];
-/// Pairs of changes that a restored store has lost.
-const CHANGES_LOST: usize = 15;
-/// Long enough for a stream to outlast a lease.
+const ENGINE_ARGUMENTS: [&str; 5] = ["engine", "--name", "engine-0", "--role-change-ms", "1500"];
+/// Number of pairs of changes that the restore of the store loses.
+const LOST_CHANGE_PAIRS: usize = 15;
+/// Long enough that a stream lasts longer than a lease.
 const LONG_ANSWER_TOKENS: u32 = 3_000;
 
 struct Cluster {
@@ -37,19 +37,19 @@
 }
 
 impl Cluster {
-    /// A platform, one engine and these nodes; the pool asks for no change yet, and is held.
+    /// Starts a platform, one engine and these nodes, and waits until a node holds the pool, which requires no change yet.
     async fn start(names: &[&str]) -> Self {
         let mut cluster = Self {
             directory: tempfile::tempdir().expect("a directory"),
             platform: start_standin(&["platform"]),
-            engine: start_standin(&ENGINE),
+            engine: start_standin(&ENGINE_ARGUMENTS),
             nodes: Vec::new(),
         };
         for name in names {
             cluster.start_node(name);
         }
         cluster.apply(0, "least = 0");
-        cluster.holder().await;
+        cluster.await_holder().await;
         cluster
     }
 
@@ -59,7 +59,7 @@
         self.nodes.push(started);
     }
 
-    /// Sets the bounds on prefill engines, through a node.
+    /// Sets the bounds on the number of prefill engines through a node.
     fn apply(&self, node: usize, bounds: &str) {
         let text = format!(
             "[[site]]\nname = 'valley'\nregion = 'valley'\nzones = ['kalimati']\n\
@@ -77,11 +77,11 @@
         run_tansyhall(&["ctl", "--node", &admin, "apply", file]);
     }
 
-    /// The index of the node that holds the pool.
-    async fn holder(&self) -> usize {
+    /// Waits until a node holds the pool, and returns its index.
+    async fn await_holder(&self) -> usize {
         eventually("a node holds the pool", || async {
             for (index, node) in self.nodes.iter().enumerate() {
-                if get_metric(node.admin, HELD).await == Some(1.0) {
+                if get_metric(node.admin, POOLS_HELD_METRIC).await == Some(1.0) {
                     return Some(index);
                 }
             }
@@ -100,25 +100,32 @@
         get_json(self.engine.address, "/control/state").await
     }
 
-    /// Waits until the engine has been drained, and returns the epoch of the order.
-    async fn drained(&self) -> Epoch {
-        eventually("the engine is drained", || async {
+    /// Waits until the engine is draining, and returns the epoch of the order.
+    async fn await_drain(&self) -> Epoch {
+        eventually("the engine is draining", || async {
             let state = self.state().await?;
             (state["draining"] == true).then_some(())
         })
         .await;
-        self.orders().await.last().map(epoch).expect("a drain")
+        self.orders()
+            .await
+            .last()
+            .map(epoch)
+            .expect("a drain order")
     }
 
-    async fn changed(&self) {
-        self.plays("prefill").await;
+    async fn await_prefill_role(&self) {
+        self.await_role("prefill").await;
     }
 
-    async fn plays(&self, role: &str) {
-        eventually("the engine plays its new role", || async {
-            let state = self.state().await?;
-            (state["role"] == role && state["draining"] == false).then_some(())
-        })
+    async fn await_role(&self, role: &str) {
+        eventually(
+            "the engine has its new role and accepts requests",
+            || async {
+                let state = self.state().await?;
+                (state["role"] == role && state["draining"] == false).then_some(())
+            },
+        )
         .await;
     }
 
@@ -131,7 +138,7 @@
     Epoch::of(order.order.fence_token)
 }
 
-/// Begins a stream and waits for its first bytes; the task ends with the whole answer's words.
+/// Begins a stream and waits for its first bytes. The task returns the complete text of the answer.
 async fn begin_stream(node: SocketAddr, max_tokens: u32) -> actix_rt::task::JoinHandle<String> {
     let body = json!({
         "model": "base", "stream": true, "max_tokens": max_tokens,
@@ -145,29 +152,29 @@
         .next()
         .await
         .expect("a first chunk")
-        .expect("not cut");
+        .expect("the stream is not truncated");
     actix_rt::spawn(async move {
         let mut text = String::from_utf8_lossy(&first).into_owned();
         while let Some(bytes) = response.next().await {
             text.push_str(&String::from_utf8_lossy(
-                &bytes.expect("the stream is not cut"),
+                &bytes.expect("the stream is not truncated"),
             ));
         }
         text
     })
 }
 
-fn assert_whole(answer: &str) {
+fn assert_complete(answer: &str) {
     assert!(
         answer.contains("\"completed\""),
         "the answer's verdict is not completed"
     );
-    assert!(answer.contains("[DONE]"), "the answer has no end");
+    assert!(answer.contains("[DONE]"), "the answer has no end marker");
 }
 
-/// Once an order of a later epoch took effect, none of an earlier one does; roles change only
-/// while no request is in progress.
-fn assert_orderly(orders: &[RecordedOrder]) {
+/// Asserts that no order of an earlier epoch takes effect after one of a later epoch, and that roles change only while no
+/// request is in progress.
+fn assert_orders_in_sequence(orders: &[RecordedOrder]) {
     let mut highest = FenceToken::default();
     for record in orders {
         if record.reply != OrderReply::Accepted {
@@ -179,13 +186,18 @@
         let changes_role = matches!(record.order.action, OrderAction::SetRole { .. });
         assert!(
             !changes_role || record.requests == 0,
-            "a request was cut: {record:?}"
+            "a role changed while requests were in progress: {record:?}"
         );
     }
 }
 
-async fn next_epoch(cluster: &Cluster, before: Epoch, since: Instant, what: &str) {
-    eventually("a later holder gives an order", || async {
+async fn await_order_of_later_epoch(
+    cluster: &Cluster,
+    before: Epoch,
+    since: Instant,
+    failure: &str,
+) {
+    eventually("a later holder sends an order", || async {
         let orders = cluster.orders().await;
         orders
             .iter()
@@ -194,53 +206,53 @@
     })
     .await;
     let millis = since.elapsed().as_millis();
-    println!("takeover after {what}: {millis} ms to the next holder's order");
+    println!("takeover after {failure}: {millis} ms to the next holder's order");
 }
 
 #[actix_rt::test]
-async fn a_killed_holder_is_followed_by_another_that_completes_the_change() {
+async fn another_node_completes_the_change_of_a_killed_holder() {
     let mut cluster = Cluster::start(&["node-0", "node-1"]).await;
-    let holder = cluster.holder().await;
+    let holder = cluster.await_holder().await;
     let other = 1 - holder;
     let stream = begin_stream(cluster.nodes[other].callers, LONG_ANSWER_TOKENS).await;
-    cluster.apply(other, ONE_PREFILL);
-    let before = cluster.drained().await;
+    cluster.apply(other, ONE_PREFILL_BOUNDS);
+    let before = cluster.await_drain().await;
     drop(cluster.nodes.remove(holder));
-    next_epoch(&cluster, before, Instant::now(), "a kill").await;
-    assert_whole(&stream.await.expect("the stream's task ends"));
-    cluster.changed().await;
-    assert_orderly(&cluster.orders().await);
+    await_order_of_later_epoch(&cluster, before, Instant::now(), "a kill").await;
+    assert_complete(&stream.await.expect("the stream's task ends"));
+    cluster.await_prefill_role().await;
+    assert_orders_in_sequence(&cluster.orders().await);
 }
 
 #[actix_rt::test]
-async fn a_frozen_holder_that_wakes_changes_nothing() {
+async fn a_frozen_holder_changes_nothing_after_it_resumes() {
     let cluster = Cluster::start(&["node-0", "node-1"]).await;
-    let holder = cluster.holder().await;
+    let holder = cluster.await_holder().await;
     let other = 1 - holder;
     let stream = begin_stream(cluster.nodes[other].callers, LONG_ANSWER_TOKENS).await;
-    cluster.apply(other, ONE_PREFILL);
-    let before = cluster.drained().await;
+    cluster.apply(other, ONE_PREFILL_BOUNDS);
+    let before = cluster.await_drain().await;
     cluster.nodes[holder].process.signal("STOP");
-    next_epoch(&cluster, before, Instant::now(), "a freeze").await;
-    assert_whole(&stream.await.expect("the stream's task ends"));
-    cluster.changed().await;
-    // The frozen holder still wants the prefill role, and has an order to send when it wakes.
-    cluster.apply(other, NO_PREFILL);
-    cluster.plays("mixed").await;
+    await_order_of_later_epoch(&cluster, before, Instant::now(), "a freeze").await;
+    assert_complete(&stream.await.expect("the stream's task ends"));
+    cluster.await_prefill_role().await;
+    // The frozen holder still requires the prefill role, and has an order to send when it resumes.
+    cluster.apply(other, NO_PREFILL_BOUNDS);
+    cluster.await_role("mixed").await;
     cluster.nodes[holder].process.signal("CONT");
-    eventually("the woken node knows that it holds nothing", || async {
-        (get_metric(cluster.nodes[holder].admin, HELD).await? == 0.0).then_some(())
+    eventually("the resumed node knows that it holds no pool", || async {
+        (get_metric(cluster.nodes[holder].admin, POOLS_HELD_METRIC).await? == 0.0).then_some(())
     })
     .await;
-    assert_orderly(&cluster.orders().await);
-    cluster.plays("mixed").await;
+    assert_orders_in_sequence(&cluster.orders().await);
+    cluster.await_role("mixed").await;
 }
 
 #[actix_rt::test]
-async fn an_engine_that_crashes_halfway_is_changed_after_its_restart() {
+async fn an_engine_that_crashes_during_a_change_is_changed_after_its_restart() {
     let mut cluster = Cluster::start(&["node-0"]).await;
-    cluster.apply(0, ONE_PREFILL);
-    eventually("the change has begun", || async {
+    cluster.apply(0, ONE_PREFILL_BOUNDS);
+    eventually("the engine executes an order", || async {
         let state = cluster.state().await?;
         state["active_order"].is_string().then_some(())
     })
@@ -257,11 +269,11 @@
         .process
         .child
         .wait()
-        .expect("the engine has ended");
-    cluster.engine = start_standin_at(&ENGINE, address);
-    cluster.changed().await;
+        .expect("the engine process has ended");
+    cluster.engine = start_standin_at(&ENGINE_ARGUMENTS, address);
+    cluster.await_prefill_role().await;
     let orders = cluster.orders().await;
-    assert_orderly(&orders);
+    assert_orders_in_sequence(&orders);
     let changes = |order: &&RecordedOrder| {
         let is_change = matches!(order.order.action, OrderAction::SetRole { .. });
         is_change && order.reply == OrderReply::Accepted
@@ -270,92 +282,95 @@
 }
 
 #[actix_rt::test]
-async fn a_store_outage_in_the_middle_of_a_change_lets_no_stale_order_through() {
+async fn no_stale_order_is_sent_when_the_store_fails_during_a_change() {
     let cluster = Cluster::start(&["node-0"]).await;
     let node = &cluster.nodes[0];
     let stream = begin_stream(node.callers, LONG_ANSWER_TOKENS).await;
-    cluster.apply(0, ONE_PREFILL);
-    cluster.drained().await;
+    cluster.apply(0, ONE_PREFILL_BOUNDS);
+    cluster.await_drain().await;
     cluster.set_faults(json!({ "outage": true })).await;
     eventually("the lease is not valid", || async {
-        (get_metric(node.admin, LEASE_VALID).await? == 0.0).then_some(())
+        (get_metric(node.admin, LEASE_VALID_METRIC).await? == 0.0).then_some(())
     })
     .await;
     let before = cluster.orders().await.len();
-    assert_whole(&stream.await.expect("the stream's task ends"));
+    assert_complete(&stream.await.expect("the stream's task ends"));
     eventually("the engine is idle", || async {
         (cluster.state().await?["requests"] == 0).then_some(())
     })
     .await;
-    let withheld = get_metric(node.admin, WITHHELD).await.expect("the metric");
+    let withheld = get_metric(node.admin, ORDERS_WITHHELD_METRIC)
+        .await
+        .expect("the metric");
     eventually("the holder had the chance to send an order", || async {
-        let now = get_metric(node.admin, WITHHELD).await?;
+        let now = get_metric(node.admin, ORDERS_WITHHELD_METRIC).await?;
         (now >= withheld + WITHHELD_ROUNDS).then_some(())
     })
     .await;
     assert_eq!(cluster.orders().await.len(), before);
     cluster.set_faults(json!({})).await;
-    cluster.changed().await;
-    assert_orderly(&cluster.orders().await);
+    cluster.await_prefill_role().await;
+    assert_orders_in_sequence(&cluster.orders().await);
 }
 
 #[actix_rt::test]
-async fn a_claim_whose_answers_are_lost_is_read_back() {
+async fn a_claim_whose_answer_is_lost_is_read_back_from_the_store() {
     let mut cluster = Cluster::start(&["node-0"]).await;
     cluster.start_node("node-1");
     eventually("the second node has its lease", || async {
-        (get_metric(cluster.nodes[1].admin, LEASE_VALID).await? == 1.0).then_some(())
+        (get_metric(cluster.nodes[1].admin, LEASE_VALID_METRIC).await? == 1.0).then_some(())
     })
     .await;
-    // The next write is the second node's claim, once the first one's lease has lapsed.
+    // The next write is the second node's claim, after the lease of the first has expired.
     cluster.set_faults(json!({ "lose_answers": 1 })).await;
     drop(cluster.nodes.remove(0));
-    cluster.holder().await;
+    cluster.await_holder().await;
     let faults = get_json(cluster.platform.address, "/standin/faults").await;
     let left = faults.map(|faults| faults["switches"]["lose_answers"].clone());
-    assert_eq!(left, Some(json!(0)), "the claim's answer was lost");
-    cluster.apply(0, ONE_PREFILL);
-    cluster.changed().await;
-    assert_orderly(&cluster.orders().await);
+    assert_eq!(left, Some(json!(0)), "the answer to the claim was not lost");
+    cluster.apply(0, ONE_PREFILL_BOUNDS);
+    cluster.await_prefill_role().await;
+    assert_orders_in_sequence(&cluster.orders().await);
 }
 
 #[actix_rt::test]
 async fn a_planned_stop_releases_the_pool_at_once() {
     let cluster = Cluster::start(&["node-0", "node-1"]).await;
-    let holder = cluster.holder().await;
+    let holder = cluster.await_holder().await;
     let other = 1 - holder;
-    // The stream keeps the stopping node alive, and its lease would go on if it were not revoked.
+    // The stream keeps the stopping node running, which would keep its lease alive if the lease were not revoked.
     let stream = begin_stream(cluster.nodes[holder].callers, LONG_ANSWER_TOKENS).await;
     cluster.nodes[holder].process.signal("TERM");
     eventually("the other node holds the pool", || async {
-        (get_metric(cluster.nodes[other].admin, HELD).await? == 1.0).then_some(())
+        (get_metric(cluster.nodes[other].admin, POOLS_HELD_METRIC).await? == 1.0).then_some(())
     })
     .await;
     assert!(
         !stream.is_finished(),
-        "the pool was free only once the node had ended"
+        "the pool was released only when the node had ended"
     );
-    assert_whole(&stream.await.expect("the stream's task ends"));
-    cluster.apply(other, ONE_PREFILL);
-    cluster.changed().await;
+    assert_complete(&stream.await.expect("the stream's task ends"));
+    cluster.apply(other, ONE_PREFILL_BOUNDS);
+    cluster.await_prefill_role().await;
 }
 
-// Guards against engines that take orders of nobody, as the restored store gives out epochs that they have heard of.
+// Guards against engines that reject every order after a restore, because the restored store assigns epochs that the
+// engines have already seen.
 #[actix_rt::test]
-async fn engines_are_ordered_on_after_the_store_was_restored() {
+async fn engines_accept_orders_after_the_store_was_restored() {
     let mut cluster = Cluster::start(&["node-0"]).await;
     cluster.platform.command("backup").await;
-    for _ in 0..CHANGES_LOST {
+    for _ in 0..LOST_CHANGE_PAIRS {
         cluster.apply(0, "least = 0, most = 1");
         cluster.apply(0, "least = 0");
     }
     drop(cluster.nodes.remove(0));
     cluster.start_node("node-1");
-    cluster.holder().await;
-    cluster.apply(0, ONE_PREFILL);
-    cluster.changed().await;
+    cluster.await_holder().await;
+    cluster.apply(0, ONE_PREFILL_BOUNDS);
+    cluster.await_prefill_role().await;
     cluster.platform.command("restore").await;
-    cluster.apply(0, NO_PREFILL);
-    cluster.plays("mixed").await;
-    assert_orderly(&cluster.orders().await);
+    cluster.apply(0, NO_PREFILL_BOUNDS);
+    cluster.await_role("mixed").await;
+    assert_orders_in_sequence(&cluster.orders().await);
 }
--- a/crates/cli/tests/callers_crash.rs
+++ b/crates/cli/tests/callers_crash.rs
@@ -1,6 +1,6 @@
-//! Engines as separate processes that are killed or frozen in mid-stream: the caller sees one
-//! whole answer, or for a request that is not repeatable an honest verdict; and a node that is
-//! asked to stop ends its streams first.
+//! Engines as separate processes that are killed or frozen during a stream: the caller receives one complete answer, or,
+//! for a request that is not repeatable, a verdict that the request may have run. A node that receives a stop signal
+//! completes its streams first.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 const MODEL: &str = "base";
 const PROMPT: &str = "which families receive rice and lentils";
-const TOKENS: u32 = 300;
+const ANSWER_TOKENS: u32 = 300;
 
 struct Fleet {
     node: NodeProcess,
@@ -57,20 +57,24 @@
     }
 }
 
-/// Asks for a long streamed completion; `on_text` is called once, after the first text.
-async fn ask(node: SocketAddr, repeatable: bool, on_text: impl AsyncFnOnce()) -> StreamOutcome {
-    let asked = StreamRequest {
+/// Requests a long streamed completion. Calls `on_text` once, after the first text.
+async fn stream_long_completion(
+    node: SocketAddr,
+    repeatable: bool,
+    on_text: impl AsyncFnOnce(),
+) -> StreamOutcome {
+    let request = StreamRequest {
         model: MODEL,
         prompt: PROMPT,
-        tokens: TOKENS,
+        tokens: ANSWER_TOKENS,
         repeatable,
     };
-    stream_completion(node, &asked, on_text).await
+    stream_completion(node, &request, on_text).await
 }
 
-/// The engine that holds a request now.
+/// Waits until an engine has a request in progress, and returns it.
 async fn busy_engine(engines: &[Standin; 2]) -> &Standin {
-    eventually("an engine holds the request", || async {
+    eventually("an engine has the request in progress", || async {
         for engine in engines {
             let state = get_json(engine.address, "/control/state").await?;
             if state["requests"].as_u64() > Some(0) {
@@ -83,15 +87,15 @@
 }
 
 fn expected() -> String {
-    answer_text(MODEL, PROMPT, TOKENS)
+    answer_text(MODEL, PROMPT, ANSWER_TOKENS)
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_though_its_engine_is_killed_or_frozen() {
+async fn an_answer_is_complete_although_its_engine_is_killed_or_frozen() {
     for signal in ["KILL", "STOP"] {
         let fleet = start_fleet().await;
-        let strike = async || busy_engine(&fleet.engines).await.process.signal(signal);
-        let outcome = ask(fleet.node.callers, true, strike).await;
+        let lose_engine = async || busy_engine(&fleet.engines).await.process.signal(signal);
+        let outcome = stream_long_completion(fleet.node.callers, true, lose_engine).await;
         assert_eq!(outcome.text, expected(), "SIG{signal}");
         assert_eq!(outcome.verdict.as_deref(), Some("completed"), "SIG{signal}");
     }
@@ -100,8 +104,8 @@
 #[actix_rt::test]
 async fn a_request_that_is_not_repeatable_is_not_resumed_after_a_kill() {
     let fleet = start_fleet().await;
-    let strike = async || busy_engine(&fleet.engines).await.process.signal("KILL");
-    let outcome = ask(fleet.node.callers, false, strike).await;
+    let lose_engine = async || busy_engine(&fleet.engines).await.process.signal("KILL");
+    let outcome = stream_long_completion(fleet.node.callers, false, lose_engine).await;
     assert_eq!(outcome.verdict.as_deref(), Some("may-have-run"));
     assert!(expected().starts_with(&outcome.text));
     assert!(outcome.text.len() < expected().len());
@@ -111,14 +115,14 @@
         let requests = records.map(|records| records["requests"].as_array().map(Vec::len));
         runs += requests.flatten().unwrap_or(0);
     }
-    assert_eq!(runs, 0, "the engine that is left has seen nothing of it");
+    assert_eq!(runs, 0, "the remaining engine received the request");
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_of_a_node_cuts_no_stream() {
+async fn a_planned_stop_of_a_node_truncates_no_stream() {
     let fleet = start_fleet().await;
     let stop = async || fleet.node.process.signal("TERM");
-    let outcome = ask(fleet.node.callers, true, stop).await;
+    let outcome = stream_long_completion(fleet.node.callers, true, stop).await;
     assert_eq!(outcome.text, expected());
     assert_eq!(outcome.verdict.as_deref(), Some("completed"));
 }
--- a/crates/cli/tests/configuration_spread.rs
+++ b/crates/cli/tests/configuration_spread.rs
@@ -1,5 +1,5 @@
-//! The spread of configurations between separate processes: one node reads the store, the others
-//! take what it read, and a restarted one is given what its peers have.
+//! Distribution of configurations between separate processes: one node reads the store, the others pull the configuration
+//! from their peers, and so does a restarted node.
 
 use serde_json::json;
 use tansyhall_testing::{
@@ -7,7 +7,7 @@
 };
 
 const SIZE: usize = 5;
-const SUBJECT: usize = 3;
+const RESTARTED_NODE: usize = 3;
 
 async fn await_one_follower(fleet: &Fleet) {
     eventually("one node follows the store", || async {
@@ -16,21 +16,21 @@
     .await;
 }
 
-async fn store_calls(fleet: &Fleet) -> u64 {
+async fn count_store_calls(fleet: &Fleet) -> u64 {
     let report = get_json(fleet.platform.address, "/standin/faults").await;
     let report = report.expect("a report");
     report["calls"].as_u64().expect("a number")
 }
 
-async fn pulls(fleet: &Fleet, index: usize) -> f64 {
+async fn count_pulls(fleet: &Fleet, index: usize) -> f64 {
     let name = "tansyhall_configuration_pulls_total{outcome=\"held\"}";
     get_metric(fleet.admin_address(index), name)
         .await
         .unwrap_or(0.0)
 }
 
-// Guards against callers who are told by a node that has just started that nobody serves what they ask for.
-async fn assert_refused_for_now(fleet: &Fleet) {
+// Guards against a node that has just started and answers callers that no service exists for their request.
+async fn assert_refused_with_retry_after(fleet: &Fleet) {
     let completion = json!({ "model": "base", "prompt": "x" });
     for (path, body) in [("/v1/completions", completion), ("/stock/slip", json!({}))] {
         let url = format!("http://{}{path}", fleet.nodes[0].callers);
@@ -44,25 +44,25 @@
 }
 
 #[actix_rt::test]
-async fn a_change_reaches_every_node_though_one_reads_the_store() {
+async fn a_change_reaches_every_node_although_only_one_reads_the_store() {
     let fleet = Fleet::start(SIZE).await;
     fleet.apply_everywhere("valley").await;
     await_one_follower(&fleet).await;
     let mut before = Vec::new();
     for index in 0..SIZE {
-        before.push(pulls(&fleet, index).await);
+        before.push(count_pulls(&fleet, index).await);
     }
     fleet.apply_everywhere("hills").await;
     let mut pulled = 0;
     for (index, before) in before.into_iter().enumerate() {
-        pulled += usize::from(pulls(&fleet, index).await > before);
+        pulled += usize::from(count_pulls(&fleet, index).await > before);
     }
     assert_eq!(pulled, SIZE - 1, "all but the follower pulled from a peer");
     assert_eq!(fleet.store_follower_count().await, 1);
 }
 
 #[actix_rt::test]
-async fn the_next_node_follows_the_store_when_the_follower_dies() {
+async fn another_node_follows_the_store_after_the_follower_was_killed() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.apply_everywhere("valley").await;
     await_one_follower(&fleet).await;
@@ -73,25 +73,25 @@
     }
     fleet.kill(follower);
     await_one_follower(&fleet).await;
-    let witness = (follower + 1) % SIZE;
-    let before = fleet.revision(witness).await.expect("a revision");
-    fleet.apply_site(witness, "hills");
+    let observer = (follower + 1) % SIZE;
+    let before = fleet.revision(observer).await.expect("a revision");
+    fleet.apply_site(observer, "hills");
     for index in (0..SIZE).filter(|index| *index != follower) {
         fleet.await_revision(index, before + 1).await;
     }
 }
 
 #[actix_rt::test]
-async fn a_node_restarted_in_an_outage_of_the_store_gets_what_its_peers_have() {
+async fn a_node_restarted_during_a_store_outage_gets_the_configuration_of_its_peers() {
     let mut fleet = Fleet::start(SIZE).await;
     fleet.apply_everywhere("valley").await;
     let newest = fleet.apply_everywhere("hills").await;
     fleet.set_faults(json!({ "outage": true })).await;
-    fleet.restart(SUBJECT);
-    let admin = fleet.admin_address(SUBJECT);
-    // Until it has asked its peers it has nothing in force, and then at once the newest.
+    fleet.restart(RESTARTED_NODE);
+    let admin = fleet.admin_address(RESTARTED_NODE);
+    // The node has no configuration in force until it has queried its peers, and then immediately has the newest.
     let first = eventually("the restarted node has a configuration", || async {
-        let revision = fleet.revision(SUBJECT).await?;
+        let revision = fleet.revision(RESTARTED_NODE).await?;
         (revision > 0).then_some(revision)
     })
     .await;
@@ -101,17 +101,17 @@
     fleet.set_faults(json!({})).await;
     let last = fleet.apply_everywhere("lakes").await;
     assert!(last > newest);
-    assert!(store_calls(&fleet).await > 0);
+    assert!(count_store_calls(&fleet).await > 0);
 }
 
 #[actix_rt::test]
-async fn nodes_that_restart_alone_in_an_outage_are_not_ready() {
+async fn a_node_that_restarts_without_peers_during_a_store_outage_is_not_ready() {
     let mut fleet = Fleet::start(1).await;
     fleet.apply_site(0, "valley");
     fleet.await_revision(0, 1).await;
     fleet.set_faults(json!({ "outage": true })).await;
     fleet.restart(0);
-    eventually("the node wants to follow the store", || async {
+    eventually("the node tries to follow the store", || async {
         (fleet.store_follower_count().await == 1).then_some(())
     })
     .await;
@@ -119,7 +119,7 @@
     let url = format!("http://{}/health/ready", fleet.admin_address(0));
     let ready = awc::Client::default().get(url).send().await;
     assert_eq!(ready.expect("an answer").status(), 503);
-    assert_refused_for_now(&fleet).await;
+    assert_refused_with_retry_after(&fleet).await;
     fleet.set_faults(json!({})).await;
     fleet.await_revision(0, 1).await;
 }
--- a/crates/cli/tests/dispatch_split.rs
+++ b/crates/cli/tests/dispatch_split.rs
@@ -1,6 +1,5 @@
-//! Prefill and decode engines as separate processes: a request is prefilled by one engine and
-//! answered by another, and whichever of them is lost at whichever step, the caller sees one whole
-//! answer.
+//! Prefill and decode engines as separate processes: one engine prefills a request and another answers it. Whichever engine
+//! is lost, and at whichever step, the caller receives one complete answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,11 +14,11 @@
 };
 
 const MODEL: &str = "base";
-const TOKENS: u32 = 300;
-/// Words of the prompt: prefilled in about 0.8 s, moved between engines in 0.2 s.
+const ANSWER_TOKENS: u32 = 300;
+/// Number of words in the prompt: its prefill takes about 0.8 s, its transfer between engines 0.2 s.
 const PROMPT_WORDS: usize = 20_000;
-/// Reports of each engine after which the node knows what happened before them.
-const ROUNDS_OF_REPORTS: u64 = 4;
+/// Number of load reports of each engine after which the node knows what happened before them.
+const REPORTS_PER_ENGINE: u64 = 4;
 const ENGINES: [(&str, &str); 4] = [
     ("prefill-0", "prefill"),
     ("prefill-1", "prefill"),
@@ -60,7 +59,7 @@
     )
 }
 
-/// Starts a node and its engines, and waits until requests are split between them.
+/// Starts a node and its engines, and waits until requests are split between prefill and decode engines.
 async fn start_fleet() -> Fleet {
     let directory = tempfile::tempdir().expect("a directory");
     let platform = start_standin(&["platform"]);
@@ -82,14 +81,14 @@
     };
     eventually("requests are split", || async {
         warm_up(&fleet).await?;
-        let resumed = resumed_after(fleet.decode()).await;
+        let resumed = resume_positions(fleet.decode()).await;
         resumed.contains(&1).then_some(())
     })
     .await;
     fleet
 }
 
-/// Asks for a short completion.
+/// Requests a short completion.
 async fn warm_up(fleet: &Fleet) -> Option<()> {
     let body = json!({ "model": MODEL, "prompt": "warm up", "max_tokens": 2 });
     let url = format!("http://{}/v1/completions", fleet.node.callers);
@@ -97,7 +96,7 @@
     response.ok().map(|_| ())
 }
 
-/// The node's metrics, as text.
+/// Returns the node's metrics as text.
 async fn metrics(fleet: &Fleet) -> String {
     let url = format!("http://{}/metrics", fleet.node.admin);
     let mut response = awc::Client::default()
@@ -109,16 +108,16 @@
     String::from_utf8_lossy(&body).into_owned()
 }
 
-/// Load reports that the node has read.
-async fn reports_read(fleet: &Fleet) -> u64 {
+/// Returns the number of load reports that the node has read.
+async fn count_reports_read(fleet: &Fleet) -> u64 {
     let metrics = metrics(fleet).await;
     let name = "tansyhall_load_reports_total{outcome=\"read\"} ";
     let line = metrics.lines().find_map(|line| line.strip_prefix(name));
     line.and_then(|count| count.parse().ok()).unwrap_or(0)
 }
 
-/// From which token on each request of these engines was to be answered.
-async fn resumed_after(engines: &[Standin]) -> Vec<u64> {
+/// Returns, for each resumed request of these engines, the number of tokens after which the answer was to continue.
+async fn resume_positions(engines: &[Standin]) -> Vec<u64> {
     let mut resumed = Vec::new();
     for engine in engines {
         let records = get_json(engine.address, "/standin/records").await;
@@ -133,7 +132,7 @@
     resumed
 }
 
-/// A prompt of its own for each test's request, so that no prefix cache holds it.
+/// Returns a prompt that is different for each name, so that no prefix cache contains it.
 fn prompt(name: &str) -> String {
     let words: Vec<String> = (0..PROMPT_WORDS)
         .map(|word| format!("{name}{word}"))
@@ -141,32 +140,32 @@
     words.join(" ")
 }
 
-fn assert_whole(outcome: &StreamOutcome, prompt: &str) {
+fn assert_complete(outcome: &StreamOutcome, prompt: &str) {
     assert_eq!(outcome.verdict.as_deref(), Some("completed"));
-    assert!(outcome.text == answer_text(MODEL, prompt, TOKENS));
+    assert!(outcome.text == answer_text(MODEL, prompt, ANSWER_TOKENS));
 }
 
-/// Asks for a long streamed completion; `on_text` is called once, after the first text.
-async fn ask(
+/// Requests a long streamed completion. Calls `on_text` once, after the first text.
+async fn stream_long_completion(
     node: SocketAddr,
     prompt: &str,
     repeatable: bool,
     on_text: impl AsyncFnOnce(),
 ) -> StreamOutcome {
-    let asked = StreamRequest {
+    let request = StreamRequest {
         model: MODEL,
         prompt,
-        tokens: TOKENS,
+        tokens: ANSWER_TOKENS,
         repeatable,
     };
-    stream_completion(node, &asked, on_text).await
+    stream_completion(node, &request, on_text).await
 }
 
-/// The engine that holds a request now.
+/// Waits until an engine has a request in progress, and returns it.
 async fn busy_engine(engines: &[Standin]) -> &Standin {
-    eventually("an engine holds the request", || async {
+    eventually("an engine has the request in progress", || async {
         for engine in engines {
-            // One that was killed before does not answer.
+            // An engine that was killed before does not answer.
             let state = get_json(engine.address, "/control/state").await;
             if state.unwrap_or_default()["requests"].as_u64() > Some(0) {
                 return Some(engine);
@@ -181,11 +180,12 @@
 async fn a_request_is_prefilled_by_one_engine_and_answered_by_another() {
     for repeatable in [true, false] {
         let fleet = start_fleet().await;
-        let warm_up = resumed_after(fleet.decode()).await.len();
+        let warm_up = resume_positions(fleet.decode()).await.len();
         let prompt = prompt("split");
-        let outcome = ask(fleet.node.callers, &prompt, repeatable, async || ()).await;
-        assert_whole(&outcome, &prompt);
-        let resumed = resumed_after(fleet.decode()).await;
+        let outcome =
+            stream_long_completion(fleet.node.callers, &prompt, repeatable, async || ()).await;
+        assert_complete(&outcome, &prompt);
+        let resumed = resume_positions(fleet.decode()).await;
         assert_eq!(resumed.len(), warm_up + 1);
         let mut cached = 0;
         for engine in fleet.decode() {
@@ -193,38 +193,41 @@
             let events = events.expect("cache events")["events"].as_array().cloned();
             cached = cached.max(events.map_or(0, |events| events.len()));
         }
-        assert!(cached > 900, "the prompt's blocks were moved: {cached}");
+        assert!(
+            cached > 900,
+            "the prompt's blocks were not transferred: {cached}"
+        );
     }
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_though_its_prefill_engine_is_lost_while_it_prefills() {
+async fn an_answer_is_complete_although_its_prefill_engine_is_lost_during_prefill() {
     for signal in ["KILL", "STOP"] {
         let fleet = start_fleet().await;
         let prompt = prompt("prefilling");
-        let strike = async { busy_engine(fleet.prefill()).await.process.signal(signal) };
-        let answer = ask(fleet.node.callers, &prompt, true, async || ());
-        let (outcome, ()) = futures_util::join!(answer, strike);
-        assert_whole(&outcome, &prompt);
+        let lose_engine = async { busy_engine(fleet.prefill()).await.process.signal(signal) };
+        let answer = stream_long_completion(fleet.node.callers, &prompt, true, async || ());
+        let (outcome, ()) = futures_util::join!(answer, lose_engine);
+        assert_complete(&outcome, &prompt);
     }
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_though_every_prefill_engine_is_lost_after_the_first_token() {
+async fn an_answer_is_complete_although_every_prefill_engine_is_lost_after_the_first_token() {
     for signal in ["KILL", "STOP"] {
         let fleet = start_fleet().await;
         let prompt = prompt("prefilled");
-        let strike = async || {
+        let lose_engine = async || {
             for engine in fleet.prefill() {
                 engine.process.signal(signal);
             }
         };
-        let outcome = ask(fleet.node.callers, &prompt, true, strike).await;
-        assert_whole(&outcome, &prompt);
+        let outcome = stream_long_completion(fleet.node.callers, &prompt, true, lose_engine).await;
+        assert_complete(&outcome, &prompt);
     }
 }
 
-/// Gives an engine an order under an authority of the test's own.
+/// Sends an engine an order under the test's own authority, with the highest fence token.
 async fn order(engine: &Standin, order_id: &str, action: OrderAction) {
     let engines = EngineClient::new(Duration::from_secs(1));
     let state = engines.state(engine.address).await.expect("a state");
@@ -239,26 +242,26 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_though_its_decode_engine_is_lost_while_the_cache_is_moved() {
+async fn an_answer_is_complete_although_its_decode_engine_is_lost_during_the_cache_transfer() {
     for signal in ["KILL", "STOP"] {
         let fleet = start_fleet().await;
         let [target, other] = fleet.decode() else {
             panic!("two decode engines");
         };
-        // Only the one that does not drain is chosen; the move there takes 0.2 s.
+        // Only the engine that is not draining is chosen; the transfer to it takes 0.2 s.
         order(other, "drain", OrderAction::Drain).await;
-        let known = reports_read(&fleet).await + ROUNDS_OF_REPORTS * ENGINES.len() as u64;
-        eventually("the drain is known", || async {
-            (reports_read(&fleet).await >= known).then_some(())
+        let known = count_reports_read(&fleet).await + REPORTS_PER_ENGINE * ENGINES.len() as u64;
+        eventually("the node knows of the drain", || async {
+            (count_reports_read(&fleet).await >= known).then_some(())
         })
         .await;
         let prompt = prompt("moving");
-        let strike = async || {
+        let lose_engine = async || {
             target.process.signal(signal);
             order(other, "resume", OrderAction::Resume).await;
         };
-        let outcome = ask(fleet.node.callers, &prompt, true, strike).await;
-        assert_whole(&outcome, &prompt);
+        let outcome = stream_long_completion(fleet.node.callers, &prompt, true, lose_engine).await;
+        assert_complete(&outcome, &prompt);
         let failed = "tansyhall_kv_transfers_total{outcome=\"import-failed\"} 1";
         let metrics = metrics(&fleet).await;
         assert!(metrics.contains(failed), "SIG{signal}: {metrics}");
@@ -266,7 +269,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_though_the_cache_is_not_exported() {
+async fn an_answer_is_complete_although_the_cache_is_not_exported() {
     let fleet = start_fleet().await;
     let client = awc::Client::default();
     for engine in fleet.prefill() {
@@ -276,20 +279,20 @@
         assert_eq!(response.expect("an answer").status(), 204);
     }
     let prompt = prompt("forgotten");
-    let outcome = ask(fleet.node.callers, &prompt, true, async || ()).await;
-    assert_whole(&outcome, &prompt);
+    let outcome = stream_long_completion(fleet.node.callers, &prompt, true, async || ()).await;
+    assert_complete(&outcome, &prompt);
     let failed = "tansyhall_kv_transfers_total{outcome=\"export-failed\"} 1";
     assert!(metrics(&fleet).await.contains(failed));
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_though_its_decode_engine_is_lost_in_mid_answer() {
+async fn an_answer_is_complete_although_its_decode_engine_is_lost_during_the_answer() {
     for signal in ["KILL", "STOP"] {
         let fleet = start_fleet().await;
         let prompt = prompt("decoding");
-        let strike = async { busy_engine(fleet.decode()).await.process.signal(signal) };
-        let answer = ask(fleet.node.callers, &prompt, true, async || ());
-        let (outcome, ()) = futures_util::join!(answer, strike);
-        assert_whole(&outcome, &prompt);
+        let lose_engine = async { busy_engine(fleet.decode()).await.process.signal(signal) };
+        let answer = stream_long_completion(fleet.node.callers, &prompt, true, async || ());
+        let (outcome, ()) = futures_util::join!(answer, lose_engine);
+        assert_complete(&outcome, &prompt);
     }
 }
--- a/crates/cli/tests/leaving_workers.rs
+++ b/crates/cli/tests/leaving_workers.rs
@@ -1,19 +1,19 @@
-//! A worker whose machine is listed as leaving is sent no new request, by separate processes.
+//! A worker whose machine is listed as leaving receives no new requests; tested with separate processes.
 
 mod application_cluster;
 
-use application_cluster::{Cluster, AT_ONCE};
+use application_cluster::{Cluster, IMMEDIATE_PATH};
 use serde_json::json;
 use tansyhall_testing::{eventually, get_metric, Fleet};
 
 const SIZE: usize = 3;
 const LEAVING: usize = 0;
 const STAYING: usize = 1;
-/// Requests through each node; one that ignored the mark would hit the leaving worker in half.
+/// Requests through each node; a node that ignored the leaving mark would send half of them to the leaving worker.
 const REQUESTS: usize = 20;
 
 #[actix_rt::test]
-async fn a_worker_whose_machine_is_leaving_is_sent_no_new_request() {
+async fn a_worker_whose_machine_is_leaving_receives_no_new_requests() {
     let cluster = Cluster::start_with(Fleet::start(SIZE).await, 2).await;
     let leaving = json!([{
         "name": "app-0", "kind": "app", "zone": "kalimati", "leaving": true,
@@ -21,7 +21,7 @@
     }]);
     cluster.fleet.set_machines(leaving).await;
     for index in 0..SIZE {
-        eventually("the mark is known", || async {
+        eventually("the node knows the leaving mark", || async {
             let gauge = "tansyhall_leaving_backends";
             let marked = get_metric(cluster.fleet.admin_address(index), gauge).await?;
             (marked == 1.0).then_some(())
@@ -31,8 +31,8 @@
     for request in 0..REQUESTS {
         for index in 0..SIZE {
             let key = format!("slip-{request}-{index}");
-            let told = cluster.print_slip(index, &key, AT_ONCE).await;
-            assert_eq!(told.status, 200, "{told:?}");
+            let answer = cluster.send_with_key(index, &key, IMMEDIATE_PATH).await;
+            assert_eq!(answer.status, 200, "{answer:?}");
         }
     }
     assert_eq!(cluster.runs_at(LEAVING).await, 0);
--- a/crates/cli/tests/limits_process.rs
+++ b/crates/cli/tests/limits_process.rs
@@ -1,4 +1,4 @@
-//! A tenant's limit at a node process, judged by the records of the engines.
+//! A tenant's rate limit in a node process, verified against the engine's records.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -8,15 +8,15 @@
     eventually, get_json, node_settings, run_tansyhall, start_node, start_standin,
 };
 
-/// Requests a second that the tenant may send.
-const LIMIT: u64 = 5;
-/// Requests sent, far above what the limit allows.
+/// Number of requests per second that the tenant may send.
+const MAX_REQUESTS_PER_SECOND: u64 = 5;
+/// Number of requests sent, far more than the limit allows.
 const REQUESTS: usize = 100;
 
 fn resources(engine: SocketAddr) -> String {
     format!(
         "[[tenant]]\nname = 'cooperative'\nowner = 'depot'\n\
-         limits = {{ requests_per_second = {LIMIT} }}\n\
+         limits = {{ requests_per_second = {MAX_REQUESTS_PER_SECOND} }}\n\
          [[site]]\nname = 'valley'\nregion = 'valley'\nzones = ['kalimati']\n\
          [[service]]\nname = 'assistant'\nsite = 'valley'\nkind = 'language-model'\n\
          tenant = 'cooperative'\n\
@@ -26,7 +26,7 @@
 }
 
 #[actix_rt::test]
-async fn engines_run_no_more_requests_than_the_tenant_may_send() {
+async fn engines_run_no_more_requests_than_the_tenants_limit_allows() {
     let directory = tempfile::tempdir().expect("a directory");
     let platform = start_standin(&["platform"]);
     let engine = start_standin(&["engine", "--name", "engine-0"]);
@@ -45,7 +45,7 @@
     let client = awc::Client::builder().disable_timeout().finish();
     let url = format!("http://{}/v1/completions", node.callers);
     let body = json!({ "model": "base", "prompt": "rice", "max_tokens": 1 });
-    let began = Instant::now();
+    let started = Instant::now();
     let mut completed = 0;
     for _ in 0..REQUESTS {
         let answer = client.post(&url).send_json(&body).await;
@@ -53,10 +53,16 @@
         assert!(status == 200 || status == 429, "{status}");
         completed += usize::from(status == 200);
     }
-    let allowed = LIMIT * (began.elapsed().as_secs() + 2);
+    let allowed = MAX_REQUESTS_PER_SECOND * (started.elapsed().as_secs() + 2);
     let records = get_json(engine.address, "/standin/records").await;
     let records = records.expect("the records");
-    let ran = records["requests"].as_array().map_or(0, Vec::len);
-    assert_eq!(ran, completed, "what was refused was not run");
-    assert!((1..=allowed).contains(&(ran as u64)), "{ran} of {allowed}");
+    let run_requests = records["requests"].as_array().map_or(0, Vec::len);
+    assert_eq!(
+        run_requests, completed,
+        "the engine must run exactly the requests that were not refused"
+    );
+    assert!(
+        (1..=allowed).contains(&(run_requests as u64)),
+        "the engine ran {run_requests} requests; the limit allows {allowed}"
+    );
 }
--- a/crates/cli/tests/membership_processes.rs
+++ b/crates/cli/tests/membership_processes.rs
@@ -1,45 +1,45 @@
-//! Failure detection between separate processes: a killed node, a frozen one, a planned stop.
+//! Failure detection between separate processes: a killed node, a frozen node and a planned stop.
 
 use serde_json::json;
 use tansyhall_testing::{eventually, get_metric, Fleet};
 use tokio::io::AsyncWriteExt;
 
 const SIZE: usize = 5;
-const OTHERS: std::ops::Range<usize> = 0..SIZE - 1;
-const SUBJECT: usize = SIZE - 1;
+const OTHER_NODES: std::ops::Range<usize> = 0..SIZE - 1;
+const FAILING_NODE: usize = SIZE - 1;
 
 #[actix_rt::test]
-async fn a_killed_node_is_declared_dead_by_all_and_its_next_run_is_welcome() {
+async fn a_killed_node_is_declared_dead_by_all_and_rejoins_after_a_restart() {
     let mut fleet = Fleet::start(SIZE).await;
-    fleet.kill(SUBJECT);
-    for index in OTHERS {
+    fleet.kill(FAILING_NODE);
+    for index in OTHER_NODES {
         fleet.await_member_count(index, "dead", 1).await;
         fleet.await_member_count(index, "alive", SIZE - 1).await;
     }
-    fleet.restart(SUBJECT);
+    fleet.restart(FAILING_NODE);
     for index in 0..SIZE {
         fleet.await_member_count(index, "alive", SIZE).await;
     }
 }
 
 #[actix_rt::test]
-async fn a_frozen_node_rejoins_when_it_wakes() {
+async fn a_frozen_node_rejoins_after_it_resumes() {
     let fleet = Fleet::start(SIZE).await;
-    fleet.nodes[SUBJECT].process.signal("STOP");
-    for index in OTHERS {
+    fleet.nodes[FAILING_NODE].process.signal("STOP");
+    for index in OTHER_NODES {
         fleet.await_member_count(index, "dead", 1).await;
     }
-    fleet.nodes[SUBJECT].process.signal("CONT");
+    fleet.nodes[FAILING_NODE].process.signal("CONT");
     for index in 0..SIZE {
         fleet.await_member_count(index, "alive", SIZE).await;
     }
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_is_announced() {
+async fn a_planned_stop_is_announced_to_all() {
     let fleet = Fleet::start(SIZE).await;
-    fleet.nodes[SUBJECT].process.signal("TERM");
-    for index in OTHERS {
+    fleet.nodes[FAILING_NODE].process.signal("TERM");
+    for index in OTHER_NODES {
         eventually("the node is known to be leaving", || async {
             let leaving = "tansyhall_member_changes_total{state=\"leaving\"}";
             let changes = get_metric(fleet.admin_address(index), leaving).await?;
@@ -50,19 +50,19 @@
 }
 
 #[actix_rt::test]
-async fn a_back_end_listed_as_leaving_is_known_to_all_as_such() {
+async fn all_nodes_know_which_listed_back_ends_are_leaving() {
     let fleet = Fleet::start(SIZE).await;
-    let list = |leaving: bool| {
+    let backends = |leaving: bool| {
         json!([{
             "name": "engine-0", "kind": "engine", "zone": "kalimati",
             "address": "127.0.0.1:9", "leaving": leaving,
         }])
     };
     for leaving in [true, false] {
-        fleet.set_machines(list(leaving)).await;
+        fleet.set_machines(backends(leaving)).await;
         let expected = if leaving { 1.0 } else { 0.0 };
         for index in 0..SIZE {
-            eventually("the mark is known", || async {
+            eventually("the node knows the leaving mark", || async {
                 let gauge = "tansyhall_leaving_backends";
                 let marked = get_metric(fleet.admin_address(index), gauge).await?;
                 (marked == expected).then_some(())
@@ -73,12 +73,12 @@
 }
 
 #[actix_rt::test]
-async fn garbage_on_the_peer_port_is_counted_and_does_no_harm() {
+async fn malformed_messages_on_the_peer_port_are_counted_and_ignored() {
     let fleet = Fleet::start(2).await;
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await;
     let socket = socket.expect("a socket");
     let malformed = "tansyhall_peer_malformed_total";
-    let counted = eventually("garbage is counted", || async {
+    let counted = eventually("malformed messages are counted", || async {
         socket
             .send_to(b"\xff\xff garbage", fleet.peer_address(0))
             .await
--- a/crates/cli/tests/operators_admin/api.rs
+++ b/crates/cli/tests/operators_admin/api.rs
@@ -1,6 +1,6 @@
 //! The administration API: preconditions, deletion, dry runs, filters, accounts, bad input.
 
-use crate::support::{policy, Call, Fleet, MAX_ADMIN_BODY_BYTES, NOTARIES, VIEWER};
+use crate::support::{policy, Call, Fleet, MAX_ADMIN_BODY_BYTES, NOTARIES_TOKEN, VIEWER_TOKEN};
 use awc::http::{header, Method, StatusCode};
 use serde_json::{json, Value};
 use tansyhall_testing::eventually;
@@ -38,7 +38,7 @@
 backends = []
 ";
 
-async fn configured() -> Fleet {
+async fn start_configured_fleet() -> Fleet {
     let fleet = Fleet::start();
     let call = Call {
         body: RESOURCES.into(),
@@ -65,7 +65,7 @@
 
 #[actix_rt::test]
 async fn changes_need_the_entity_tag_of_what_they_change() {
-    let fleet = configured().await;
+    let fleet = start_configured_fleet().await;
     let path = "/admin/v1/policy/shared";
     let put = || Call::put(fleet.admin(0), path, &policy("shared", 3));
     let bare = put().send().await;
@@ -91,7 +91,7 @@
     assert_eq!(
         changed.status,
         StatusCode::OK,
-        "the dry run changed nothing: {changed:?}"
+        "the dry run must have changed nothing: {changed:?}"
     );
     let delete = || Call::new(fleet.admin(0), Method::DELETE, path);
     assert_eq!(
@@ -108,8 +108,8 @@
 }
 
 #[actix_rt::test]
-async fn what_is_in_use_is_not_deleted() {
-    let fleet = configured().await;
+async fn a_resource_in_use_is_not_deleted() {
+    let fleet = start_configured_fleet().await;
     let path = "/admin/v1/site/registry";
     let tag = Call::get(fleet.admin(0), path)
         .send()
@@ -128,7 +128,7 @@
 
 #[actix_rt::test]
 async fn a_file_is_applied_at_an_expected_revision_or_not_at_all() {
-    let fleet = configured().await;
+    let fleet = start_configured_fleet().await;
     let apply = |path| Call {
         body: RESOURCES.replace("deadline 1s", "deadline 9s").into(),
         ..Call::new(fleet.admin(1), Method::POST, path)
@@ -144,13 +144,13 @@
     assert_eq!(applied.status, StatusCode::OK, "{applied:?}");
     assert_eq!(
         applied.body["changed"], 1,
-        "what is there already is left alone"
+        "resources that exist already must be left unchanged"
     );
 }
 
 #[actix_rt::test]
 async fn lists_are_filtered() {
-    let fleet = configured().await;
+    let fleet = start_configured_fleet().await;
     for (path, expected) in [
         ("/admin/v1/service", vec!["dossier", "maps"]),
         ("/admin/v1/service?prefix=ma", vec!["maps"]),
@@ -173,7 +173,7 @@
 
 #[actix_rt::test]
 async fn accounts_do_what_their_role_and_tenant_allow() {
-    let fleet = configured().await;
+    let fleet = start_configured_fleet().await;
     let admin = fleet.admin(0);
     for token in [None, Some("guessed"), Some("")] {
         let answer = Call::get(admin, "/admin/v1/status")
@@ -184,34 +184,36 @@
     }
     let put = |path, body: &Value, token| Call::put(admin, path, body).with_token(Some(token));
     let viewed = Call::get(admin, "/admin/v1/policy")
-        .with_token(Some(VIEWER))
+        .with_token(Some(VIEWER_TOKEN))
         .send()
         .await;
     assert_eq!(names(&viewed.body), ["shared", "signing"]);
-    let refused = put("/admin/v1/policy/new", &policy("new", 1), VIEWER)
+    let refused = put("/admin/v1/policy/new", &policy("new", 1), VIEWER_TOKEN)
         .send()
         .await;
     assert_eq!(refused.status, StatusCode::FORBIDDEN);
     let apply = Call {
         body: RESOURCES.into(),
-        ..Call::new(admin, Method::POST, "/admin/v1/apply").with_token(Some(VIEWER))
+        ..Call::new(admin, Method::POST, "/admin/v1/apply").with_token(Some(VIEWER_TOKEN))
     };
     assert_eq!(apply.send().await.status, StatusCode::FORBIDDEN);
 
     let own = Call::get(admin, "/admin/v1/policy")
-        .with_token(Some(NOTARIES))
+        .with_token(Some(NOTARIES_TOKEN))
         .send()
         .await;
     assert_eq!(names(&own.body), ["signing"]);
-    let hidden = Call::get(admin, "/admin/v1/policy/shared").with_token(Some(NOTARIES));
+    let hidden = Call::get(admin, "/admin/v1/policy/shared").with_token(Some(NOTARIES_TOKEN));
     assert_eq!(hidden.send().await.status, StatusCode::NOT_FOUND);
-    let whole = Call::get(admin, "/admin/v1/configuration").with_token(Some(NOTARIES));
+    let whole = Call::get(admin, "/admin/v1/configuration").with_token(Some(NOTARIES_TOKEN));
     let whole = whole.send().await.body;
     assert_eq!(whole["items"].as_array().map(Vec::len), Some(3), "{whole}");
 
     let source = "class c { deadline 4s; }";
     let mine = json!({ "name": "mine", "source": source, "tenant": "notaries" });
-    let created = put("/admin/v1/policy/mine", &mine, NOTARIES).send().await;
+    let created = put("/admin/v1/policy/mine", &mine, NOTARIES_TOKEN)
+        .send()
+        .await;
     assert_eq!(created.status, StatusCode::OK, "{created:?}");
     let foreign = [
         ("/admin/v1/policy/shared", policy("shared", 9)),
@@ -232,15 +234,15 @@
         ),
     ];
     for (path, body) in foreign {
-        let refused = put(path, &body, NOTARIES).send().await;
+        let refused = put(path, &body, NOTARIES_TOKEN).send().await;
         assert_eq!(refused.status, StatusCode::FORBIDDEN, "{path}: {refused:?}");
         assert!(
             refused.body["present"].is_null(),
-            "{path}: nothing of others is shown"
+            "{path}: resources of others must not be shown"
         );
     }
     let audit = Call::get(admin, "/admin/v1/audit")
-        .with_token(Some(NOTARIES))
+        .with_token(Some(NOTARIES_TOKEN))
         .send()
         .await;
     let entries = audit.body["entries"].as_array().expect("entries");
@@ -251,7 +253,7 @@
 
 #[actix_rt::test]
 async fn bad_input_has_a_clear_answer_and_changes_nothing() {
-    let fleet = configured().await;
+    let fleet = start_configured_fleet().await;
     let admin = fleet.admin(0);
     let before = Call::get(admin, "/admin/v1/configuration")
         .send()
@@ -352,8 +354,8 @@
 }
 
 #[actix_rt::test]
-async fn status_audit_metrics_and_the_document_are_served() {
-    let fleet = configured().await;
+async fn status_audit_metrics_and_the_openapi_document_are_served() {
+    let fleet = start_configured_fleet().await;
     let admin = fleet.admin(0);
     let status = Call::get(admin, "/admin/v1/status").send().await.body;
     assert_eq!(status["pools"][0]["pool"], "maps-balkhu");
--- a/crates/cli/tests/operators_admin/ctl.rs
+++ b/crates/cli/tests/operators_admin/ctl.rs
@@ -1,4 +1,4 @@
-//! `tansyhall ctl` as two operators use it, each through a node of their own.
+//! `tansyhall ctl`, used by two operators through one node each.
 
 use std::process::Output;
 
@@ -34,8 +34,8 @@
     serde_json::from_slice(&output.stdout).expect("JSON")
 }
 
-/// A fleet with the file and the policy applied.
-fn applied() -> (Fleet, String, String) {
+/// Starts a fleet and applies the file and the policy.
+fn start_applied_fleet() -> (Fleet, String, String) {
     let fleet = Fleet::start();
     let file = fleet.file("resources.toml", FILE);
     let policy = fleet.file("assistant.policy", POLICY);
@@ -51,7 +51,7 @@
 
 #[actix_rt::test]
 async fn apply_and_diff_show_what_changes() {
-    let (fleet, file, policy) = applied();
+    let (fleet, file, policy) = start_applied_fleet();
     let same = json(&fleet.ctl(1, &["--json", "diff", &file, &policy]));
     let effects: Vec<_> = same["resources"]
         .as_array()
@@ -74,12 +74,15 @@
     let changed = json(&fleet.ctl(1, &["--json", "apply", &file]));
     assert_eq!(changed["changed"], 1);
     let again = json(&fleet.ctl(0, &["--json", "apply", &file]));
-    assert_eq!(again["changed"], 0, "applying twice changes nothing");
+    assert_eq!(
+        again["changed"], 0,
+        "applying a file again must change nothing"
+    );
 }
 
 #[actix_rt::test]
-async fn the_second_operator_meets_a_conflict_instead_of_overwriting() {
-    let (fleet, _, policy) = applied();
+async fn the_second_operator_gets_a_conflict_instead_of_overwriting() {
+    let (fleet, _, policy) = start_applied_fleet();
     let seen = json(&fleet.ctl(0, &["--json", "diff", &policy]))["revision"].to_string();
     let first = fleet.file("assistant.policy", &POLICY.replace("2s", "3s"));
     let output = fleet.ctl(0, &["apply", &first, "--revision", &seen]);
@@ -90,7 +93,7 @@
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(
         errors.contains("deadline 3s"),
-        "what is there now is shown: {errors}"
+        "the present policy must be shown: {errors}"
     );
     let present = Call::get(fleet.admin(1), "/admin/v1/policy/assistant")
         .send()
@@ -99,8 +102,8 @@
 }
 
 #[actix_rt::test]
-async fn delete_needs_that_nothing_refers_to_the_resource() {
-    let (fleet, ..) = applied();
+async fn delete_is_refused_while_another_resource_refers_to_it() {
+    let (fleet, ..) = start_applied_fleet();
     let output = fleet.ctl(0, &["delete", "policy", "assistant"]);
     assert_eq!(code(&output), Some(3));
     assert!(String::from_utf8_lossy(&output.stderr).contains("service/assistant"));
@@ -124,7 +127,7 @@
 
 #[actix_rt::test]
 async fn explain_says_which_class_and_why() {
-    let (fleet, ..) = applied();
+    let (fleet, ..) = start_applied_fleet();
     eventually("the policy is in force", || async {
         let status = Call::get(fleet.admin(0), "/admin/v1/status").send().await;
         (status.body["configuration_revision"].as_u64()? > 0).then_some(())
@@ -156,7 +159,7 @@
 
 #[actix_rt::test]
 async fn status_audit_and_lists_are_tables_for_people() {
-    let (fleet, ..) = applied();
+    let (fleet, ..) = start_applied_fleet();
     let audit = text(&fleet.ctl(1, &["audit"]));
     assert!(
         audit.contains("test") && audit.contains("policy/assistant"),
--- a/crates/cli/tests/operators_admin/main.rs
+++ b/crates/cli/tests/operators_admin/main.rs
@@ -1,5 +1,5 @@
-//! The operators' side, by separate processes: the administration API, `ctl`, and operators who
-//! race.
+//! The operators' interfaces, with separate processes: the administration API, `ctl`, and concurrent changes by two
+//! operators.
 
 mod api;
 mod ctl;
--- a/crates/cli/tests/operators_admin/race.rs
+++ b/crates/cli/tests/operators_admin/race.rs
@@ -1,15 +1,15 @@
-//! Two operators change one policy through two nodes, and a write loses its answer.
+//! Two operators change one policy concurrently through two nodes; and the answer to a write is lost.
 
 use crate::support::{policy, Call, Fleet};
 use awc::http::StatusCode;
 use serde_json::json;
 
 const ROUNDS: u32 = 8;
-/// Changes tried until one loses its answer; the audit trail holds 64.
-const MOST_CHANGES: u32 = 40;
+/// Maximum number of changes until the answer to one is lost. The audit trail holds 64 entries.
+const MAX_CHANGES: u32 = 40;
 
 #[actix_rt::test]
-async fn of_two_operators_one_wins_and_the_other_sees_what_is_there() {
+async fn of_two_concurrent_changes_one_succeeds_and_the_other_is_shown_the_present_policy() {
     let fleet = Fleet::start();
     let path = "/admin/v1/policy/shared";
     let created = Call::put(fleet.admin(0), path, &policy("shared", 1))
@@ -54,7 +54,7 @@
 }
 
 #[actix_rt::test]
-async fn a_write_whose_answer_is_lost_resolves_to_the_truth() {
+async fn a_write_whose_answer_is_lost_is_reported_with_its_true_outcome() {
     let fleet = Fleet::start();
     let path = "/admin/v1/policy/p";
     let created = Call::put(fleet.admin(0), path, &policy("p", 1))
@@ -62,7 +62,7 @@
         .await;
     let mut tag = created.tag.expect("a tag");
     let mut changes = 1;
-    // A renewal of a lease can take the fault instead of the change; then the next change is tried.
+    // The fault can hit the renewal of a lease instead of the change; then the test makes another change.
     loop {
         let lose = json!({ "lose_answers": 1 });
         let faults = format!("http://{}/standin/faults", fleet.platform.address);
@@ -76,10 +76,16 @@
         assert_eq!(changed.status, StatusCode::OK, "{changed:?}");
         let present = Call::get(fleet.admin(1), path).send().await;
         assert_eq!(present.body["source"], wanted["source"]);
-        assert_eq!(present.tag, changed.tag, "the tag speaks for this change");
+        assert_eq!(
+            present.tag, changed.tag,
+            "the tag must be that of this change"
+        );
         let audit = Call::get(fleet.admin(1), "/admin/v1/audit").send().await;
         let entries = audit.body["entries"].as_array().expect("entries").len();
-        assert_eq!(entries, changes as usize, "each change was made once");
+        assert_eq!(
+            entries, changes as usize,
+            "each change must be made exactly once"
+        );
 
         let again = Call::put(fleet.admin(0), path, &policy("p", 99)).if_match(&tag);
         let refused = again.send().await.status;
@@ -87,7 +93,7 @@
         if changed.body["read_back"] == true {
             return;
         }
-        assert!(changes < MOST_CHANGES, "no change ever lost its answer");
+        assert!(changes < MAX_CHANGES, "no answer to a change was lost");
         tag = changed.tag.expect("a tag");
     }
 }
--- a/crates/cli/tests/operators_admin/support.rs
+++ b/crates/cli/tests/operators_admin/support.rs
@@ -12,13 +12,13 @@
 };
 
 /// Token of an account that may only read.
-pub const VIEWER: &str = "viewer-token";
+pub const VIEWER_TOKEN: &str = "viewer-token";
 /// Token of an operator of the tenant `notaries`.
-pub const NOTARIES: &str = "notaries-token";
+pub const NOTARIES_TOKEN: &str = "notaries-token";
 /// Largest body that the nodes accept from operators.
 pub const MAX_ADMIN_BODY_BYTES: usize = 64 << 10;
 
-/// The fleet.
+/// A platform and two nodes.
 pub struct Fleet {
     pub nodes: [NodeProcess; 2],
     pub platform: Standin,
@@ -38,8 +38,13 @@
         let directory = tempfile::tempdir().expect("a directory");
         let start = |name| {
             let settings = node_settings(name, "kalimati", platform.address);
-            let viewer = account("watcher", "viewer", VIEWER, "");
-            let notaries = account("notary", "operator", NOTARIES, "tenant = 'notaries'\n");
+            let viewer = account("watcher", "viewer", VIEWER_TOKEN, "");
+            let notaries = account(
+                "notary",
+                "operator",
+                NOTARIES_TOKEN,
+                "tenant = 'notaries'\n",
+            );
             let limits = format!("[limits]\nmax_admin_body_bytes = {MAX_ADMIN_BODY_BYTES}\n");
             let settings = format!("{settings}{viewer}{notaries}{limits}");
             start_node(directory.path(), name, &settings)
@@ -52,7 +57,7 @@
         }
     }
 
-    /// The administration address of a node.
+    /// Returns the administration address of a node.
     pub fn admin(&self, index: usize) -> SocketAddr {
         self.nodes[index].admin
     }
@@ -84,7 +89,7 @@
     pub body: Value,
 }
 
-/// A call of the administration API.
+/// A call to the administration API.
 pub struct Call<'a> {
     pub admin: SocketAddr,
     pub method: Method,
@@ -95,7 +100,7 @@
 }
 
 impl<'a> Call<'a> {
-    /// A call by the operator without a body.
+    /// Creates a call by the operator, without a body.
     pub fn new(admin: SocketAddr, method: Method, path: &'a str) -> Self {
         Self {
             admin,
@@ -107,12 +112,12 @@
         }
     }
 
-    /// A read by the operator.
+    /// Creates a GET call by the operator.
     pub fn get(admin: SocketAddr, path: &'a str) -> Self {
         Self::new(admin, Method::GET, path)
     }
 
-    /// A PUT by the operator.
+    /// Creates a PUT call by the operator.
     pub fn put(admin: SocketAddr, path: &'a str, body: &Value) -> Self {
         Self {
             body: body.to_string().into_bytes(),
@@ -120,7 +125,7 @@
         }
     }
 
-    /// The same with `If-Match`.
+    /// Adds an `If-Match` condition.
     pub fn if_match(self, tag: &'a str) -> Self {
         Self {
             condition: Some((header::IF_MATCH, tag)),
@@ -128,12 +133,12 @@
         }
     }
 
-    /// The same with another token.
+    /// Replaces the bearer token.
     pub fn with_token(self, token: Option<&'a str>) -> Self {
         Self { token, ..self }
     }
 
-    /// Makes the call.
+    /// Sends the call and returns the answer.
     pub async fn send(self) -> Answer {
         let url = format!("http://{}{}", self.admin, self.path);
         let timeout = std::time::Duration::from_secs(60);
@@ -148,7 +153,10 @@
         let mut response = request.send_body(self.body).await.expect("an answer");
         let tag = response.headers().get(header::ETAG);
         let tag = tag.map(|tag| tag.to_str().expect("a text").to_owned());
-        let body = response.body().await.expect("a whole answer");
+        let body = response
+            .body()
+            .await
+            .expect("the complete body of the answer");
         Answer {
             status: response.status(),
             tag,
@@ -157,7 +165,7 @@
     }
 }
 
-/// A policy that is valid by itself.
+/// Returns a policy that is valid without other resources.
 pub fn policy(name: &str, deadline: u32) -> Value {
     json!({ "name": name, "source": format!("class c {{ deadline {deadline}s; }}") })
 }
--- a/crates/cli/tests/operators_check.rs
+++ b/crates/cli/tests/operators_check.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_shipped_examples_have_no_fault() {
+fn the_shipped_examples_have_no_errors() {
     for directory in ["cooperative", "registry", "settings"] {
         let output = check(&examples(directory));
         assert_eq!(
@@ -41,8 +41,8 @@
     );
 }
 
-/// A file of the examples, what is replaced by what, and what the report must show.
-const BROKEN: &[(&str, &str, &str, &str, &[&str])] = &[
+/// Directory and name of an example file, the text to replace, its replacement, and the texts that the report must contain.
+const BROKEN_EXAMPLES: &[(&str, &str, &str, &str, &[&str])] = &[
     (
         "cooperative",
         "assistant.policy",
@@ -103,8 +103,8 @@
 ];
 
 #[test]
-fn a_fault_exits_2_with_position_and_hint() {
-    for (directory, name, from, to, shown) in BROKEN {
+fn an_error_exits_2_with_position_and_hint() {
+    for (directory, name, from, to, expected) in BROKEN_EXAMPLES {
         let copies = tempfile::tempdir().expect("a directory");
         let mut files = Vec::new();
         for file in examples(directory) {
@@ -123,14 +123,14 @@
         let output = check(&files);
         let errors = errors(&output);
         assert_eq!(output.status.code(), Some(2), "{to}: {errors}");
-        for part in *shown {
+        for part in *expected {
             assert!(errors.contains(part), "{to}: no {part:?} in\n{errors}");
         }
     }
 }
 
 #[test]
-fn a_fault_in_an_inline_policy_is_shown_in_its_file() {
+fn an_error_in_an_inline_policy_is_reported_at_its_position_in_the_file() {
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("all.toml");
     let text = "[[policy]]\nname = 'p'\nsource = '''\nclass a {\n    deadlin 3s;\n}\n'''\n";
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_missing_file_and_no_file_are_wrong_usage() {
+fn a_missing_file_and_an_empty_list_of_files_are_usage_errors() {
     let output = check(&[PathBuf::from("no-such-file.toml")]);
     assert_eq!(output.status.code(), Some(2));
     assert!(errors(&output).contains("no-such-file.toml"));
--- a/crates/cli/tests/whole_path.rs
+++ b/crates/cli/tests/whole_path.rs
@@ -1,6 +1,6 @@
-//! The whole path by separate processes: an operator configures a fleet through one node, callers
-//! are served by both, and an engine changes role under a fenced order while a stream is in
-//! progress, which is not cut.
+//! The path from configuration to answers, with separate processes: an operator configures a fleet through one node, both
+//! nodes serve callers, and an engine changes its role by a fenced order while a stream is in progress, which is not
+//! truncated.
 
 use std::net::SocketAddr;
 
@@ -18,10 +18,10 @@
 const MODEL: &str = "base";
 const PROMPT: &str = "which families receive rice and lentils";
 const LONG_ANSWER_TOKENS: u32 = 1_000;
-/// Streams within which both engines must have one.
-const MOST_STREAMS: usize = 16;
+/// Maximum number of streams until both engines must have one.
+const MAX_STREAMS: usize = 16;
 
-/// Resources of the fleet; `changes` are further lines of the pool of engines.
+/// Returns the resources of the fleet. `changes` are further lines for the pool of engines.
 fn resources(engines: [SocketAddr; 2], worker: SocketAddr, changes: &str) -> String {
     format!(
         "[[policy]]\nname = 'assistant'\nsource = 'class counter {{ deadline 20s; }}'\n\
@@ -46,8 +46,8 @@
     verdict: Option<String>,
 }
 
-/// Asks for a streamed completion and reports each piece of text as it arrives.
-async fn ask(
+/// Requests a streamed completion, and calls `on_text` for each event as it arrives.
+async fn stream_completion(
     node: SocketAddr,
     prompt: &str,
     max_tokens: u32,
@@ -67,7 +67,7 @@
         verdict: None,
     };
     while let Some(bytes) = response.next().await {
-        let bytes = bytes.expect("the stream is not cut");
+        let bytes = bytes.expect("the stream is not truncated");
         for data in decoder.push(&bytes).expect("an event stream") {
             let Ok(event) = serde_json::from_str::<Value>(&data) else {
                 assert_eq!(data, "[DONE]");
@@ -133,7 +133,7 @@
             })
             .await;
         }
-        // Only then does a change follow its order within a stream's length.
+        // Only when a node holds the pool is a change ordered and made before a stream ends.
         eventually("a node has authority over the pool", || async {
             for node in &fleet.nodes {
                 if get_metric(node.admin, "tansyhall_pools_held").await? > 0.0 {
@@ -146,7 +146,7 @@
         fleet
     }
 
-    /// Applies the fleet's resources, with these lines in the pool of engines.
+    /// Applies the fleet's resources with these additional lines in the pool of engines.
     fn apply(&self, changes: &str) {
         let addresses = [self.engines[0].address, self.engines[1].address];
         let text = resources(addresses, self.worker.address, changes);
@@ -157,20 +157,23 @@
         run_tansyhall(&["ctl", "--node", &admin, "apply", file]);
     }
 
-    /// Begins long streams until both engines have one in progress, so that whichever is chosen for
-    /// a change has one.
+    /// Begins long streams until both engines have one in progress, so that the engine chosen for a change has one in any
+    /// case.
     async fn begin_streams(&self) -> Vec<Stream> {
         let mut streams = Vec::new();
         while !self.are_both_busy().await {
-            assert!(streams.len() < MOST_STREAMS, "one engine gets every stream");
-            // Prompts that share no beginning, so that no engine's cache draws them all.
+            assert!(
+                streams.len() < MAX_STREAMS,
+                "one engine received every stream"
+            );
+            // The prompts have no common prefix, so that routing by prefix cache does not send all of them to one engine.
             let prompt = format!("{} {PROMPT}", streams.len());
             let (started, start_signal) = oneshot::channel();
             let node = self.nodes[streams.len() % self.nodes.len()].callers;
-            let asked = prompt.clone();
+            let prompt_to_send = prompt.clone();
             let answer = actix_rt::spawn(async move {
                 let mut started = Some(started);
-                ask(node, &asked, LONG_ANSWER_TOKENS, || {
+                stream_completion(node, &prompt_to_send, LONG_ANSWER_TOKENS, || {
                     if let Some(started) = started.take() {
                         let _ = started.send(());
                     }
@@ -193,9 +196,9 @@
         true
     }
 
-    /// Waits until an engine that takes work is in this state, and returns it.
+    /// Waits until an engine that is not draining has this value in its state, and returns it.
     async fn engine_with(&self, key: &str, value: &str) -> &Standin {
-        eventually("an engine has changed", || async {
+        eventually("an engine has the expected state", || async {
             for engine in &self.engines {
                 let state = get_json(engine.address, "/control/state").await?;
                 if state[key] == value && state["draining"] == false {
@@ -208,7 +211,7 @@
     }
 }
 
-async fn assert_whole(streams: Vec<Stream>) {
+async fn assert_complete(streams: Vec<Stream>) {
     for stream in streams {
         let answer = stream.answer.await.expect("the stream's task ends");
         assert_eq!(answer.text, expected(&stream.prompt, LONG_ANSWER_TOKENS));
@@ -216,8 +219,8 @@
     }
 }
 
-/// The engine's own record must show a drain with requests in progress, and the change without any.
-async fn assert_drained_before(engine: &Standin, change: &str) {
+/// Asserts that the engine's records show a drain with requests in progress, and the change without any.
+async fn assert_change_after_drain(engine: &Standin, change: &str) {
     let records = get_json(engine.address, "/standin/records").await;
     let records = records.expect("the records");
     let orders = records["orders"].as_array().expect("orders");
@@ -225,7 +228,7 @@
     let drained = find("drain").expect("the engine was drained before it changed");
     assert!(
         drained["requests"].as_u64() > Some(0),
-        "a stream was in progress at the drain"
+        "no stream was in progress at the drain"
     );
     let changed = find(change).expect("the change was made by an order");
     assert_eq!(changed["requests"], 0);
@@ -233,10 +236,10 @@
 }
 
 #[actix_rt::test]
-async fn a_role_change_during_a_stream_does_not_cut_it() {
+async fn a_role_change_during_a_stream_does_not_truncate_it() {
     let fleet = Fleet::start().await;
     for node in &fleet.nodes {
-        let answer = ask(node.callers, PROMPT, 5, || ()).await;
+        let answer = stream_completion(node.callers, PROMPT, 5, || ()).await;
         assert_eq!(answer.text, expected(PROMPT, 5));
         assert_eq!(answer.verdict.as_deref(), Some("completed"));
         let echo = get_json(node.callers, "/stock/rice?depot=1").await;
@@ -247,18 +250,18 @@
     let streams = fleet.begin_streams().await;
     fleet.apply("roles = [{ role = 'prefill', least = 1 }]");
     let changed = fleet.engine_with("role", "prefill").await;
-    assert_whole(streams).await;
-    assert_drained_before(changed, "set-role").await;
+    assert_complete(streams).await;
+    assert_change_after_drain(changed, "set-role").await;
 }
 
 #[actix_rt::test]
-async fn a_new_version_is_loaded_by_one_engine_and_cuts_no_stream() {
+async fn a_new_version_is_loaded_by_one_engine_and_truncates_no_stream() {
     let fleet = Fleet::start().await;
     let streams = fleet.begin_streams().await;
     fleet.apply("versions = ['1', '2']\nadapters = ['slips']");
     let changed = fleet.engine_with("version", "2").await;
-    assert_whole(streams).await;
-    assert_drained_before(changed, "load-model").await;
+    assert_complete(streams).await;
+    assert_change_after_drain(changed, "load-model").await;
     eventually("both engines have the adapter", || async {
         for engine in &fleet.engines {
             let state = get_json(engine.address, "/control/state").await?;
