--- a/crates/fault-soak/src/caller/client.rs
+++ b/crates/fault-soak/src/caller/client.rs
@@ -1,4 +1,4 @@
-//! A caller's connections: one to each gateway, kept until it is gone.
+//! The connections of a caller: one to each gateway, reused until it closes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use crate::evidence::{CallerAnswer, Outcome, StrayBytes};
 use crate::http::{Framing, Head, ReadError, Reader};
 
-/// How much longer than it says a caller waits.
-pub const GRACE: Duration = Duration::from_secs(1);
-/// Bytes of what is recorded of bytes that belong to no answer.
-const STRAY_BYTES: usize = 400;
+/// How much longer a caller waits than the deadline that it sends.
+pub const DEADLINE_GRACE: Duration = Duration::from_secs(1);
+/// Maximum number of bytes read from a connection to record data that belongs to no answer.
+const MAX_STRAY_BYTES: usize = 400;
 
-/// Connections to gateways.
+/// HTTP client with one reusable connection to each gateway.
 pub struct Client {
-    kept: Vec<Option<Reader<TcpStream>>>,
+    idle_connections: Vec<Option<Reader<TcpStream>>>,
 }
 
-/// An answer as far as it has come.
+/// The part of an answer that has been received.
 #[derive(Default)]
 struct Received {
     head: Option<Head>,
@@ -31,23 +31,24 @@
 }
 
 impl Client {
-    /// No connection yet, to so many gateways.
+    /// Creates a client for this number of gateways, without open connections.
     pub fn new(gateways: usize) -> Self {
         Self {
-            kept: (0..gateways).map(|_| None).collect(),
+            idle_connections: (0..gateways).map(|_| None).collect(),
         }
     }
 
-    /// Records what came on a kept connection since its last answer, and gives up one that has ended.
+    /// Records data that arrived on an idle connection after its last answer. Drops the connection if it has such
+    /// data or is closed.
     pub fn record_stray(&mut self, gateway: usize, record: impl FnOnce(StrayBytes), at_ms: u64) {
-        let Some(mut connection) = self.kept[gateway].take() else {
+        let Some(mut connection) = self.idle_connections[gateway].take() else {
             return;
         };
         let mut bytes = connection.surplus().to_vec();
-        let mut more = [0; STRAY_BYTES];
-        let is_open = match connection.source().try_read(&mut more) {
+        let mut unread = [0; MAX_STRAY_BYTES];
+        let is_open = match connection.source().try_read(&mut unread) {
             Ok(count) => {
-                bytes.extend_from_slice(&more[..count]);
+                bytes.extend_from_slice(&unread[..count]);
                 false
             }
             Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
@@ -60,28 +61,28 @@
                 bytes,
             });
         } else if is_open {
-            self.kept[gateway] = Some(connection);
+            self.idle_connections[gateway] = Some(connection);
         }
     }
 
-    /// Asks a gateway, for no longer than this.
-    pub async fn ask(
+    /// Sends a request to a gateway and waits for the answer until the timeout.
+    pub async fn send_request(
         &mut self,
         gateway: usize,
         address: SocketAddr,
         request: &CallerRequest,
-        patience: Duration,
+        answer_timeout: Duration,
     ) -> Outcome {
         let mut received = Received::default();
-        let kept = self.kept[gateway].take();
-        let exchange = exchange(kept, address, request, &mut received);
-        let ended = match timeout(patience, exchange).await {
+        let idle_connection = self.idle_connections[gateway].take();
+        let exchange = exchange(idle_connection, address, request, &mut received);
+        let ended = match timeout(answer_timeout, exchange).await {
             Ok(ended) => ended,
             Err(_) => Err(ReadError::Cut),
         };
         match ended {
             Ok(connection) => {
-                self.kept[gateway] = connection;
+                self.idle_connections[gateway] = connection;
                 outcome(received, None)
             }
             Err(error) => outcome(received, Some(error)),
@@ -98,11 +99,11 @@
         let why = ended.map_or_else(String::new, |error| error.to_string());
         return Outcome::NoAnswer { why };
     };
-    let text = |name| head.get(name).map(str::to_owned);
+    let header = |name| head.get(name).map(str::to_owned);
     Outcome::Answer(CallerAnswer {
         status: head.status().unwrap_or(0),
-        id: text(REQUEST_ID),
-        seal: text(SEAL),
+        id: header(REQUEST_ID),
+        seal: header(SEAL),
         says_leaving: head.get(LEAVING) == Some("1"),
         names_limit: head.get(RATE_LIMIT).is_some(),
         body: Bytes::from(received.body),
@@ -110,14 +111,14 @@
     })
 }
 
-/// Sends a request and receives its answer. The connection, if it may be used again.
+/// Sends a request and receives its answer. Returns the connection if it can be reused.
 async fn exchange(
-    kept: Option<Reader<TcpStream>>,
+    idle_connection: Option<Reader<TcpStream>>,
     address: SocketAddr,
     request: &CallerRequest,
     received: &mut Received,
 ) -> Result<Option<Reader<TcpStream>>, ReadError> {
-    let mut connection = match kept {
+    let mut connection = match idle_connection {
         Some(connection) => connection,
         None => connect(address).await?,
     };
@@ -126,10 +127,10 @@
     let head = connection.head().await?;
     head.status()?;
     let framing = head.framing(Framing::UntilClose)?;
-    let may_stay = framing != Framing::UntilClose && !head.closes();
+    let is_reusable = framing != Framing::UntilClose && !head.closes_connection();
     received.head = Some(head);
     connection.body(framing, &mut received.body).await?;
-    Ok(may_stay.then_some(connection))
+    Ok(is_reusable.then_some(connection))
 }
 
 async fn connect(address: SocketAddr) -> Result<Reader<TcpStream>, ReadError> {
--- a/crates/fault-soak/src/caller/mod.rs
+++ b/crates/fault-soak/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends requests one after another, leaves early at times, reuses ids, and tries again.
+//! Callers. Each sends requests one after another, abandons some before the answer, reuses ids and retries.
 
 mod client;
 mod requests;
@@ -19,60 +19,60 @@
 use client::Client;
 use requests::CallerRequest;
 
-/// The longest pause between two requests of a caller, in milliseconds.
+/// Maximum pause between two requests of a caller, in milliseconds.
 const MAX_PAUSE_MS: u64 = 30;
-/// How many requests of a hundred are given up by their caller before the answer.
-const LEAVING_OF_HUNDRED: u32 = 5;
-/// How many of a hundred have the id of the one before, with another body.
-const REUSING_OF_HUNDRED: u32 = 20;
-/// How many of a hundred that may be tried again are.
-const RETRYING_OF_HUNDRED: u32 = 60;
-/// How many of a hundred go to the gateway that the one before went to.
-const STAYING_OF_HUNDRED: u32 = 70;
-/// The most tries of one request.
+/// Percentage of requests that the caller abandons, usually before the answer.
+const ABANDONED_PERCENT: u32 = 5;
+/// Percentage of requests that reuse the id of the previous request, with another body.
+const REUSED_ID_PERCENT: u32 = 20;
+/// Percentage of allowed retries that the caller makes.
+const RETRIED_PERCENT: u32 = 60;
+/// Percentage of requests that go to the gateway of the previous request.
+const SAME_GATEWAY_PERCENT: u32 = 70;
+/// Maximum number of tries of one request.
 const MAX_TRIES: u32 = 3;
-/// When a deadly request is sent for the first time, in milliseconds at the most.
-const MAX_DEADLY_START_MS: u64 = 3_000;
-/// Pause between two tries of a deadly request, in milliseconds.
-const DEADLY_PAUSE_MS: std::ops::Range<u64> = 30..400;
+/// Maximum delay before a request that crashes workers is sent for the first time, in milliseconds.
+const MAX_CRASHING_REQUEST_DELAY_MS: u64 = 3_000;
+/// Pause between two tries of a request that crashes workers, in milliseconds.
+const CRASHING_REQUEST_PAUSE_MS: std::ops::Range<u64> = 30..400;
 
-/// What a caller needs.
+/// The configuration of a caller.
 pub struct CallerPlan {
-    /// Its number.
+    /// The number of the caller.
     pub number: usize,
-    /// Seed of its random numbers.
+    /// Seed of the random number generator of the caller.
     pub seed: u64,
-    /// Where callers reach each gateway.
+    /// The address of each gateway for callers.
     pub gateways: Vec<SocketAddr>,
-    /// Set when it sends nothing more.
+    /// Set when the caller must stop sending requests.
     pub is_over: Rc<Cell<bool>>,
-    /// Where it records what it sees.
+    /// Records the requests and their outcomes.
     pub notebook: Notebook,
 }
 
-/// Sends requests until the time is over.
+/// Sends requests until `is_over` is set.
 pub async fn call(plan: CallerPlan) {
     let mut caller = Caller::new(plan);
     while !caller.plan.is_over.get() {
-        caller.next().await;
+        caller.send_next().await;
         let pause_ms = caller.random.random_range(0..MAX_PAUSE_MS);
         sleep(Duration::from_millis(pause_ms)).await;
     }
 }
 
-/// Sends a request that ends workers, again and again at any gateway, until the time is over.
+/// Sends a request that crashes workers repeatedly, through random gateways, until `is_over` is set.
 pub async fn repeat_deadly(plan: CallerPlan) {
     let mut caller = Caller::new(plan);
-    let first_ms = caller.random.random_range(0..MAX_DEADLY_START_MS);
-    sleep(Duration::from_millis(first_ms)).await;
+    let delay_ms = caller.random.random_range(0..MAX_CRASHING_REQUEST_DELAY_MS);
+    sleep(Duration::from_millis(delay_ms)).await;
     let (seed, number) = (caller.plan.seed, caller.plan.number);
     let name = format!("deadly-{seed:x}-{number}");
-    let request = CallerRequest::draw_deadly(&name, &mut caller.random);
+    let request = CallerRequest::draw_crashing(&name, &mut caller.random);
     while !caller.plan.is_over.get() {
         caller.sent += 1;
         let id = format!("{name}-{}", caller.sent);
         caller.send(&request.with_id(id)).await;
-        let pause_ms = caller.random.random_range(DEADLY_PAUSE_MS);
+        let pause_ms = caller.random.random_range(CRASHING_REQUEST_PAUSE_MS);
         sleep(Duration::from_millis(pause_ms)).await;
     }
 }
@@ -98,20 +98,20 @@
         }
     }
 
-    /// Sends a new request, and tries again where that is allowed.
-    async fn next(&mut self) {
+    /// Sends a new request, and retries it where its route allows that.
+    async fn send_next(&mut self) {
         self.sent += 1;
-        let fresh = format!("{:x}-{}-{}", self.plan.seed, self.plan.number, self.sent);
-        let reuses = self.random.random_ratio(REUSING_OF_HUNDRED, 100);
+        let unique_name = format!("{:x}-{}-{}", self.plan.seed, self.plan.number, self.sent);
+        let reuses = self.random.random_ratio(REUSED_ID_PERCENT, 100);
         let id = match self.last_id.take() {
             Some(id) if reuses => id,
-            _ => fresh.clone(),
+            _ => unique_name.clone(),
         };
-        let mut request = CallerRequest::draw(id, &fresh, &mut self.random);
+        let mut request = CallerRequest::draw(id, &unique_name, &mut self.random);
         for _ in 0..MAX_TRIES {
             let outcome = self.send(&request).await;
-            let again = self.random.random_ratio(RETRYING_OF_HUNDRED, 100);
-            match request.after(&outcome).filter(|_| again) {
+            let retries = self.random.random_ratio(RETRIED_PERCENT, 100);
+            match request.next_try(&outcome).filter(|_| retries) {
                 Some(next) => request = next,
                 None => break,
             }
@@ -120,14 +120,14 @@
     }
 
     async fn send(&mut self, request: &CallerRequest) -> Outcome {
-        if !self.random.random_ratio(STAYING_OF_HUNDRED, 100) {
+        if !self.random.random_ratio(SAME_GATEWAY_PERCENT, 100) {
             self.gateway = self.random.random_range(0..self.plan.gateways.len());
         }
         let gateway = self.gateway;
-        let leaves = self.random.random_ratio(LEAVING_OF_HUNDRED, 100);
-        let patience = match leaves {
+        let abandons = self.random.random_ratio(ABANDONED_PERCENT, 100);
+        let answer_timeout = match abandons {
             true => Duration::from_millis(self.random.random_range(0..40)),
-            false => request.patience + client::GRACE,
+            false => request.timeout + client::DEADLINE_GRACE,
         };
         let notebook = self.plan.notebook.clone();
         let at_ms = notebook.now_ms();
@@ -137,7 +137,10 @@
             at_ms,
         );
         let address = self.plan.gateways[gateway];
-        let outcome = self.client.ask(gateway, address, request, patience).await;
+        let outcome = self
+            .client
+            .send_request(gateway, address, request, answer_timeout)
+            .await;
         let sent = Sent {
             key: request.key.clone(),
             route: request.route,
--- a/crates/fault-soak/src/caller/requests.rs
+++ b/crates/fault-soak/src/caller/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of callers.
+//! The requests that callers send.
 
 use std::time::Duration;
 
@@ -11,53 +11,53 @@
 use crate::identity::{body_hash, RequestKey, DEADLY};
 use crate::routes::RouteKind;
 
-/// The host of all routes.
+/// The `Host` header of all requests.
 pub const HOST: &str = "site.example";
-/// How long a caller waits, in milliseconds.
-const PATIENCE_MS: std::ops::Range<u64> = 1_500..4_000;
-/// The longest body.
-const MAX_BODY_BYTES: usize = 3_000;
-/// Requests of ten to engines whose prompt is long enough to be read apart.
+/// The deadline that a caller sends and waits for, in milliseconds.
+const DEADLINE_MS: std::ops::Range<u64> = 1_500..4_000;
+/// Maximum number of filler bytes in a body.
+const MAX_FILLER_BYTES: usize = 3_000;
+/// Number of engine requests out of ten whose prompt is long enough for a separate prefill.
 const LONG_PROMPTS_OF_TEN: u32 = 7;
-/// Tokens of such a prompt.
+/// Tokens of a long prompt.
 const LONG_PROMPT_TOKENS: u32 = 8_000;
-/// Tokens of a short one.
+/// Tokens of a short prompt.
 const SHORT_PROMPT_TOKENS: u32 = 50;
-/// The model that requests name.
+/// The model in the headers of engine requests.
 const MODEL_NAME: &str = "m";
-/// Tokens of prompt and answer that requests name.
+/// The token counts of prompt and answer in the headers of engine requests.
 const TOKENS: &str = "8000,5";
-/// The size of a chunk of a body without a length.
+/// Chunk size of a body that is sent with chunked encoding.
 const CHUNK_BYTES: usize = 700;
 
-/// A request.
+/// A request of a caller.
 #[derive(Debug, Clone)]
 pub struct CallerRequest {
-    /// What makes it this one.
+    /// Identifies the request.
     pub key: RequestKey,
-    /// Its route.
+    /// The kind of route that the request uses.
     pub route: RouteKind,
-    /// The last event that the caller has.
+    /// The number of the last event that the caller has received.
     pub after_event: Option<u32>,
-    /// How long the caller waits.
-    pub patience: Duration,
+    /// The deadline of the request, relative to the time when it is sent.
+    pub timeout: Duration,
     prompt: Option<String>,
     body: Vec<u8>,
     is_chunked: bool,
 }
 
 impl CallerRequest {
-    /// Draws a request whose body holds this text, which no other body holds.
+    /// Draws a random request. Its body contains `unique`, a text that no other body contains.
     pub fn draw(id: String, unique: &str, random: &mut ChaCha8Rng) -> Self {
         let route = *RouteKind::ALL
             .choose(random)
             .unwrap_or(&RouteKind::Repeatable);
         let mut body = format!("body of {unique}\n").into_bytes();
-        let filling = random.random_range(0..MAX_BODY_BYTES);
-        body.resize(body.len() + filling, b'.');
+        let filler_bytes = random.random_range(0..MAX_FILLER_BYTES);
+        body.resize(body.len() + filler_bytes, b'.');
         let target = format!("{}{unique}?x=%2F&y", route.prefix());
-        let long = random.random_ratio(LONG_PROMPTS_OF_TEN, 10);
-        let tokens = if long {
+        let is_long = random.random_ratio(LONG_PROMPTS_OF_TEN, 10);
+        let tokens = if is_long {
             LONG_PROMPT_TOKENS
         } else {
             SHORT_PROMPT_TOKENS
@@ -71,29 +71,29 @@
             },
             route,
             after_event: None,
-            patience: Duration::from_millis(random.random_range(PATIENCE_MS)),
+            timeout: Duration::from_millis(random.random_range(DEADLINE_MS)),
             prompt: route.is_engine().then(|| format!("{part:x}:{tokens}")),
             body,
             is_chunked: random.random_bool(0.25),
         }
     }
 
-    /// Draws a request that ends each worker which begins to run it; its tries differ by their ids only.
-    pub fn draw_deadly(name: &str, random: &mut ChaCha8Rng) -> Self {
+    /// Draws a request that crashes each worker that starts to execute it. Its tries differ only in their ids.
+    pub fn draw_crashing(name: &str, random: &mut ChaCha8Rng) -> Self {
         let mut request = Self::draw(String::new(), name, random);
         request.body = [DEADLY, name.as_bytes()].join(&b' ');
         request.key.body = body_hash(&request.body);
         request
     }
 
-    /// The same as another try of its caller.
+    /// Returns the same request with another id, for another try by its caller.
     pub fn with_id(&self, id: String) -> Self {
         let mut next = self.clone();
         next.key.id = id;
         next
     }
 
-    /// Model, tokens and prompt as a worker records them.
+    /// Returns model, token counts and prompt parts in the form in which a worker records them.
     pub fn prompt_text(&self) -> String {
         match &self.prompt {
             Some(prompt) => format!("{MODEL_NAME} {TOKENS} {prompt}"),
@@ -101,8 +101,9 @@
         }
     }
 
-    /// The next try after this outcome, if another is allowed and worth it. It bears the same id.
-    pub fn after(&self, outcome: &Outcome) -> Option<Self> {
+    /// Returns the next try after this outcome, with the same id, or `None` if the route forbids a retry or the
+    /// request succeeded.
+    pub fn next_try(&self, outcome: &Outcome) -> Option<Self> {
         if !self.route.may_run_again() {
             return None;
         }
@@ -117,12 +118,12 @@
         Some(next)
     }
 
-    /// The bytes on the connection.
+    /// Returns the encoded HTTP message.
     pub fn bytes(&self) -> Vec<u8> {
         let mut text = format!("POST {} HTTP/1.1\r\nHost: {HOST}\r\n", self.key.target);
         let mut header = |name: &str, value: &str| text.push_str(&format!("{name}: {value}\r\n"));
         header(REQUEST_ID, &self.key.id);
-        header(DEADLINE, &self.patience.as_millis().to_string());
+        header(DEADLINE, &self.timeout.as_millis().to_string());
         if let Some(prompt) = &self.prompt {
             header("X-Model", MODEL_NAME);
             header("X-Token-Counts", TOKENS);
@@ -149,10 +150,12 @@
     }
 }
 
-/// The number of the last whole event in a body.
+/// Returns the number of the last complete event in a body.
 fn last_event(body: &[u8]) -> Option<u32> {
     let text = String::from_utf8_lossy(body);
-    let (whole, _) = text.rsplit_once("\n\n")?;
-    let ids = whole.lines().filter_map(|line| line.strip_prefix("id: "));
+    let (complete, _) = text.rsplit_once("\n\n")?;
+    let ids = complete
+        .lines()
+        .filter_map(|line| line.strip_prefix("id: "));
     ids.filter_map(|id| id.parse().ok()).next_back()
 }
--- a/crates/fault-soak/src/faults.rs
+++ b/crates/fault-soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong at workers, and how often.
+//! The faults that workers inject, and their probabilities.
 
 use std::collections::BTreeMap;
 
@@ -7,63 +7,63 @@
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 
-/// Counts of faults that happened, by name.
+/// Number of injected faults, by name.
 pub type FaultCounts = BTreeMap<String, u64>;
 
-/// What goes wrong with one answer of a worker.
+/// A fault of one answer of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum Fault {
-    /// The whole answer is sent again after a while.
+    /// The complete answer is sent a second time after a delay.
     StutterLater,
-    /// The whole answer is sent again in the place of a next one that is due.
+    /// The complete answer is sent a second time in the place of a later answer.
     StutterInPlace,
-    /// The beginning of the answer is sent again in the place of a next one that is due.
+    /// The beginning of the answer is sent a second time in the place of a later answer.
     StutterTorn,
-    /// Bytes follow a whole answer.
+    /// Further bytes follow a complete answer.
     ExtraBytes,
-    /// The answer ends early, and its connection ends in good order.
+    /// The answer is truncated, and the connection is closed gracefully.
     CutShort,
-    /// The answer ends early, its connection stays open, and the whole answer follows.
+    /// The answer is truncated, the connection stays open, and the complete answer follows.
     CutThenWhole,
-    /// The answer comes in pieces cut at any byte.
+    /// The answer is sent in pieces that are cut at arbitrary bytes.
     Split,
-    /// The answer comes slowly.
+    /// The answer is sent slowly.
     Drip,
-    /// The connection is reset in mid-answer.
+    /// The connection is reset in the middle of the answer.
     Reset,
-    /// The connection is closed instead of an answer.
+    /// The connection is closed without an answer.
     Close,
-    /// No answer comes.
+    /// The worker does not answer.
     Hang,
-    /// The whole answer has no length; it ends with its connection.
+    /// The complete answer has no length; the end of the connection marks its end.
     NoLength,
-    /// The whole answer has no length, and is sent again before its connection ends.
+    /// The complete answer has no length, and is sent a second time before the connection ends.
     NoLengthTwice,
-    /// An answer without a length is reset in the middle.
+    /// The answer has no length, and the connection is reset in the middle of it.
     NoLengthReset,
-    /// The worker says that it is full.
+    /// The worker refuses the request because it is overloaded.
     Refuse,
-    /// The worker runs the request and fails.
+    /// The worker executes the request and fails.
     Fail,
-    /// The worker says that it is not the one that was meant.
+    /// The worker answers that the request was meant for another worker.
     Misdirect,
-    /// The worker says that a KV cache can't be had.
+    /// The worker answers that a KV cache is not available.
     HandleGone,
 }
 
-/// A part of an answer in which one fault at most happens.
+/// An aspect of an answer. An answer has at most one fault in each aspect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Aspect {
-    /// What the worker says.
-    Verdict,
-    /// How its bytes arrive.
+    /// What the worker answers, for example a refusal or a failure.
+    Decision,
+    /// How the bytes of the answer are sent.
     Delivery,
-    /// What follows later.
-    Echo,
+    /// What is sent after the answer.
+    Trailing,
 }
 
 impl Fault {
-    /// Those that are played unless more are asked for.
+    /// Faults that are injected by default.
     pub const USUAL: [Self; 17] = [
         Self::StutterLater,
         Self::StutterInPlace,
@@ -84,30 +84,30 @@
         Self::HandleGone,
     ];
 
-    /// Those that gateways are known not to withstand; played on demand.
+    /// Faults that gateways are known not to handle. They are injected only on request.
     pub const UNSOLVED: [Self; 1] = [Self::CutThenWhole];
 
-    /// The usual ones, with the unsolved ones on demand.
+    /// Returns the default faults, and the unsolved ones if requested.
     pub fn played(with_unsolved: bool) -> Vec<Self> {
-        let mut played = Self::USUAL.to_vec();
+        let mut enabled = Self::USUAL.to_vec();
         if with_unsolved {
-            played.extend(Self::UNSOLVED);
+            enabled.extend(Self::UNSOLVED);
         }
-        played
+        enabled
     }
 
-    /// The part of an answer that it touches.
+    /// Returns the aspect of an answer that the fault affects.
     pub fn aspect(self) -> Aspect {
         match self {
-            Self::StutterLater | Self::StutterInPlace => Aspect::Echo,
-            Self::StutterTorn | Self::ExtraBytes => Aspect::Echo,
-            Self::Refuse | Self::Fail | Self::Misdirect | Self::HandleGone => Aspect::Verdict,
+            Self::StutterLater | Self::StutterInPlace => Aspect::Trailing,
+            Self::StutterTorn | Self::ExtraBytes => Aspect::Trailing,
+            Self::Refuse | Self::Fail | Self::Misdirect | Self::HandleGone => Aspect::Decision,
             _ => Aspect::Delivery,
         }
     }
 
-    /// The highest probability at which an answer has it; faults that hold callers up are rare.
-    fn most(self) -> f64 {
+    /// Returns the maximum probability of the fault. Faults that delay callers are rare.
+    fn max_probability(self) -> f64 {
         match self {
             Self::Hang => 0.02,
             Self::Drip | Self::Close => 0.1,
@@ -118,38 +118,44 @@
     }
 }
 
-/// Which faults a worker has, each with its probability.
+/// The faults of a worker, each with its probability.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct Mix(pub Vec<(Fault, f64)>);
 
-/// The most faults of one mix.
+/// Maximum number of faults drawn for one mix.
 const MAX_FAULTS: usize = 5;
 
 impl Mix {
-    /// Draws some of these faults.
+    /// Draws a selection of these faults with random probabilities.
     pub fn draw(faults: &[Fault], random: &mut ChaCha8Rng) -> Self {
         let count = random.random_range(1..=MAX_FAULTS);
         let chosen = faults.sample(random, count);
         let chosen: Vec<Fault> = chosen.copied().collect();
-        let weighed = chosen
-            .into_iter()
-            .map(|fault| (fault, fault.most() * random.random_range(0.1..1.0)));
-        Self(weighed.collect())
+        let weighted = chosen.into_iter().map(|fault| {
+            (
+                fault,
+                fault.max_probability() * random.random_range(0.1..1.0),
+            )
+        });
+        Self(weighted.collect())
     }
 
-    /// The same with a stutter.
-    pub fn with_stutter(mut self, random: &mut ChaCha8Rng) -> Self {
-        let stutters = [
+    /// Adds a randomly drawn fault that repeats answers.
+    pub fn with_repeated_answers(mut self, random: &mut ChaCha8Rng) -> Self {
+        let repeating_faults = [
             Fault::StutterLater,
             Fault::StutterInPlace,
             Fault::StutterTorn,
         ];
-        let stutter = *stutters.choose(random).unwrap_or(&Fault::StutterInPlace);
-        self.0.insert(0, (stutter, random.random_range(0.2..0.9)));
+        let repeating_fault = *repeating_faults
+            .choose(random)
+            .unwrap_or(&Fault::StutterInPlace);
+        self.0
+            .insert(0, (repeating_fault, random.random_range(0.2..0.9)));
         self
     }
 
-    /// The fault of one answer in this aspect.
+    /// Draws the fault of one answer in this aspect, if any.
     pub fn pick(&self, aspect: Aspect, random: &mut ChaCha8Rng) -> Option<Fault> {
         let faults = self.0.iter().filter(|(fault, _)| fault.aspect() == aspect);
         let mut faults = faults.copied();
--- a/crates/fault-soak/src/gateways.rs
+++ b/crates/fault-soak/src/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateway processes of an episode. Only these are signalled.
+//! The gateway processes of an episode. No other processes receive signals.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,147 +14,149 @@
 use crate::link::Link;
 use crate::site::{LOCAL_ZONE, TAKEOVER_PAUSE_MS};
 
-/// The template that is deployed.
+/// The settings template used in deployments.
 const TEMPLATE: &str = include_str!("../../../deploy/node.toml");
-/// Seconds that a planned stop may take.
-const GRACE_S: u64 = 4;
-/// Starts of a gateway whose ports other processes take.
+/// Maximum duration of a graceful stop, in seconds.
+const GRACE_PERIOD_S: u64 = 4;
+/// Maximum number of attempts to start a gateway when other processes take its ports.
 const MAX_STARTS: usize = 5;
-/// Pause between two looks at a process that stops.
-const EXIT_POLL: Duration = Duration::from_millis(50);
+/// Interval at which a stopping process is checked for its exit.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What a gateway process is started with.
-pub struct GatewayPlace {
-    /// Its number.
+pub struct GatewayConfig {
+    /// The number of the gateway.
     pub number: usize,
-    /// Where its settings and logs lie.
+    /// The directory of the settings and logs.
     pub directory: PathBuf,
-    /// Where it reaches the platform's operations.
+    /// The address of the platform's operations.
     pub operations: SocketAddr,
-    /// Mechanisms that are switched off.
-    pub switched_off: Vec<String>,
-    /// The program of another build. Each start of a gateway takes the other one of the two than the start before, so
-    /// that builds run side by side and replace each other, forwards and back.
-    pub beside: Option<PathBuf>,
+    /// Mechanisms that are disabled in the settings.
+    pub disabled_mechanisms: Vec<String>,
+    /// The executable of another build. Each start of a gateway alternates between the two builds, so that both run
+    /// side by side and replace each other in both directions.
+    pub other_program: Option<PathBuf>,
 }
 
-impl GatewayPlace {
+impl GatewayConfig {
     fn name(&self) -> String {
         format!("gateway-{}", self.number)
     }
 }
 
-/// A place for a gateway process, with its links.
+/// A gateway that keeps its links while its process is restarted.
 pub struct GatewaySlot {
     /// Between callers and the gateway.
     pub callers: Link,
     /// Between the gateway and the store.
     pub store: Link,
-    /// Between the gateway and those that ask it for its copy of the store.
-    pub copies: Link,
-    place: GatewayPlace,
+    /// Between the gateway and its peers that request its snapshot of the store.
+    pub snapshots: Link,
+    config: GatewayConfig,
     process: RefCell<Option<GatewayProcess>>,
     is_busy: Cell<bool>,
     starts: Cell<usize>,
-    door: StoreEndpoint,
+    store_endpoint: StoreEndpoint,
 }
 
 impl GatewaySlot {
-    /// Starts a gateway.
-    pub async fn start(place: GatewayPlace, store: &Store) -> Result<Self> {
-        let door = store.open_endpoint()?;
+    /// Opens the links and starts the gateway process.
+    pub async fn start(config: GatewayConfig, store: &Store) -> Result<Self> {
+        let store_endpoint = store.open_endpoint()?;
         let slot = Self {
-            callers: Link::open(door.address).await?,
-            store: Link::open(door.address).await?,
-            copies: Link::open(door.address).await?,
-            place,
+            callers: Link::open(store_endpoint.address).await?,
+            store: Link::open(store_endpoint.address).await?,
+            snapshots: Link::open(store_endpoint.address).await?,
+            config,
             process: RefCell::new(None),
             is_busy: Cell::new(false),
             starts: Cell::new(0),
-            door,
+            store_endpoint,
         };
         slot.start_process().await?;
         Ok(slot)
     }
 
-    /// Switches what goes wrong at its door of the store.
+    /// Sets the fault of the store endpoint that this gateway uses.
     pub fn set_store_fault(&self, fault: StoreFault) {
-        self.door.set_fault(fault);
+        self.store_endpoint.set_fault(fault);
     }
 
-    /// Its name.
+    /// Returns the name of the gateway.
     pub fn name(&self) -> String {
-        self.place.name()
+        self.config.name()
     }
 
-    /// Where its process listens.
+    /// Returns the addresses on which the process listens, or `None` without a process.
     pub fn addresses(&self) -> Option<GatewayAddresses> {
         self.process.borrow().as_ref().map(|p| p.addresses)
     }
 
-    /// Freezes the process for a while. False if something else is done with it already.
-    pub async fn freeze(&self, time: Duration) -> bool {
-        let Some(_busy) = Busy::take(&self.is_busy) else {
+    /// Freezes the process for this duration. Returns false if another action on the process is in progress.
+    pub async fn freeze(&self, duration: Duration) -> bool {
+        let Some(_guard) = BusyGuard::take(&self.is_busy) else {
             return false;
         };
         self.signal("STOP");
-        sleep(time).await;
+        sleep(duration).await;
         self.signal("CONT");
         true
     }
 
-    /// Kills the process and starts another; how it had ended by itself before, if it had.
-    pub async fn kill(&self) -> Result<Done> {
-        let Some(_busy) = Busy::take(&self.is_busy) else {
-            return Ok(Done::Busy);
+    /// Kills the process and starts another one. Reports how the process had exited by itself before, if it had.
+    pub async fn kill(&self) -> Result<ActionResult> {
+        let Some(_guard) = BusyGuard::take(&self.is_busy) else {
+            return Ok(ActionResult::Busy);
         };
-        let ended = self.ended();
+        let exit_status = self.exit_status();
         let process = self.process.borrow_mut().take();
         actix_rt::task::spawn_blocking(move || drop(process)).await?;
         self.start_process().await?;
-        Ok(Done::Done(ended))
+        Ok(ActionResult::Done(exit_status))
     }
 
-    /// Stops the process as planned and starts another; the same.
-    pub async fn stop_and_start(&self) -> Result<Done> {
-        let Some(_busy) = Busy::take(&self.is_busy) else {
-            return Ok(Done::Busy);
+    /// Stops the process gracefully and starts another one. Reports how the process had exited by itself before, if
+    /// it had.
+    pub async fn stop_and_start(&self) -> Result<ActionResult> {
+        let Some(_guard) = BusyGuard::take(&self.is_busy) else {
+            return Ok(ActionResult::Busy);
         };
-        let ended = self.ended();
-        if ended.is_none() {
+        let exit_status = self.exit_status();
+        if exit_status.is_none() {
             self.signal("TERM");
-            self.until_ended().await;
+            self.wait_for_exit().await;
         }
         self.process.borrow_mut().take();
         self.start_process().await?;
-        Ok(Done::Done(ended))
+        Ok(ActionResult::Done(exit_status))
     }
 
-    /// Stops the process as planned, for good; the same.
+    /// Stops the process gracefully and starts no other one. Returns how the process had exited by itself before, if
+    /// it had.
     pub async fn stop(&self) -> Option<String> {
-        let ended = self.ended();
-        if ended.is_none() {
+        let exit_status = self.exit_status();
+        if exit_status.is_none() {
             self.signal("TERM");
-            self.until_ended().await;
+            self.wait_for_exit().await;
         }
         self.process.borrow_mut().take();
-        ended
+        exit_status
     }
 
-    /// Whether the process has ended, though nobody stopped it, and how.
-    fn ended(&self) -> Option<String> {
+    /// Returns the name of the gateway and the exit status if the process has exited.
+    fn exit_status(&self) -> Option<String> {
         let mut process = self.process.borrow_mut();
         let status = process.as_mut()?.process.child.try_wait().ok()??;
-        Some(format!("{}: {status}", self.place.name()))
+        Some(format!("{}: {status}", self.config.name()))
     }
 
-    async fn until_ended(&self) {
-        let polls = (GRACE_S + 1) * 1_000 / EXIT_POLL.as_millis() as u64;
+    async fn wait_for_exit(&self) {
+        let polls = (GRACE_PERIOD_S + 1) * 1_000 / EXIT_POLL_INTERVAL.as_millis() as u64;
         for _ in 0..polls {
-            if self.ended().is_some() {
+            if self.exit_status().is_some() {
                 return;
             }
-            sleep(EXIT_POLL).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
     }
 
@@ -171,18 +173,21 @@
             if process.process.first_line.is_empty() && addresses.is_any_taken() {
                 continue;
             }
-            self.callers.lead_to(addresses.callers);
-            self.copies.lead_to(addresses.peers);
+            self.callers.set_target(addresses.callers);
+            self.snapshots.set_target(addresses.peers);
             *self.process.borrow_mut() = Some(process);
             return Ok(());
         }
-        anyhow::bail!("no free ports for {}", self.place.name())
+        anyhow::bail!(
+            "{} did not start: other processes took its ports",
+            self.config.name()
+        )
     }
 
     async fn try_start(&self) -> Result<GatewayProcess> {
         let addresses = GatewayAddresses::free();
         let settings = self.settings(&addresses)?;
-        let (directory, name) = (self.place.directory.clone(), self.place.name());
+        let (directory, name) = (self.config.directory.clone(), self.config.name());
         let other_build = self.other_build();
         let started = actix_rt::task::spawn_blocking(move || {
             let mut process = match other_build {
@@ -193,19 +198,24 @@
             process.process.copy_output_to(&log)?;
             anyhow::Ok(process)
         });
-        started.await.context("a gateway does not start")?
+        started
+            .await
+            .context("the task that starts a gateway failed")?
     }
 
-    /// The program of the other build, if it is its turn.
+    /// Returns the executable of the other build if this start uses it.
     fn other_build(&self) -> Option<PathBuf> {
         let start = self.starts.replace(self.starts.get() + 1);
-        let is_its_turn = (self.place.number + start) % 2 == 1;
-        self.place.beside.clone().filter(|_| is_its_turn)
+        let uses_other_build = (self.config.number + start) % 2 == 1;
+        self.config
+            .other_program
+            .clone()
+            .filter(|_| uses_other_build)
     }
 
     fn settings(&self, addresses: &GatewayAddresses) -> Result<String> {
         let fields = GatewayFields {
-            node: self.place.name(),
+            node: self.config.name(),
             zone: LOCAL_ZONE,
             callers: addresses.callers,
             ready: addresses.ready,
@@ -213,46 +223,46 @@
             load: addresses.load,
             metrics: addresses.metrics,
             store: self.store.entrance,
-            operations: self.place.operations,
+            operations: self.config.operations,
             retry_ratio: RATIO,
             retry_extra: EXTRA,
             retry_window_s: WINDOW_S,
-            grace_s: GRACE_S,
+            grace_s: GRACE_PERIOD_S,
             takeover_pause_ms: TAKEOVER_PAUSE_MS,
         };
         let settings = fields.render(TEMPLATE);
         let settings = settings.map_err(|error| anyhow::anyhow!("{error:?}"))?;
-        Ok(settings + &self.decisions())
+        Ok(settings + &self.decisions_section())
     }
 }
 
 impl GatewaySlot {
-    /// The section of the settings that switches mechanisms off.
-    fn decisions(&self) -> String {
-        let off = self.place.switched_off.iter();
+    /// Returns the section of the settings that disables mechanisms.
+    fn decisions_section(&self) -> String {
+        let off = self.config.disabled_mechanisms.iter();
         let lines = off.map(|name| format!("{name} = false\n"));
         format!("\n[decisions]\n{}", lines.collect::<String>())
     }
 }
 
-/// What came of an action on a process.
-pub enum Done {
-    /// Nothing, as another action was under way.
+/// The result of an action on a process.
+pub enum ActionResult {
+    /// Nothing was done because another action was in progress.
     Busy,
-    /// It was done; how the process had ended by itself before, if it had.
+    /// The action is complete. Holds how the process had exited by itself before, if it had.
     Done(Option<String>),
 }
 
-/// While this lives, nothing else is done with a process.
-struct Busy<'a>(&'a Cell<bool>);
+/// Prevents other actions on the process until it is dropped.
+struct BusyGuard<'a>(&'a Cell<bool>);
 
-impl<'a> Busy<'a> {
+impl<'a> BusyGuard<'a> {
     fn take(is_busy: &'a Cell<bool>) -> Option<Self> {
         (!is_busy.replace(true)).then_some(Self(is_busy))
     }
 }
 
-impl Drop for Busy<'_> {
+impl Drop for BusyGuard<'_> {
     fn drop(&mut self) {
         self.0.set(false);
     }
--- a/crates/fault-soak/src/http.rs
+++ b/crates/fault-soak/src/http.rs
@@ -1,35 +1,35 @@
-//! Reading HTTP/1.1 messages from a stream of bytes, strictly: what is no message is said to be none.
+//! A strict HTTP/1.1 message reader: bytes that are not a message are reported as such.
 
 use bytes::{Buf, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The longest head that is read.
+/// Maximum size of a head.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 /// The end of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 /// The end of a line.
 const LINE_END: &[u8] = b"\r\n";
 
-/// Why a message was not read to its end.
+/// Why a message could not be read completely.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// The other side closed the connection before the first byte of a message.
+    /// The peer closed the connection before the first byte of a message.
     #[error("closed")]
     Closed,
-    /// The connection ended, or broke, inside a message.
+    /// The connection was closed or broke inside a message.
     #[error("cut")]
     Cut,
-    /// The bytes are no message.
-    #[error("no message: {0}")]
+    /// The bytes are not a message.
+    #[error("not an HTTP/1.1 message: {0}")]
     Garbage(String),
 }
 
-/// How the length of a body is told.
+/// How the length of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// By a number of bytes.
+    /// By `Content-Length`, in bytes.
     Length(usize),
-    /// By chunks.
+    /// By chunked encoding.
     Chunked,
     /// By the end of the connection.
     UntilClose,
@@ -44,7 +44,7 @@
 }
 
 impl Head {
-    /// Parses a head without its last empty line.
+    /// Parses a head without the empty line at its end.
     pub fn parse(bytes: &[u8]) -> Result<Self, ReadError> {
         let text = std::str::from_utf8(bytes).map_err(|_| garbage(bytes))?;
         let mut lines = text.split("\r\n");
@@ -63,35 +63,35 @@
         })
     }
 
-    /// The first value of a header.
+    /// Returns the first value of a header.
     pub fn get(&self, name: &str) -> Option<&str> {
         let found = self
             .headers
             .iter()
-            .find(|(given, _)| given.eq_ignore_ascii_case(name));
+            .find(|(header_name, _)| header_name.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// A word of the first line.
+    /// Returns a word of the first line.
     pub fn word(&self, index: usize) -> &str {
         self.first_line.split(' ').nth(index).unwrap_or_default()
     }
 
-    /// The status of an answer.
+    /// Returns the status of an answer, or an error if the message is not an answer.
     pub fn status(&self) -> Result<u16, ReadError> {
         let is_answer = self.first_line.starts_with("HTTP/1.1 ");
         let status = self.word(1).parse().ok().filter(|_| is_answer);
         status.ok_or_else(|| garbage(self.first_line.as_bytes()))
     }
 
-    /// Whether the connection ends after this message.
-    pub fn closes(&self) -> bool {
+    /// Whether the sender closes the connection after this message.
+    pub fn closes_connection(&self) -> bool {
         self.get("Connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 
-    /// How the body's length is told; `otherwise` where nothing tells it.
-    pub fn framing(&self, otherwise: Framing) -> Result<Framing, ReadError> {
+    /// Returns how the length of the body is determined, or `default` if no header determines it.
+    pub fn framing(&self, default: Framing) -> Result<Framing, ReadError> {
         if self
             .get("Transfer-Encoding")
             .is_some_and(|value| value.eq_ignore_ascii_case("chunked"))
@@ -99,7 +99,7 @@
             return Ok(Framing::Chunked);
         }
         match self.get("Content-Length") {
-            None => Ok(otherwise),
+            None => Ok(default),
             Some(text) => match text.parse() {
                 Ok(length) => Ok(Framing::Length(length)),
                 Err(_) => Err(garbage(text.as_bytes())),
@@ -112,7 +112,7 @@
     ReadError::Garbage(String::from_utf8_lossy(bytes).chars().take(200).collect())
 }
 
-/// Reads messages one after another. Dropping a call in progress loses no bytes of a head.
+/// Reads messages one after another. Cancelling a read of a head loses no bytes.
 #[derive(Debug)]
 pub struct Reader<R> {
     source: R,
@@ -120,7 +120,7 @@
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// Reads from this source.
+    /// Creates a reader of this source.
     pub fn new(source: R) -> Self {
         Self {
             source,
@@ -128,12 +128,12 @@
         }
     }
 
-    /// The source.
+    /// Returns the source.
     pub fn source(&mut self) -> &mut R {
         &mut self.source
     }
 
-    /// Bytes that have come and belong to no message read so far.
+    /// Returns the received bytes that do not belong to a message read so far.
     pub fn surplus(&self) -> &[u8] {
         &self.buffer
     }
@@ -150,41 +150,45 @@
                 return Err(garbage(&self.buffer));
             }
             if let Err(error) = self.fill().await {
-                let began = !self.buffer.is_empty();
-                return Err(if began { ReadError::Cut } else { error });
+                let has_partial_message = !self.buffer.is_empty();
+                return Err(if has_partial_message {
+                    ReadError::Cut
+                } else {
+                    error
+                });
             }
         }
     }
 
-    /// Reads a body to its end and appends it as it comes.
+    /// Reads a body to its end and appends the data to `body` as it arrives.
     pub async fn body(&mut self, framing: Framing, body: &mut Vec<u8>) -> Result<(), ReadError> {
         match framing {
-            Framing::Length(length) => self.take(length, body).await,
-            Framing::Chunked => self.chunks(body).await,
-            Framing::UntilClose => self.until_close(body).await,
+            Framing::Length(length) => self.read_length(length, body).await,
+            Framing::Chunked => self.read_chunks(body).await,
+            Framing::UntilClose => self.read_until_close(body).await,
         }
     }
 
-    async fn chunks(&mut self, body: &mut Vec<u8>) -> Result<(), ReadError> {
+    async fn read_chunks(&mut self, body: &mut Vec<u8>) -> Result<(), ReadError> {
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let size = usize::from_str_radix(&line, 16).map_err(|_| garbage(line.as_bytes()))?;
             if size == 0 {
                 return self.expect_line_end().await;
             }
-            self.take(size, body).await?;
+            self.read_length(size, body).await?;
             self.expect_line_end().await?;
         }
     }
 
     async fn expect_line_end(&mut self) -> Result<(), ReadError> {
-        match self.line().await?.as_str() {
+        match self.read_line().await?.as_str() {
             "" => Ok(()),
             other => Err(garbage(other.as_bytes())),
         }
     }
 
-    async fn line(&mut self) -> Result<String, ReadError> {
+    async fn read_line(&mut self) -> Result<String, ReadError> {
         loop {
             if let Some(end) = find(&self.buffer, LINE_END) {
                 let line = String::from_utf8_lossy(&self.buffer[..end]).into_owned();
@@ -195,7 +199,11 @@
         }
     }
 
-    async fn take(&mut self, mut length: usize, body: &mut Vec<u8>) -> Result<(), ReadError> {
+    async fn read_length(
+        &mut self,
+        mut length: usize,
+        body: &mut Vec<u8>,
+    ) -> Result<(), ReadError> {
         loop {
             let count = length.min(self.buffer.len());
             body.extend_from_slice(&self.buffer[..count]);
@@ -208,7 +216,7 @@
         }
     }
 
-    async fn until_close(&mut self, body: &mut Vec<u8>) -> Result<(), ReadError> {
+    async fn read_until_close(&mut self, body: &mut Vec<u8>) -> Result<(), ReadError> {
         loop {
             body.extend_from_slice(&self.buffer);
             self.buffer.clear();
@@ -220,7 +228,7 @@
         }
     }
 
-    /// Reads more bytes. `Closed` means the end in good order, `Cut` a break.
+    /// Reads more bytes. Returns `Closed` after a graceful close and `Cut` if the connection broke.
     async fn fill(&mut self) -> Result<(), ReadError> {
         match self.source.read_buf(&mut self.buffer).await {
             Ok(0) => Err(ReadError::Closed),
--- a/crates/fault-soak/src/link.rs
+++ b/crates/fault-soak/src/link.rs
@@ -1,7 +1,7 @@
-//! A link on loopback that passes connections on, and harms them on demand.
+//! A TCP proxy on loopback that forwards connections and injects faults on demand.
 //!
-//! An end in good order is passed on as one, and a break as a reset, so that the link itself never makes a
-//! broken answer look whole.
+//! A graceful close is forwarded as a graceful close, and a broken connection as a reset, so that the link itself
+//! never makes a truncated answer look complete.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,37 +18,37 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Bytes that are passed on in one step.
-const STEP_BYTES: usize = 16 << 10;
-/// The most bytes of a split piece.
+/// Maximum number of bytes that are forwarded at once.
+const BUFFER_BYTES: usize = 16 << 10;
+/// Maximum size of a piece on a link that splits data.
 const MAX_PIECE_BYTES: usize = 48;
-/// Bytes of a step of a slow link.
-const SLOW_STEP_BYTES: usize = 64;
-/// Pause between two steps of a slow link.
+/// Number of bytes that a slow link forwards at once.
+const SLOW_PIECE_BYTES: usize = 64;
+/// Pause between two pieces on a slow link.
 const SLOW_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a link does to bytes.
+/// What a link does to the forwarded bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum LinkFault {
-    /// Nothing.
+    /// Forwards them unchanged.
     None,
-    /// They come later.
+    /// Delays them.
     Delay {
-        /// How much later.
+        /// The delay in milliseconds.
         ms: u64,
     },
-    /// They come slowly.
+    /// Forwards them slowly.
     Throttle,
-    /// They come in pieces cut at any byte.
+    /// Forwards them in pieces that are cut at arbitrary bytes.
     Split,
-    /// None come.
+    /// Forwards nothing.
     Silence,
-    /// Connections that carry some are reset.
+    /// Resets the connections.
     Reset,
 }
 
 impl LinkFault {
-    /// Draws a fault.
+    /// Draws a random fault.
     pub fn draw(random: &mut ChaCha8Rng) -> Self {
         match random.random_range(0..6) {
             0 => Self::Delay {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Its name.
+    /// Returns the name of the fault.
     pub fn name(self) -> &'static str {
         match self {
             Self::None => "none",
@@ -74,65 +74,65 @@
     }
 }
 
-/// A link; it ends when this is dropped.
+/// A running link. Dropping it stops accepting connections.
 #[derive(Debug)]
 pub struct Link {
-    /// Where to connect.
+    /// The address on which the link accepts connections.
     pub entrance: SocketAddr,
-    exit: Arc<Mutex<SocketAddr>>,
+    target: Arc<Mutex<SocketAddr>>,
     fault: watch::Sender<LinkFault>,
     is_open: watch::Sender<bool>,
     task: actix_rt::task::JoinHandle<()>,
 }
 
 impl Link {
-    /// Opens a link to `exit` on a free port.
-    pub async fn open(exit: SocketAddr) -> std::io::Result<Self> {
-        Self::of(TcpListener::bind("127.0.0.1:0").await?, exit)
+    /// Opens a link to `target` on a free port.
+    pub async fn open(target: SocketAddr) -> std::io::Result<Self> {
+        Self::from_listener(TcpListener::bind("127.0.0.1:0").await?, target)
     }
 
-    /// Opens a link that may be closed and opened again at this entrance; a port that the system gives to
-    /// outgoing connections may be taken meanwhile.
-    pub fn open_at(entrance: SocketAddr, exit: SocketAddr) -> std::io::Result<Self> {
-        Self::of(listen_on_reused_address(entrance)?, exit)
+    /// Opens a link at this address, so that it can be closed and reopened there. The port should not be one that the
+    /// system assigns to outgoing connections, because such a port can be taken while the link is closed.
+    pub fn open_at(entrance: SocketAddr, target: SocketAddr) -> std::io::Result<Self> {
+        Self::from_listener(listen_on_reused_address(entrance)?, target)
     }
 
-    fn of(listener: TcpListener, exit: SocketAddr) -> std::io::Result<Self> {
+    fn from_listener(listener: TcpListener, target: SocketAddr) -> std::io::Result<Self> {
         let entrance = listener.local_addr()?;
-        let exit = Arc::new(Mutex::new(exit));
-        let (fault, seen) = watch::channel(LinkFault::None);
-        let (is_open, open_seen) = watch::channel(true);
+        let target = Arc::new(Mutex::new(target));
+        let (fault, fault_receiver) = watch::channel(LinkFault::None);
+        let (is_open, open_receiver) = watch::channel(true);
         let state = LinkState {
-            exit: Arc::clone(&exit),
-            fault: seen,
-            is_open: open_seen,
+            target: Arc::clone(&target),
+            fault: fault_receiver,
+            is_open: open_receiver,
         };
-        let task = actix_rt::spawn(pass_connections(listener, state));
+        let task = actix_rt::spawn(forward_connections(listener, state));
         Ok(Self {
             entrance,
-            exit,
+            target,
             fault,
             is_open,
             task,
         })
     }
 
-    /// Leads new connections to another place.
-    pub fn lead_to(&self, exit: SocketAddr) {
-        *self.exit.lock() = exit;
+    /// Forwards new connections to another target.
+    pub fn set_target(&self, target: SocketAddr) {
+        *self.target.lock() = target;
     }
 
-    /// Resets all connections, and refuses new ones until it is opened again.
+    /// Resets all connections, and refuses new ones until the link is reopened.
     pub fn close(&self) {
         self.is_open.send_replace(false);
     }
 
-    /// Takes connections again, at the same entrance.
-    pub fn open_again(&self) {
+    /// Accepts connections again at the same address.
+    pub fn reopen(&self) {
         self.is_open.send_replace(true);
     }
 
-    /// Changes what it does to bytes.
+    /// Sets what the link does to the forwarded bytes.
     pub fn set_fault(&self, fault: LinkFault) {
         self.fault.send_replace(fault);
     }
@@ -144,21 +144,21 @@
     }
 }
 
-/// Makes the end of a connection a reset.
+/// Makes closing the connection send a reset.
 pub fn reset_on_close(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// What the tasks of a link look at.
+/// The state that the tasks of a link share.
 #[derive(Clone)]
 struct LinkState {
-    exit: Arc<Mutex<SocketAddr>>,
+    target: Arc<Mutex<SocketAddr>>,
     fault: watch::Receiver<LinkFault>,
     is_open: watch::Receiver<bool>,
 }
 
-/// Passes connections on, and leaves the entrance while the link is closed.
-async fn pass_connections(mut listener: TcpListener, mut state: LinkState) {
+/// Forwards connections, and stops listening while the link is closed.
+async fn forward_connections(mut listener: TcpListener, mut state: LinkState) {
     let Ok(entrance) = listener.local_addr() else {
         return;
     };
@@ -167,15 +167,16 @@
         if state.is_open.wait_for(|is_open| *is_open).await.is_err() {
             return;
         }
-        listener = listen_on_reused_address(entrance).expect("the link's port is free");
+        listener = listen_on_reused_address(entrance)
+            .expect("cannot listen on the port of the reopened link");
     }
 }
 
 async fn accept_while_open(listener: TcpListener, mut state: LinkState) {
-    let passed = state.clone();
+    let shared = state.clone();
     let accepting = async {
-        while let Ok((near, _)) = listener.accept().await {
-            actix_rt::spawn(pass_connection(near, passed.clone()));
+        while let Ok((client, _)) = listener.accept().await {
+            actix_rt::spawn(forward_connection(client, shared.clone()));
         }
     };
     tokio::select! {
@@ -184,25 +185,25 @@
     }
 }
 
-async fn pass_connection(mut near: TcpStream, state: LinkState) {
+async fn forward_connection(mut client: TcpStream, state: LinkState) {
     let LinkState {
-        exit,
+        target,
         mut fault,
         mut is_open,
     } = state;
-    let exit = *exit.lock();
-    let _ = near.set_nodelay(true);
-    let Ok(mut far) = TcpStream::connect(exit).await else {
-        return reset_on_close(&near);
+    let target = *target.lock();
+    let _ = client.set_nodelay(true);
+    let Ok(mut server) = TcpStream::connect(target).await else {
+        return reset_on_close(&client);
     };
-    let _ = far.set_nodelay(true);
+    let _ = server.set_nodelay(true);
     let ended = {
-        let (near_read, near_write) = near.split();
-        let (far_read, far_write) = far.split();
-        let there = pass(near_read, far_write, fault.clone());
-        let back = pass(far_read, near_write, fault.clone());
+        let (client_read, client_write) = client.split();
+        let (server_read, server_write) = server.split();
+        let forward = forward_bytes(client_read, server_write, fault.clone());
+        let backward = forward_bytes(server_read, client_write, fault.clone());
         let both = async {
-            futures_util::future::try_join(there, back)
+            futures_util::future::try_join(forward, backward)
                 .await
                 .map(|_| ())
         };
@@ -213,29 +214,29 @@
         }
     };
     if ended.is_err() {
-        reset_on_close(&near);
-        reset_on_close(&far);
+        reset_on_close(&client);
+        reset_on_close(&server);
     }
 }
 
-/// One of the two connections broke, or the link breaks them.
+/// One of the two connections broke, or the link resets both.
 struct Broken;
 
-async fn pass(
+async fn forward_bytes(
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut fault: watch::Receiver<LinkFault>,
 ) -> Result<(), Broken> {
     let mut random = ChaCha8Rng::seed_from_u64(rand::rng().next_u64());
-    let mut step = vec![0; STEP_BYTES];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        let count = from.read(&mut step).await.map_err(|_| Broken)?;
-        let heard = fault.wait_for(|fault| *fault != LinkFault::Silence).await;
-        let harm = heard.map(|fault| *fault).unwrap_or(LinkFault::None);
+        let count = from.read(&mut buffer).await.map_err(|_| Broken)?;
+        let current = fault.wait_for(|fault| *fault != LinkFault::Silence).await;
+        let active_fault = current.map(|fault| *fault).unwrap_or(LinkFault::None);
         if count == 0 {
             return to.shutdown().await.map_err(|_| Broken);
         }
-        write(&mut to, &step[..count], harm, &mut random)
+        write(&mut to, &buffer[..count], active_fault, &mut random)
             .await
             .map_err(|_| Broken)?;
     }
@@ -250,7 +251,7 @@
     match fault {
         LinkFault::Delay { ms } => sleep(Duration::from_millis(ms)).await,
         LinkFault::Throttle => {
-            for piece in bytes.chunks(SLOW_STEP_BYTES) {
+            for piece in bytes.chunks(SLOW_PIECE_BYTES) {
                 to.write_all(piece).await?;
                 sleep(SLOW_PAUSE).await;
             }
--- a/crates/fault-soak/src/schedule.rs
+++ b/crates/fault-soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of faults that a seed gives.
+//! The schedule of faults, derived from a seed.
 
 use std::time::Duration;
 
@@ -11,46 +11,47 @@
 
 /// Mean time between two actions.
 const MEAN_PAUSE_MS: u64 = 250;
-/// The longest time that a link is harmed or a process is frozen.
-const MAX_HARM_MS: u64 = 1_500;
-/// The most configurations in one storm.
-const MAX_STORM: u64 = 6;
-/// Mean time between two workers that leave or rest.
-const MEAN_NOTICE_PAUSE_MS: u64 = 900;
-/// How long a worker that leaves says so in answers alone: longer than gateways may go on sending.
-const LEAVING_MS: std::ops::Range<u64> = 2_500..4_500;
-/// The rest that a worker asks for.
-const REST_MS: std::ops::Range<u64> = 800..3_000;
-/// How long a worker turns everything away.
-const RESTING_MS: std::ops::Range<u64> = 500..2_000;
-/// Mean time between two workers that name rate limits.
-const MEAN_LIMIT_PAUSE_MS: u64 = 1_500;
-/// The rate limits that workers name, in thousandths of a request a second.
-const LIMIT_MILLI: std::ops::Range<u64> = 500..8_000;
-/// How long a worker names its limit.
-const LIMITED_MS: std::ops::Range<u64> = 3_000..8_000;
-/// Mean time between the ends of a restore of the store and the beginning of the next.
+/// Maximum time for which a link has a fault or a process is frozen.
+const MAX_FAULT_DURATION_MS: u64 = 1_500;
+/// Maximum number of configurations written in quick succession.
+const MAX_CONFIGURATIONS: u64 = 6;
+/// Mean time between two actions that make a worker leave or ask for back-off.
+const MEAN_DEPARTURE_OR_BACKOFF_PAUSE_MS: u64 = 900;
+/// How long a worker announces only in its answers that it is leaving. This is longer than gateways may continue to
+/// send requests to it.
+const LEAVING_IN_ANSWERS_MS: std::ops::Range<u64> = 2_500..4_500;
+/// The back-off that a worker asks for.
+const BACKOFF_MS: std::ops::Range<u64> = 800..3_000;
+/// How long a worker refuses every request.
+const REFUSING_MS: std::ops::Range<u64> = 500..2_000;
+/// Mean time between two actions that make a worker send a rate limit.
+const MEAN_RATE_LIMIT_PAUSE_MS: u64 = 1_500;
+/// The rate limits that workers send, in thousandths of a request per second.
+const RATE_LIMIT_MILLIREQUESTS: std::ops::Range<u64> = 500..8_000;
+/// How long a worker sends its rate limit.
+const RATE_LIMITED_MS: std::ops::Range<u64> = 3_000..8_000;
+/// Mean time between the end of a restore of the store and the start of the next one.
 const MEAN_RESTORE_PAUSE_MS: u64 = 2_000;
-/// Mean time between two harms to links between gateways.
-const MEAN_COPIES_PAUSE_MS: u64 = 1_000;
-/// Tells their random numbers from those of the other actions.
-const COPIES_SEED: u64 = 0x0063_6f70_6965_7300;
-/// How old the copy is from which the store is restored.
-const COPY_AGE_MS: std::ops::Range<u64> = 300..2_500;
-/// How long the store is away before it is back.
-const AWAY_MS: std::ops::Range<u64> = 100..1_500;
-/// Time after which the operator and workers write again what the store has lost.
-const REWRITTEN_MS: std::ops::Range<u64> = 50..1_000;
-/// Tells their random numbers from those of the other actions.
+/// Mean time between two faults of links between gateways.
+const MEAN_PEER_LINK_FAULT_PAUSE_MS: u64 = 1_000;
+/// Separates the random numbers of faults of links between gateways from those of the other actions.
+const PEER_LINK_FAULTS_SEED: u64 = 0x0063_6f70_6965_7300;
+/// Age of the backup from which the store is restored.
+const BACKUP_AGE_MS: std::ops::Range<u64> = 300..2_500;
+/// How long the store is unavailable before it is restored.
+const STORE_OUTAGE_MS: std::ops::Range<u64> = 100..1_500;
+/// Delay after which the operator and workers rewrite what the store has lost.
+const REWRITE_DELAY_MS: std::ops::Range<u64> = 50..1_000;
+/// Separates the random numbers of restores of the store from those of the other actions.
 const RESTORES_SEED: u64 = 0x0072_6573_746f_7265;
-/// Tells their random numbers from those of the other actions.
-const LIMITS_SEED: u64 = 0x6c69_6d69_7473;
-/// Tells these random numbers from those of the other actions.
-const NOTICES_SEED: u64 = 0x6e6f_7469_6365;
-/// Workers that stutter from the start, of ten.
-const STUTTERING_OF_TEN: u32 = 8;
+/// Separates the random numbers of rate limits from those of the other actions.
+const RATE_LIMITS_SEED: u64 = 0x6c69_6d69_7473;
+/// Separates the random numbers of leaving workers and back-offs from those of the other actions.
+const DEPARTURES_AND_BACKOFFS_SEED: u64 = 0x6e6f_7469_6365;
+/// Number of workers out of ten that repeat answers.
+const REPEATING_WORKERS_OF_TEN: u32 = 8;
 
-/// What is harmed by a link.
+/// The kind of link that a fault is injected into.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Edge {
     /// Between callers and a gateway.
@@ -59,95 +60,96 @@
     Worker,
     /// Between a gateway and the store.
     Store,
-    /// Between a gateway and those that ask it for its copy of the store.
+    /// Between a gateway and its peers that request its snapshot of the store.
     Copies,
 }
 
-/// One action. Indexes are taken modulo what is there.
+/// One action. Indexes are taken modulo the number of gateways or workers.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum Action {
-    /// A worker has these faults from now on.
+    /// Replaces the faults of a worker.
     Mix {
         /// The worker.
         worker: usize,
         /// The faults.
         mix: Mix,
     },
-    /// A link is harmed for a while.
+    /// Injects a fault into a link for a limited time.
     Harm {
-        /// Which kind of link.
+        /// The kind of link.
         edge: Edge,
-        /// Which of them.
+        /// The index of the gateway or worker whose link is meant.
         index: usize,
-        /// How.
+        /// The fault.
         fault: LinkFault,
-        /// How long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// A gateway process is frozen for a while.
+    /// Freezes a gateway process for a limited time.
     Freeze {
         /// The gateway.
         gateway: usize,
-        /// How long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// A gateway process is killed and started anew.
+    /// Kills a gateway process and starts a new one.
     Kill {
         /// The gateway.
         gateway: usize,
     },
-    /// A gateway process is stopped as planned and started anew.
+    /// Stops a gateway process gracefully and starts a new one.
     Stop {
         /// The gateway.
         gateway: usize,
     },
-    /// This many configurations one after another.
+    /// Writes several configurations one after another.
     Configure {
-        /// How many.
+        /// The number of configurations.
         count: u64,
     },
-    /// A worker says that it leaves, and leaves; another comes.
+    /// Starts another worker, and makes this one announce that it is leaving and then leave.
     Replace {
         /// The worker.
         worker: usize,
     },
-    /// A worker says so in its answers for a while before the store knows; then it is replaced.
+    /// Does the same as `Replace`, but the worker first announces for a limited time only in its answers that it is
+    /// leaving, before it announces this in the store.
     Leave {
         /// The worker.
         worker: usize,
-        /// How long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// A worker turns everything away for a while, and asks for rest each time.
+    /// Makes a worker refuse every request for a limited time and ask for a back-off each time.
     Rest {
         /// The worker.
         worker: usize,
-        /// For how much.
+        /// The back-off in milliseconds.
         rest_ms: u64,
-        /// How long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// A worker names a rate limit in its answers for a while.
+    /// Makes a worker send a rate limit in its answers for a limited time.
     Limit {
         /// The worker.
         worker: usize,
-        /// Thousandths of a request a second.
+        /// The limit in thousandths of a request per second.
         millirequests: u64,
-        /// How long.
+        /// Duration in milliseconds.
         for_ms: u64,
     },
-    /// The store is restored.
+    /// Restores the store from a backup.
     Restore(Restore),
 }
 
-/// How the store is restored from an earlier copy of itself.
+/// How the store is restored from an earlier backup of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Restore {
-    /// How old the copy is, in milliseconds.
+    /// Age of the backup in milliseconds.
     pub copy_age_ms: u64,
-    /// For how many milliseconds the store is away before.
+    /// How long the store is unavailable before the restore, in milliseconds.
     pub away_ms: u64,
-    /// After how many milliseconds the operator and workers write again what was lost.
+    /// Delay after the restore until the operator and workers rewrite what was lost, in milliseconds.
     pub rewritten_ms: u64,
 }
 
@@ -157,26 +159,27 @@
     }
 }
 
-/// An action at its time.
+/// An action and the time at which it starts.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct ScheduledAction {
-    /// Milliseconds from the start.
+    /// Start time in milliseconds since the start of the schedule.
     pub at_ms: u64,
     /// The action.
     pub action: Action,
 }
 
-/// All actions of an episode, in order.
+/// All actions of an episode, ordered by start time.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Schedule {
-    /// The faults that workers begin with.
+    /// The initial faults of each worker.
     pub first_mixes: Vec<Mix>,
     /// The actions.
     pub actions: Vec<ScheduledAction>,
 }
 
 impl Schedule {
-    /// The schedule of a seed, for so many workers, so long and with these faults of workers.
+    /// Derives the schedule from a seed, for this number of workers, this duration and these possible faults of
+    /// workers.
     pub fn of_seed(seed: u64, workers: usize, duration: Duration, faults: &[Fault]) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let first_mixes = (0..workers)
@@ -189,10 +192,10 @@
             actions.push(ScheduledAction { at_ms, action });
             at_ms += random.random_range(1..=2 * MEAN_PAUSE_MS);
         }
-        actions.extend(draw_notices(seed, duration));
-        actions.extend(draw_limits(seed, duration));
+        actions.extend(draw_departures_and_backoffs(seed, duration));
+        actions.extend(draw_rate_limits(seed, duration));
         actions.extend(draw_restores(seed, duration));
-        actions.extend(draw_harms_between_gateways(seed, duration));
+        actions.extend(draw_peer_link_faults(seed, duration));
         actions.sort_by_key(|scheduled| scheduled.at_ms);
         Self {
             first_mixes,
@@ -201,58 +204,60 @@
     }
 }
 
-/// Workers that leave and rest, from random numbers of their own: those of the other actions stay as each seed gave
-/// them before.
-fn draw_notices(seed: u64, duration: Duration) -> Vec<ScheduledAction> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ NOTICES_SEED);
+/// Draws the actions that make workers leave or ask for back-off. They have a separate random number generator, so
+/// that they do not change the other actions that a seed gives.
+fn draw_departures_and_backoffs(seed: u64, duration: Duration) -> Vec<ScheduledAction> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ DEPARTURES_AND_BACKOFFS_SEED);
     let mut actions = Vec::new();
-    let mut at_ms = random.random_range(0..MEAN_NOTICE_PAUSE_MS);
+    let mut at_ms = random.random_range(0..MEAN_DEPARTURE_OR_BACKOFF_PAUSE_MS);
     while u128::from(at_ms) < duration.as_millis() {
         let worker = random.random_range(0..1_000);
         let action = match random.random_range(0..3) {
             0 => Action::Leave {
                 worker,
-                for_ms: random.random_range(LEAVING_MS),
+                for_ms: random.random_range(LEAVING_IN_ANSWERS_MS),
             },
             _ => Action::Rest {
                 worker,
-                rest_ms: random.random_range(REST_MS),
-                for_ms: random.random_range(RESTING_MS),
+                rest_ms: random.random_range(BACKOFF_MS),
+                for_ms: random.random_range(REFUSING_MS),
             },
         };
         actions.push(ScheduledAction { at_ms, action });
-        at_ms += random.random_range(1..=2 * MEAN_NOTICE_PAUSE_MS);
+        at_ms += random.random_range(1..=2 * MEAN_DEPARTURE_OR_BACKOFF_PAUSE_MS);
     }
     actions
 }
 
-/// Workers that name rate limits, from random numbers of their own for the same reason.
-fn draw_limits(seed: u64, duration: Duration) -> Vec<ScheduledAction> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ LIMITS_SEED);
+/// Draws the actions that make workers send rate limits. They have a separate random number generator for the same
+/// reason as [`draw_departures_and_backoffs`].
+fn draw_rate_limits(seed: u64, duration: Duration) -> Vec<ScheduledAction> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ RATE_LIMITS_SEED);
     let mut actions = Vec::new();
-    let mut at_ms = random.random_range(0..MEAN_LIMIT_PAUSE_MS);
+    let mut at_ms = random.random_range(0..MEAN_RATE_LIMIT_PAUSE_MS);
     while u128::from(at_ms) < duration.as_millis() {
         let action = Action::Limit {
             worker: random.random_range(0..1_000),
-            millirequests: random.random_range(LIMIT_MILLI),
-            for_ms: random.random_range(LIMITED_MS),
+            millirequests: random.random_range(RATE_LIMIT_MILLIREQUESTS),
+            for_ms: random.random_range(RATE_LIMITED_MS),
         };
         actions.push(ScheduledAction { at_ms, action });
-        at_ms += random.random_range(1..=2 * MEAN_LIMIT_PAUSE_MS);
+        at_ms += random.random_range(1..=2 * MEAN_RATE_LIMIT_PAUSE_MS);
     }
     actions
 }
 
-/// Restores of the store, one after the other, from random numbers of their own for the same reason.
+/// Draws the restores of the store, which do not overlap. They have a separate random number generator for the same
+/// reason as [`draw_departures_and_backoffs`].
 fn draw_restores(seed: u64, duration: Duration) -> Vec<ScheduledAction> {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ RESTORES_SEED);
     let mut actions = Vec::new();
     let mut at_ms = random.random_range(0..MEAN_RESTORE_PAUSE_MS);
     while u128::from(at_ms) < duration.as_millis() {
         let restore = Restore {
-            copy_age_ms: random.random_range(COPY_AGE_MS),
-            away_ms: random.random_range(AWAY_MS),
-            rewritten_ms: random.random_range(REWRITTEN_MS),
+            copy_age_ms: random.random_range(BACKUP_AGE_MS),
+            away_ms: random.random_range(STORE_OUTAGE_MS),
+            rewritten_ms: random.random_range(REWRITE_DELAY_MS),
         };
         let action = Action::Restore(restore);
         actions.push(ScheduledAction { at_ms, action });
@@ -261,28 +266,29 @@
     actions
 }
 
-/// Harms to links between gateways, from random numbers of their own for the same reason.
-fn draw_harms_between_gateways(seed: u64, duration: Duration) -> Vec<ScheduledAction> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ COPIES_SEED);
+/// Draws the faults of links between gateways. They have a separate random number generator for the same reason as
+/// [`draw_departures_and_backoffs`].
+fn draw_peer_link_faults(seed: u64, duration: Duration) -> Vec<ScheduledAction> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ PEER_LINK_FAULTS_SEED);
     let mut actions = Vec::new();
-    let mut at_ms = random.random_range(0..MEAN_COPIES_PAUSE_MS);
+    let mut at_ms = random.random_range(0..MEAN_PEER_LINK_FAULT_PAUSE_MS);
     while u128::from(at_ms) < duration.as_millis() {
         let action = Action::Harm {
             edge: Edge::Copies,
             index: random.random_range(0..1_000),
             fault: LinkFault::draw(&mut random),
-            for_ms: random.random_range(20..MAX_HARM_MS),
+            for_ms: random.random_range(20..MAX_FAULT_DURATION_MS),
         };
         actions.push(ScheduledAction { at_ms, action });
-        at_ms += random.random_range(1..=2 * MEAN_COPIES_PAUSE_MS);
+        at_ms += random.random_range(1..=2 * MEAN_PEER_LINK_FAULT_PAUSE_MS);
     }
     actions
 }
 
 fn draw_mix(faults: &[Fault], random: &mut ChaCha8Rng) -> Mix {
     let mix = Mix::draw(faults, random);
-    if random.random_ratio(STUTTERING_OF_TEN, 10) {
-        mix.with_stutter(random)
+    if random.random_ratio(REPEATING_WORKERS_OF_TEN, 10) {
+        mix.with_repeated_answers(random)
     } else {
         mix
     }
@@ -290,7 +296,7 @@
 
 fn draw_action(faults: &[Fault], random: &mut ChaCha8Rng) -> Action {
     let index = random.random_range(0..1_000);
-    let for_ms = random.random_range(20..MAX_HARM_MS);
+    let for_ms = random.random_range(20..MAX_FAULT_DURATION_MS);
     match random.random_range(0..20) {
         0..8 => Action::Mix {
             worker: index,
@@ -309,7 +315,7 @@
         15 => Action::Kill { gateway: index },
         16 => Action::Stop { gateway: index },
         17 => Action::Configure {
-            count: random.random_range(1..=MAX_STORM),
+            count: random.random_range(1..=MAX_CONFIGURATIONS),
         },
         _ => Action::Replace { worker: index },
     }
--- a/crates/fault-soak/src/site.rs
+++ b/crates/fault-soak/src/site.rs
@@ -1,4 +1,4 @@
-//! The site of an episode: store, operator, gateways and workers, and the actions on them.
+//! The test site of an episode: store, operator, gateways and workers, and the actions on them.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::episode::EpisodePlan;
 use crate::evidence::{StaleConfiguration, Trouble, WorkerTrouble};
 use crate::faults::Mix;
-use crate::gateways::{Done, GatewayPlace, GatewaySlot};
+use crate::gateways::{ActionResult, GatewayConfig, GatewaySlot};
 use crate::link::{Link, LinkFault};
 use crate::routes::{routes, APPLICATION, ENGINES};
 use crate::schedule::{Action, Edge, Restore};
@@ -26,23 +26,23 @@
 /// The zone of the gateways.
 pub const LOCAL_ZONE: &str = "kalimati";
 const OTHER_ZONE: &str = "balkhu";
-/// Milliseconds that a new holder of the authority waits.
+/// How long a new holder of the authority waits, in milliseconds.
 pub const TAKEOVER_PAUSE_MS: u64 = 300;
-/// How long a worker that leaves is still in the store.
-const DRAIN: Duration = Duration::from_millis(800);
-/// How long it serves after that.
-const LINGER: Duration = Duration::from_millis(1_500);
-
-/// Pause between two looks for announcements of gateways.
-const ANNOUNCEMENTS_PACE: Duration = Duration::from_millis(50);
-/// How long entries last that nobody writes.
-const ENTRIES_LAST: Duration = Duration::from_millis(1_000);
-/// Changes that the last restore loses: more than follow.
+/// How long a draining worker stays in the store.
+const DRAIN_DURATION: Duration = Duration::from_millis(800);
+/// How long a worker continues to serve requests after its entry has been removed.
+const SERVING_AFTER_REMOVAL: Duration = Duration::from_millis(1_500);
+
+/// Interval at which announcements of gateways in the store are checked.
+const ANNOUNCEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// How long an entry stays in the store that its worker does not rewrite after a restore.
+const ENTRY_TTL: Duration = Duration::from_millis(1_000);
+/// Number of changes that the last restore loses. More changes are lost than are written afterwards.
 const LOST_CHANGES: usize = 2_000;
-/// Time in which gateways hear of them.
-const SETTLING: Duration = Duration::from_millis(800);
-/// Time in which a configuration has to be in force.
-const CONFIGURATION_APPLIED: Duration = Duration::from_secs(5);
+/// How long gateways have to receive these changes.
+const CHANGE_PROPAGATION_TIME: Duration = Duration::from_millis(800);
+/// Maximum time until a configuration must be in force.
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(5);
 const CONFIGURATION_METRIC: &str = "gateway_configuration_version";
 
 const fn worker(
@@ -57,7 +57,7 @@
     }
 }
 
-/// The workers that a site begins with.
+/// The initial workers of a site.
 pub const WORKERS: [WorkerPlan; 9] = [
     worker(APPLICATION, LOCAL_ZONE, None),
     worker(APPLICATION, LOCAL_ZONE, None),
@@ -70,7 +70,7 @@
     worker(ENGINES, OTHER_ZONE, Some("decode")),
 ];
 
-/// A site.
+/// The running site of an episode.
 pub struct Site {
     notebook: Notebook,
     store: Store,
@@ -82,7 +82,7 @@
 }
 
 impl Site {
-    /// Starts a site and waits until every gateway is ready and knows every worker.
+    /// Starts a site and waits until every gateway is ready and has discovered every worker.
     pub async fn start(plan: &EpisodePlan, mixes: &[Mix], directory: &Path) -> Result<Self> {
         let store = Store::default();
         let operations = Operations::start()?;
@@ -100,46 +100,46 @@
             site.add_worker(*plan, mix.clone()).await?;
         }
         for number in 0..plan.gateways {
-            let place = GatewayPlace {
+            let config = GatewayConfig {
                 number,
                 directory: directory.to_owned(),
                 operations: operations.address,
-                switched_off: plan.switched_off.clone(),
-                beside: plan.beside.clone(),
+                disabled_mechanisms: plan.switched_off.clone(),
+                other_program: plan.beside.clone(),
             };
-            let slot = GatewaySlot::start(place, &site.store).await?;
+            let slot = GatewaySlot::start(config, &site.store).await?;
             site.gateways.push(slot);
         }
         for slot in &site.gateways {
-            until_known(slot, "gateway_ready_workers", WORKERS.len()).await;
+            wait_for_metric(slot, "gateway_ready_workers", WORKERS.len()).await;
         }
         Ok(site)
     }
 
-    /// Waits until every gateway knows how many they are. Before that each takes the fleet's budget of
-    /// repeats for its own.
+    /// Waits until every gateway knows the number of gateways. Before that, each gateway uses the retry budget of the
+    /// whole fleet for itself.
     pub async fn until_gateways_know_each_other(&self) {
         for slot in &self.gateways {
-            until_known(slot, "gateway_gateways", self.gateways.len()).await;
+            wait_for_metric(slot, "gateway_gateways", self.gateways.len()).await;
         }
     }
 
-    /// Where callers and workers record what they see.
+    /// Returns the recorder of callers and workers.
     pub fn notebook(&self) -> &Notebook {
         &self.notebook
     }
 
-    /// Where callers reach each gateway.
+    /// Returns the address of each gateway for callers.
     pub fn entrances(&self) -> Vec<SocketAddr> {
         let entrances = self.gateways.iter().map(|slot| slot.callers.entrance);
         entrances.collect()
     }
 
-    /// Performs an action to its end.
+    /// Performs an action and waits until it is complete.
     pub async fn perform(&self, action: Action) -> Result<()> {
         let from_ms = self.notebook.now_ms();
-        let gateway = self.gateway_in_trouble(&action);
-        let performed = self.perform_untold(action).await;
+        let gateway = self.disturbed_gateway(&action);
+        let result = self.perform_unrecorded(action).await;
         if let Some(gateway) = gateway {
             let to_ms = self.notebook.now_ms();
             let trouble = Trouble {
@@ -150,11 +150,11 @@
             self.notebook
                 .record(|evidence| evidence.troubles.push(trouble));
         }
-        performed
+        result
     }
 
-    /// The gateway that an action brings into trouble.
-    fn gateway_in_trouble(&self, action: &Action) -> Option<usize> {
+    /// Returns the gateway that an action disturbs.
+    fn disturbed_gateway(&self, action: &Action) -> Option<usize> {
         let gateway = match action {
             Action::Freeze { gateway, .. }
             | Action::Kill { gateway }
@@ -169,7 +169,7 @@
         Some(gateway % self.gateways.len())
     }
 
-    async fn perform_untold(&self, action: Action) -> Result<()> {
+    async fn perform_unrecorded(&self, action: Action) -> Result<()> {
         match action {
             Action::Mix { worker, mix } => self.worker(worker).set_mix(mix),
             Action::Harm {
@@ -178,22 +178,22 @@
                 fault,
                 for_ms,
             } => {
-                let time = Duration::from_millis(for_ms);
-                self.harm(edge, index, fault, time).await;
+                let duration = Duration::from_millis(for_ms);
+                self.inject_link_fault(edge, index, fault, duration).await;
             }
             Action::Freeze { gateway, for_ms } => {
-                let time = Duration::from_millis(for_ms);
-                if self.gateway(gateway).freeze(time).await {
+                let duration = Duration::from_millis(for_ms);
+                if self.gateway(gateway).freeze(duration).await {
                     self.notebook.count_fault("process freeze");
                 }
             }
             Action::Kill { gateway } => {
-                let done = self.gateway(gateway).kill().await?;
-                self.note_done(done, "process kill");
+                let result = self.gateway(gateway).kill().await?;
+                self.record_completion(result, "process kill");
             }
             Action::Stop { gateway } => {
-                let done = self.gateway(gateway).stop_and_start().await?;
-                self.note_done(done, "process stop");
+                let result = self.gateway(gateway).stop_and_start().await?;
+                self.record_completion(result, "process stop");
             }
             Action::Configure { count } => {
                 for _ in 0..count {
@@ -212,9 +212,9 @@
                 for_ms,
             } => {
                 let worker = self.worker(worker);
-                worker.set_rest(Some(rest_ms));
+                worker.set_backoff(Some(rest_ms));
                 sleep(Duration::from_millis(for_ms)).await;
-                worker.set_rest(None);
+                worker.set_backoff(None);
             }
             Action::Restore(restore) => self.restore(restore).await,
             Action::Limit {
@@ -223,25 +223,26 @@
                 for_ms,
             } => {
                 let worker = self.worker(worker);
-                worker.name_limit(Some(millirequests));
+                worker.set_rate_limit(Some(millirequests));
                 sleep(Duration::from_millis(for_ms)).await;
-                worker.name_limit(None);
+                worker.set_rate_limit(None);
             }
         }
         Ok(())
     }
 
-    /// Lets gateways announce the entrances of their links to those that ask for their copies, for ever.
+    /// Replaces, until cancelled, the peer addresses that gateways announce in the store by the addresses of the
+    /// links in front of them, so that peers request snapshots through these links.
     pub async fn link_announcements(&self) {
         loop {
             for slot in &self.gateways {
-                self.link_announcement(slot);
+                self.replace_announced_address(slot);
             }
-            sleep(ANNOUNCEMENTS_PACE).await;
+            sleep(ANNOUNCEMENT_CHECK_INTERVAL).await;
         }
     }
 
-    fn link_announcement(&self, slot: &GatewaySlot) {
+    fn replace_announced_address(&self, slot: &GatewaySlot) {
         let Some(addresses) = slot.addresses() else {
             return;
         };
@@ -251,14 +252,14 @@
             .get(&key)
             .and_then(|(value, _)| String::from_utf8(value).ok());
         let peers = addresses.peers.to_string();
-        if let Some(own) = announced.filter(|value| value.starts_with(&peers)) {
-            let linked = own.replacen(&peers, &slot.copies.entrance.to_string(), 1);
+        if let Some(value) = announced.filter(|value| value.starts_with(&peers)) {
+            let linked = value.replacen(&peers, &slot.snapshots.entrance.to_string(), 1);
             self.store.replace_value(&key, linked.into_bytes());
         }
     }
 
-    /// The store is away for a while and comes back from a copy. The operator and workers write again what they wrote
-    /// since; entries of workers that write no more run out.
+    /// Makes the store unavailable for a while and restores it from a backup. The operator and workers then rewrite
+    /// their current data; entries of workers that no longer run are removed afterwards.
     async fn restore(&self, restore: Restore) {
         let backup = self.store.back_up();
         sleep(Duration::from_millis(restore.copy_age_ms)).await;
@@ -271,10 +272,10 @@
         let version = self.version.get();
         self.operator.configure(version, &routes(version));
         for worker in self.workers.borrow().iter() {
-            worker.write_again();
+            worker.rewrite_entry();
         }
-        sleep(ENTRIES_LAST).await;
-        self.end_silent_entries();
+        sleep(ENTRY_TTL).await;
+        self.remove_stale_entries();
     }
 
     fn set_store_fault(&self, fault: StoreFault) {
@@ -283,12 +284,12 @@
         }
     }
 
-    /// Takes entries out of the store whose workers are gone.
-    fn end_silent_entries(&self) {
+    /// Removes entries from the store whose workers no longer run.
+    fn remove_stale_entries(&self) {
         let workers = self.workers.borrow();
-        let live: Vec<String> = workers.iter().map(|worker| worker.id()).collect();
+        let running: Vec<String> = workers.iter().map(|worker| worker.id()).collect();
         for key in self.store.keys(WORKER_ENTRY_PREFIX) {
-            if !live
+            if !running
                 .iter()
                 .any(|id| key[WORKER_ENTRY_PREFIX.len()..] == **id)
             {
@@ -297,29 +298,29 @@
         }
     }
 
-    /// Restores the store once more, with more changes lost than follow, and notes the gateways at which the
-    /// configuration that is written then is not in force in time.
+    /// Restores the store once more, with more changes lost than are written afterwards. Records the gateways at
+    /// which the configuration written after the restore is not in force in time.
     pub async fn check_configuration(&self) {
         let backup = self.store.back_up();
         for number in 0..LOST_CHANGES {
             self.store.put("other/lost", &json!(number));
         }
         self.configure();
-        sleep(SETTLING).await;
+        sleep(CHANGE_PROPAGATION_TIME).await;
         self.store.restore(&backup);
         self.configure();
         let version = self.version.get();
-        sleep(CONFIGURATION_APPLIED).await;
+        sleep(CONFIGURATION_TIMEOUT).await;
         for (gateway, slot) in self.gateways.iter().enumerate() {
-            let known = match slot.addresses() {
+            let in_force = match slot.addresses() {
                 Some(addresses) => get_metric(addresses.metrics, CONFIGURATION_METRIC).await,
                 None => None,
             };
-            if known != Some(version as f64) {
+            if in_force != Some(version as f64) {
                 let stale = StaleConfiguration {
                     gateway,
                     written: version,
-                    in_force: known,
+                    in_force,
                 };
                 self.notebook
                     .record(|evidence| evidence.stale_configurations.push(stale));
@@ -327,31 +328,31 @@
         }
     }
 
-    /// Ends all faults of workers.
+    /// Removes all faults of workers.
     pub fn calm(&self) {
         for worker in self.workers.borrow().iter() {
             worker.set_mix(Mix::default());
         }
     }
 
-    /// Stops all gateways as planned.
+    /// Stops all gateways gracefully.
     pub async fn stop(&self) {
         let stops = self.gateways.iter().map(GatewaySlot::stop);
-        for ended in futures_util::future::join_all(stops).await {
-            self.note_ended(ended);
+        for exit_status in futures_util::future::join_all(stops).await {
+            self.record_unexpected_exit(exit_status);
         }
     }
 
-    fn note_done(&self, done: Done, name: &str) {
-        if let Done::Done(ended) = done {
+    fn record_completion(&self, result: ActionResult, name: &str) {
+        if let ActionResult::Done(exit_status) = result {
             self.notebook.count_fault(name);
-            self.note_ended(ended);
+            self.record_unexpected_exit(exit_status);
         }
     }
 
-    fn note_ended(&self, ended: Option<String>) {
+    fn record_unexpected_exit(&self, exit_status: Option<String>) {
         self.notebook
-            .record(|evidence| evidence.ended.extend(ended));
+            .record(|evidence| evidence.ended.extend(exit_status));
     }
 
     fn gateway(&self, index: usize) -> &GatewaySlot {
@@ -377,26 +378,32 @@
         Ok(())
     }
 
-    async fn harm(&self, edge: Edge, index: usize, fault: LinkFault, time: Duration) {
+    async fn inject_link_fault(
+        &self,
+        edge: Edge,
+        index: usize,
+        fault: LinkFault,
+        duration: Duration,
+    ) {
         self.notebook
             .count_fault(format!("link {edge:?} {}", fault.name()));
         let worker;
-        let mut harmed = None;
+        let mut affected_worker = None;
         let link: &Link = match edge {
             Edge::Callers => &self.gateway(index).callers,
             Edge::Store => &self.gateway(index).store,
-            Edge::Copies => &self.gateway(index).copies,
+            Edge::Copies => &self.gateway(index).snapshots,
             Edge::Worker => {
                 worker = self.worker(index);
-                harmed = Some(worker.id());
+                affected_worker = Some(worker.id());
                 &worker.link
             }
         };
         let from_ms = self.notebook.now_ms();
         link.set_fault(fault);
-        sleep(time).await;
+        sleep(duration).await;
         link.set_fault(LinkFault::None);
-        if let Some(worker) = harmed {
+        if let Some(worker) = affected_worker {
             let trouble = WorkerTrouble {
                 worker,
                 from_ms,
@@ -407,9 +414,9 @@
         }
     }
 
-    /// A worker leaves as planned, and another of its kind comes with no faults. For a while it says so in its answers
-    /// alone.
-    async fn replace(&self, index: usize, in_answers_alone: Duration) -> Result<()> {
+    /// Replaces a worker: starts another one of the same kind without faults, and shuts the old one down gracefully.
+    /// The old worker announces for `announced_in_answers` only in its answers that it is leaving, before it drains.
+    async fn replace(&self, index: usize, announced_in_answers: Duration) -> Result<()> {
         let leaving = {
             let mut workers = self.workers.borrow_mut();
             let index = index % workers.len();
@@ -417,22 +424,22 @@
         };
         self.notebook.count_fault("worker replaced");
         self.add_worker(leaving.plan, Mix::default()).await?;
-        leaving.say_leaving();
-        sleep(in_answers_alone).await;
+        leaving.advertise_leaving();
+        sleep(announced_in_answers).await;
         leaving.drain();
-        sleep(DRAIN).await;
-        leaving.withdraw();
-        sleep(LINGER).await;
+        sleep(DRAIN_DURATION).await;
+        leaving.remove_entry();
+        sleep(SERVING_AFTER_REMOVAL).await;
         Ok(())
     }
 }
 
 /// Waits until a metric of a gateway has this value.
-async fn until_known(slot: &GatewaySlot, metric: &str, count: usize) {
+async fn wait_for_metric(slot: &GatewaySlot, metric: &str, count: usize) {
     eventually(metric, || async {
         let metrics = slot.addresses()?.metrics;
-        let known = get_metric(metrics, metric).await?;
-        (known == count as f64).then_some(())
+        let value = get_metric(metrics, metric).await?;
+        (value == count as f64).then_some(())
     })
     .await;
 }
--- a/crates/fault-soak/src/worker/answers.rs
+++ b/crates/fault-soak/src/worker/answers.rs
@@ -1,4 +1,4 @@
-//! What a worker answers to each request and call.
+//! How a worker answers requests and administrative calls.
 
 use std::time::Duration;
 
@@ -20,20 +20,20 @@
 use crate::routes::RouteKind;
 
 const PREFILL: &str = "prefill";
-const MODEL: &str = "X-Model";
-const TOKENS: &str = "X-Token-Counts";
-/// Thousandths of a request in a request.
-const MILLIREQUESTS: f64 = 1_000.0;
-/// The longest time that a request takes before its answer begins, in milliseconds.
-const MAX_WORK_MS: u64 = 20;
-/// The longest pause between events, in milliseconds.
+const MODEL_HEADER: &str = "X-Model";
+const TOKENS_HEADER: &str = "X-Token-Counts";
+/// Converts thousandths of a request to requests.
+const MILLIREQUESTS_PER_REQUEST: f64 = 1_000.0;
+/// Maximum time between the arrival of a request and the first byte of its answer, in milliseconds.
+const MAX_SERVICE_TIME_MS: u64 = 20;
+/// Maximum pause between two events of a stream, in milliseconds.
 const MAX_EVENT_PAUSE_MS: u64 = 12;
-/// The most events of a stream.
+/// Maximum number of events of a stream.
 const MAX_EVENTS: u64 = 9;
-/// The most lines that follow the mark in a plain body.
-const MAX_LINES: u64 = 24;
+/// Maximum number of lines after the mark in a plain body.
+const MAX_BODY_LINES: u64 = 24;
 
-/// A request as it came on a connection.
+/// A request as received on a connection.
 #[derive(Debug)]
 pub(super) struct Request {
     pub(super) head: Head,
@@ -49,8 +49,8 @@
         self.head.word(1)
     }
 
-    /// Whether only its prompt is to be read.
-    fn is_reading(&self) -> bool {
+    /// Whether this is a prefill request: the worker only processes the prompt.
+    fn is_prefill(&self) -> bool {
         self.head.get(STAGE) == Some(PREFILL)
     }
 
@@ -63,22 +63,24 @@
     }
 }
 
-/// The headers that tell model, tokens and prompt, as one text.
+/// Returns the values of the headers for model, token counts and prompt parts, separated by spaces; `-` for a missing
+/// one.
 pub(super) fn prompt_text(head: &Head) -> String {
-    let values = [MODEL, TOKENS, PROMPT_PARTS].map(|name| head.get(name).unwrap_or("-"));
+    let values =
+        [MODEL_HEADER, TOKENS_HEADER, PROMPT_PARTS].map(|name| head.get(name).unwrap_or("-"));
     values.join(" ")
 }
 
 impl WorkerState {
-    /// Works on a request and returns the answer.
+    /// Processes a request and returns the answer.
     pub(super) async fn answer(&self, request: &Request) -> Reply {
         let id = request.head.get(REQUEST_ID);
-        let mut reply = self.decide(request, id).await;
-        if self.says_leaving() {
+        let mut reply = self.choose_reply(request, id).await;
+        if self.is_advertising_leaving() {
             reply = reply.with(LEAVING, "1");
         }
-        if let Some(millirequests) = self.limit_milli() {
-            let requests = millirequests as f64 / MILLIREQUESTS;
+        if let Some(millirequests) = self.rate_limit_millirequests() {
+            let requests = millirequests as f64 / MILLIREQUESTS_PER_REQUEST;
             reply = reply.with(RATE_LIMIT, requests.to_string());
         }
         match id {
@@ -87,85 +89,91 @@
         }
     }
 
-    async fn decide(&self, request: &Request, id: Option<&str>) -> Reply {
-        let verdict = self.draw_fault(Aspect::Verdict);
-        if let Some(fault) = verdict {
+    async fn choose_reply(&self, request: &Request, id: Option<&str>) -> Reply {
+        let decision_fault = self.draw_fault(Aspect::Decision);
+        if let Some(fault) = decision_fault {
             self.notebook.count_fault(format!("worker {fault:?}"));
         }
         let is_call = RouteKind::of_target(request.target()).is_none();
-        let refusal = self.refusal(request, id, verdict);
+        let refusal = self.refusal(request, id, decision_fault);
         if let (false, Some(id)) = (is_call, id) {
             self.record_arrival(SeenArrival {
                 key: request.key(id),
-                is_reading: request.is_reading(),
+                is_reading: request.is_prefill(),
                 is_taken_up: refusal.is_none(),
-                is_meant: self.is_meant(request),
+                is_meant: self.is_addressed_to_this_worker(request),
             });
         }
         let key = match (refusal, id) {
             (Some(refusal), _) => return refusal,
-            (None, _) if is_call => return self.answer_call(request, id, verdict),
-            (None, None) => return not_run(400),
+            (None, _) if is_call => return self.answer_call(request, id, decision_fault),
+            (None, None) => return not_executed(400),
             (None, Some(id)) => request.key(id),
         };
-        let work_ms = self.draw(|random| random.random_range(0..MAX_WORK_MS));
-        if request.is_reading() {
-            sleep(Duration::from_millis(work_ms)).await;
-            return self.read_prompt(key, verdict);
+        let service_time_ms = self.draw(|random| random.random_range(0..MAX_SERVICE_TIME_MS));
+        if request.is_prefill() {
+            sleep(Duration::from_millis(service_time_ms)).await;
+            return self.answer_prefill(key, decision_fault);
         }
-        self.run(request, key, verdict, work_ms).await
+        self.run(request, key, decision_fault, service_time_ms)
+            .await
     }
 
-    /// The answer to a request or a call that is refused before anything is done.
+    /// Returns the answer if the request or call is refused before it has any effect.
     fn refusal(
         &self,
         request: &Request,
         id: Option<&str>,
-        verdict: Option<Fault>,
+        decision_fault: Option<Fault>,
     ) -> Option<Reply> {
-        if !self.is_meant(request) || verdict == Some(Fault::Misdirect) {
-            return Some(not_run(421));
+        if !self.is_addressed_to_this_worker(request) || decision_fault == Some(Fault::Misdirect) {
+            return Some(not_executed(421));
         }
         RouteKind::of_target(request.target())?;
-        if let (Some(id), Some(rest_ms)) = (id, self.rest_ms()) {
-            return Some(self.ask_for_rest(request.key(id), rest_ms));
+        if let (Some(id), Some(backoff_ms)) = (id, self.backoff_ms()) {
+            return Some(self.request_backoff(request.key(id), backoff_ms));
         }
-        if verdict == Some(Fault::Refuse) {
+        if decision_fault == Some(Fault::Refuse) {
             let status = self.draw(|random| [503, 429][random.random_range(0..2)]);
-            return Some(not_run(status).with(RETRY_AFTER, "0.05"));
+            return Some(not_executed(status).with(RETRY_AFTER, "0.05"));
         }
         let is_wrong_stage = self
             .stage()
-            .is_some_and(|stage| (stage == PREFILL) != request.is_reading());
+            .is_some_and(|stage| (stage == PREFILL) != request.is_prefill());
         if is_wrong_stage {
-            return Some(not_run(421));
+            return Some(not_executed(421));
         }
-        id.is_none().then(|| not_run(400))
+        id.is_none().then(|| not_executed(400))
     }
 
-    fn is_meant(&self, request: &Request) -> bool {
-        let meant = request.head.get(INSTANCE);
-        meant.is_none_or(|meant| meant == self.id)
+    fn is_addressed_to_this_worker(&self, request: &Request) -> bool {
+        let addressee = request.head.get(INSTANCE);
+        addressee.is_none_or(|addressee| addressee == self.id)
     }
 
-    fn ask_for_rest(&self, key: RequestKey, rest_ms: u64) -> Reply {
+    fn request_backoff(&self, key: RequestKey, backoff_ms: u64) -> Reply {
         self.notebook.count_fault("worker asks for rest");
-        let rest = Rest {
+        let backoff = Rest {
             key,
             worker: self.id.clone(),
             at_ms: self.notebook.now_ms(),
-            rest_ms,
+            rest_ms: backoff_ms,
         };
-        let seconds = Duration::from_millis(rest_ms).as_secs_f64();
-        let refusal = not_run(503).with(RETRY_AFTER, seconds.to_string());
-        refusal.asking_for(rest)
+        let seconds = Duration::from_millis(backoff_ms).as_secs_f64();
+        let refusal = not_executed(503).with(RETRY_AFTER, seconds.to_string());
+        refusal.requesting_backoff(backoff)
     }
 
-    fn answer_call(&self, request: &Request, id: Option<&str>, verdict: Option<Fault>) -> Reply {
+    fn answer_call(
+        &self,
+        request: &Request,
+        id: Option<&str>,
+        decision_fault: Option<Fault>,
+    ) -> Reply {
         let (method, target) = (request.method(), request.target());
         self.record_call(format!("{method} {target}"), id);
-        match verdict {
-            Some(Fault::Refuse) => return not_run(503),
+        match decision_fault {
+            Some(Fault::Refuse) => return not_executed(503),
             Some(Fault::Fail) => return Reply::new(500, "failed"),
             _ => {}
         }
@@ -176,13 +184,13 @@
             }
             ("GET", "/healthz") => Reply::new(200, "well").with("X-Instance-Id", &self.id),
             ("POST", "/order") => match serde_json::from_slice(&request.body) {
-                Ok(order) => Reply::new(self.take_order(order), ""),
+                Ok(order) => Reply::new(self.apply_order(order), ""),
                 Err(_) => Reply::new(400, ""),
             },
             ("DELETE", target) if target.starts_with("/kv-handle/") => {
                 let handle = target.trim_start_matches("/kv-handle/");
                 self.notebook
-                    .take_cache(&format!("{}/{handle}", self.address));
+                    .remove_cache(&format!("{}/{handle}", self.address));
                 Reply::new(200, "")
             }
             _ => Reply::new(404, ""),
@@ -204,11 +212,11 @@
         json_reply(200, report)
     }
 
-    fn read_prompt(&self, key: RequestKey, verdict: Option<Fault>) -> Reply {
-        if verdict == Some(Fault::Fail) {
+    fn answer_prefill(&self, key: RequestKey, decision_fault: Option<Fault>) -> Reply {
+        if decision_fault == Some(Fault::Fail) {
             return Reply::new(500, "failed");
         }
-        let handle = self.notebook.keep_cache(self.address, key);
+        let handle = self.notebook.store_cache(self.address, key);
         let body = json!({ "kv_handle": handle, "tokens": 8_000, "version": 1 });
         json_reply(200, body)
     }
@@ -217,17 +225,17 @@
         &self,
         request: &Request,
         key: RequestKey,
-        verdict: Option<Fault>,
-        work_ms: u64,
+        decision_fault: Option<Fault>,
+        service_time_ms: u64,
     ) -> Reply {
         let source = request.head.get(CACHE_SOURCE);
-        let is_gone = verdict == Some(Fault::HandleGone);
-        if source.is_some_and(|place| is_gone || !self.notebook.take_cache(place)) {
-            return not_run(503);
+        let is_handle_gone = decision_fault == Some(Fault::HandleGone);
+        if source.is_some_and(|place| is_handle_gone || !self.notebook.remove_cache(place)) {
+            return not_executed(503);
         }
-        let run = self.begin_run(request, key, verdict == Some(Fault::Fail));
+        let run = self.begin_run(request, key, decision_fault == Some(Fault::Fail));
         self.record_run(run.clone());
-        sleep(Duration::from_millis(work_ms)).await;
+        sleep(Duration::from_millis(service_time_ms)).await;
         let reply = match &run.body {
             RunBody::Plain(body) => Reply::new(run.status, body.clone()),
             RunBody::Stream { last } => {
@@ -238,15 +246,15 @@
         };
         let reply = reply.with(SEAL, &run.seal);
         match request.body.starts_with(DEADLY) {
-            true => reply.ending_worker(run.mark.key),
+            true => reply.crashing_worker(run.mark.key),
             false => reply,
         }
     }
 
     fn begin_run(&self, request: &Request, key: RequestKey, fails: bool) -> Run {
-        let number = self.notebook.next_run();
+        let run_number = self.notebook.next_run();
         let mark = Mark {
-            run: number,
+            run: run_number,
             worker: self.id.clone(),
             key,
         };
@@ -260,7 +268,7 @@
         let header = |name| request.head.get(name);
         Run {
             method: request.method().to_owned(),
-            seal: format!("{}.{number}", self.id),
+            seal: format!("{}.{run_number}", self.id),
             prompt: prompt_text(&request.head),
             after_event: header(LAST_EVENT).and_then(|id| id.parse().ok()),
             cache_source: header(CACHE_SOURCE).map(str::to_owned),
@@ -272,7 +280,7 @@
     }
 }
 
-fn not_run(status: u16) -> Reply {
+fn not_executed(status: u16) -> Reply {
     Reply::new(status, "not run").with(NOT_EXECUTED, "1")
 }
 
@@ -280,14 +288,15 @@
     Reply::new(status, body.to_string()).with("Content-Type", "application/json")
 }
 
-/// The last event of the stream that a request with this body gets, at any worker.
+/// Returns the number of the last event in the stream for a request with this body. Every worker returns the same
+/// number.
 fn last_event(body: u64) -> u32 {
     let events = 1 + body % MAX_EVENTS;
     events as u32
 }
 
 fn plain_body(mark: &Mark) -> Bytes {
-    let lines = mark.key.body % MAX_LINES;
+    let lines = mark.key.body % MAX_BODY_LINES;
     let mut body = mark.text() + "\n";
     for line in 0..lines {
         body.push_str(&format!("line {line} of {lines} of run {}\n", mark.run));
--- a/crates/fault-soak/src/worker/connection.rs
+++ b/crates/fault-soak/src/worker/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a worker: requests one after another, and faults on the way of their answers.
+//! One connection of a worker: serves requests one after another and injects faults into the answers.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 use super::answers::Request;
-use super::reply::{Ending, Reply};
+use super::reply::{BodyFraming, Reply};
 use super::state::WorkerState;
 use crate::evidence::Rest;
 use crate::faults::{Aspect, Fault};
@@ -19,45 +19,45 @@
 use crate::identity::RequestKey;
 use crate::link::reset_on_close;
 
-/// The longest time after which an answer is sent again, in milliseconds.
-const MAX_LATE_MS: u64 = 400;
-/// The most answers that are sent before one is sent again in the place of the next.
+/// Maximum delay before an answer is sent a second time, in milliseconds.
+const MAX_LATE_ANSWER_DELAY_MS: u64 = 400;
+/// Maximum number of other answers that are sent before an old answer is repeated in the place of the next one.
 const MAX_ANSWERS_BETWEEN: u32 = 2;
-/// How long a worker that hangs keeps its connection.
-const HANG: Duration = Duration::from_secs(8);
+/// How long a hanging worker keeps the connection open.
+const HANG_DURATION: Duration = Duration::from_secs(8);
 /// Pause between two pieces of a slow answer.
-const DRIP_PAUSE: Duration = Duration::from_millis(25);
-/// Pieces of a slow answer.
-const DRIP_PIECES: usize = 12;
-/// The most bytes of a piece of a split answer.
+const SLOW_ANSWER_PAUSE: Duration = Duration::from_millis(25);
+/// Number of pieces of a slow answer.
+const SLOW_ANSWER_PIECES: usize = 12;
+/// Maximum size of a piece of a split answer.
 const MAX_PIECE_BYTES: usize = 40;
-/// The most bytes of an answer whose beginning is sent again; it ends in the head as a rule.
-const MAX_TORN_BYTES: usize = 160;
-/// What a reset waits for, so that the bytes before it arrive.
-const BEFORE_RESET: Duration = Duration::from_millis(5);
-/// Bytes that follow a whole answer.
-const EXTRA: [&[u8]; 4] = [
+/// Maximum number of bytes that are repeated of a partly repeated answer. The cut is usually inside the head.
+const MAX_PARTIAL_ANSWER_BYTES: usize = 160;
+/// Delay before a reset, so that the bytes sent before it arrive.
+const RESET_DELAY: Duration = Duration::from_millis(5);
+/// Bytes that are sent after a complete answer.
+const TRAILING_BYTES: [&[u8]; 4] = [
     b"\r\n",
     b"no answer\r\n\r\n",
     b"HTTP/1.1 200 Answer\r\nContent-Length: 5\r\n\r\nextra",
     b"\x00\xff\x16\x03",
 ];
 
-/// An answer that is to be sent again.
+/// An answer that will be sent a second time.
 struct LateAnswer {
     bytes: Bytes,
     due: Due,
 }
 
 enum Due {
-    /// At this time.
+    /// When this time is reached.
     At(Instant),
-    /// Before the answer that follows so many others.
-    InPlace(u32),
+    /// Before a later answer, after this many other answers.
+    BeforeAnswer(u32),
 }
 
-/// How a connection ends.
-enum End {
+/// How a worker ends a connection.
+enum ConnectionEnd {
     Close,
     Reset,
 }
@@ -70,7 +70,7 @@
         late: VecDeque::new(),
         worker,
     };
-    if let End::Reset = connection.run().await {
+    if let ConnectionEnd::Reset = connection.run().await {
         reset_on_close(connection.reader.source());
     }
 }
@@ -82,28 +82,28 @@
 }
 
 impl Connection {
-    async fn run(&mut self) -> End {
+    async fn run(&mut self) -> ConnectionEnd {
         loop {
             let request = match self.next_request().await {
                 Ok(request) => request,
                 Err(ReadError::Garbage(bytes)) => {
                     self.worker.record_garbled(bytes);
-                    return End::Close;
+                    return ConnectionEnd::Close;
                 }
-                Err(_) => return End::Close,
+                Err(_) => return ConnectionEnd::Close,
             };
             let reply = self.worker.answer(&request).await;
-            if let Some(key) = &reply.deadly {
-                return self.end_worker(&reply, key).await;
+            if let Some(key) = &reply.crashing_request {
+                return self.crash_worker(&reply, key).await;
             }
-            if let Some(rest) = &reply.rest {
-                match self.deliver_rest(&reply, rest).await {
+            if let Some(backoff) = &reply.backoff {
+                match self.deliver_backoff(&reply, backoff).await {
                     Ok(()) => continue,
-                    Err(_) => return End::Close,
+                    Err(_) => return ConnectionEnd::Close,
                 }
             }
-            if self.send_late().await.is_err() {
-                return End::Close;
+            if self.send_late_before_answer().await.is_err() {
+                return ConnectionEnd::Close;
             }
             if let Some(end) = self.deliver(&reply).await {
                 return end;
@@ -111,21 +111,21 @@
         }
     }
 
-    /// Sends some of the answer, perhaps nothing, and ends the worker.
-    async fn end_worker(&mut self, reply: &Reply, key: &RequestKey) -> End {
-        let bytes = reply.steps(Ending::Told).concat();
-        // The worker ends whether or not the connection still takes anything.
+    /// Sends an incomplete answer, possibly no bytes at all, and crashes the worker.
+    async fn crash_worker(&mut self, reply: &Reply, key: &RequestKey) -> ConnectionEnd {
+        let bytes = reply.steps(BodyFraming::Explicit).concat();
+        // The worker crashes whether or not the connection still accepts data.
         let _ = self.write_part(&bytes).await;
-        self.worker.end(key.clone());
-        End::Reset
+        self.worker.crash(key.clone());
+        ConnectionEnd::Reset
     }
 
-    /// Waits for a request, and sends late answers meanwhile as they become due.
+    /// Waits for a request. Meanwhile sends late answers when they become due.
     async fn next_request(&mut self) -> Result<Request, ReadError> {
         let head = loop {
             let due = self.late.iter().filter_map(|late| match late.due {
                 Due::At(at) => Some(at),
-                Due::InPlace(_) => None,
+                Due::BeforeAnswer(_) => None,
             });
             let Some(due) = due.min() else {
                 break self.reader.head().await?;
@@ -141,21 +141,21 @@
         Ok(Request { head, body })
     }
 
-    /// Sends the late answers whose time has come.
+    /// Sends the late answers whose time is reached.
     async fn send_due(&mut self) -> std::io::Result<()> {
         let now = Instant::now();
         self.send_late_if(|due| matches!(due, Due::At(at) if *at <= now))
             .await
     }
 
-    /// Sends the late answers that take the place of the one that is due.
-    async fn send_late(&mut self) -> std::io::Result<()> {
+    /// Sends the late answers that precede the next answer and so take its place.
+    async fn send_late_before_answer(&mut self) -> std::io::Result<()> {
         let now = Instant::now();
         self.send_late_if(|due| match due {
             Due::At(at) => *at <= now,
-            Due::InPlace(left) => {
-                let is_due = *left == 0;
-                *left = left.saturating_sub(1);
+            Due::BeforeAnswer(remaining) => {
+                let is_due = *remaining == 0;
+                *remaining = remaining.saturating_sub(1);
                 is_due
             }
         })
@@ -173,22 +173,23 @@
         Ok(())
     }
 
-    /// Sends an answer that asks for rest, without faults. It is noted where none of an earlier answer is in its way:
-    /// what comes in its place is not believed.
-    async fn deliver_rest(&mut self, reply: &Reply, rest: &Rest) -> std::io::Result<()> {
-        let is_alone = self.late.is_empty();
-        self.send_late().await?;
-        self.write(&reply.steps(Ending::Told).concat()).await?;
-        if is_alone {
-            self.worker.record_rest(rest.clone());
+    /// Sends an answer that asks for a back-off, without faults. The back-off is recorded only if no repeated answer
+    /// is queued before it: the gateway does not accept an answer that arrives in the place of this one.
+    async fn deliver_backoff(&mut self, reply: &Reply, backoff: &Rest) -> std::io::Result<()> {
+        let has_no_late_answers = self.late.is_empty();
+        self.send_late_before_answer().await?;
+        self.write(&reply.steps(BodyFraming::Explicit).concat())
+            .await?;
+        if has_no_late_answers {
+            self.worker.record_backoff(backoff.clone());
         }
         Ok(())
     }
 
-    /// Sends an answer with its faults; the end of the connection, if it has come.
-    async fn deliver(&mut self, reply: &Reply) -> Option<End> {
+    /// Sends an answer with its faults. Returns how the connection ends, or `None` if it stays open.
+    async fn deliver(&mut self, reply: &Reply) -> Option<ConnectionEnd> {
         let fault = self.worker.draw_fault(Aspect::Delivery);
-        let echo = self.worker.draw_fault(Aspect::Echo);
+        let trailing_fault = self.worker.draw_fault(Aspect::Trailing);
         if let Some(fault) = fault {
             let name = format!("worker {fault:?}");
             self.worker.notebook.count_fault(name);
@@ -196,10 +197,14 @@
         match self.deliver_with(reply, fault).await {
             Ok(None) => {}
             Ok(end) => return end,
-            Err(_) => return Some(End::Close),
+            Err(_) => return Some(ConnectionEnd::Close),
         }
-        match echo {
-            Some(fault) => self.echo(reply, fault).await.err().map(|_| End::Close),
+        match trailing_fault {
+            Some(fault) => self
+                .send_trailing(reply, fault)
+                .await
+                .err()
+                .map(|_| ConnectionEnd::Close),
             None => None,
         }
     }
@@ -208,26 +213,26 @@
         &mut self,
         reply: &Reply,
         fault: Option<Fault>,
-    ) -> std::io::Result<Option<End>> {
-        let ending = match fault {
+    ) -> std::io::Result<Option<ConnectionEnd>> {
+        let framing = match fault {
             Some(Fault::NoLength | Fault::NoLengthTwice | Fault::NoLengthReset) => {
-                Ending::Connection
+                BodyFraming::UntilClose
             }
-            _ => Ending::Told,
+            _ => BodyFraming::Explicit,
         };
-        let steps = reply.steps(ending);
+        let steps = reply.steps(framing);
         let bytes = steps.concat();
         match fault {
             Some(Fault::Split) => self.write_split(&bytes).await?,
             Some(Fault::Drip) => self.write_slowly(&bytes).await?,
-            Some(Fault::Close) => return Ok(Some(End::Close)),
+            Some(Fault::Close) => return Ok(Some(ConnectionEnd::Close)),
             Some(Fault::Hang) => {
-                sleep(HANG).await;
-                return Ok(Some(End::Close));
+                sleep(HANG_DURATION).await;
+                return Ok(Some(ConnectionEnd::Close));
             }
             Some(Fault::CutShort) => {
                 self.write_part(&bytes).await?;
-                return Ok(Some(End::Close));
+                return Ok(Some(ConnectionEnd::Close));
             }
             Some(Fault::CutThenWhole) => {
                 self.write_part(&bytes).await?;
@@ -235,26 +240,26 @@
             }
             Some(Fault::Reset | Fault::NoLengthReset) => {
                 self.write_part(&bytes).await?;
-                sleep(BEFORE_RESET).await;
-                return Ok(Some(End::Reset));
+                sleep(RESET_DELAY).await;
+                return Ok(Some(ConnectionEnd::Reset));
             }
             Some(Fault::NoLength | Fault::NoLengthTwice) => {
                 self.write_paced(&steps, reply.pause).await?;
                 if fault == Some(Fault::NoLengthTwice) {
-                    let ending = self.worker.draw(|random| {
-                        [Ending::Told, Ending::Connection][random.random_range(0..2)]
+                    let framing = self.worker.draw(|random| {
+                        [BodyFraming::Explicit, BodyFraming::UntilClose][random.random_range(0..2)]
                     });
-                    self.write(&reply.steps(ending).concat()).await?;
+                    self.write(&reply.steps(framing).concat()).await?;
                 }
-                return Ok(Some(End::Close));
+                return Ok(Some(ConnectionEnd::Close));
             }
             _ => self.write_paced(&steps, reply.pause).await?,
         }
         Ok(None)
     }
 
-    /// Sends more after a whole answer, now or later.
-    async fn echo(&mut self, reply: &Reply, fault: Fault) -> std::io::Result<()> {
+    /// Sends further bytes after a complete answer, immediately or later.
+    async fn send_trailing(&mut self, reply: &Reply, fault: Fault) -> std::io::Result<()> {
         self.worker
             .notebook
             .count_fault(format!("worker {fault:?}"));
@@ -262,24 +267,24 @@
             Fault::ExtraBytes => {
                 let index = self
                     .worker
-                    .draw(|random| random.random_range(0..EXTRA.len()));
-                return self.write(EXTRA[index]).await;
+                    .draw(|random| random.random_range(0..TRAILING_BYTES.len()));
+                return self.write(TRAILING_BYTES[index]).await;
             }
             Fault::StutterLater => {
                 let late_ms = self
                     .worker
-                    .draw(|random| random.random_range(0..MAX_LATE_MS));
+                    .draw(|random| random.random_range(0..MAX_LATE_ANSWER_DELAY_MS));
                 Due::At(Instant::now() + Duration::from_millis(late_ms))
             }
-            _ => Due::InPlace(
+            _ => Due::BeforeAnswer(
                 self.worker
                     .draw(|random| random.random_range(0..=MAX_ANSWERS_BETWEEN)),
             ),
         };
-        let mut bytes = Bytes::from(reply.steps(Ending::Told).concat());
+        let mut bytes = Bytes::from(reply.steps(BodyFraming::Explicit).concat());
         if fault == Fault::StutterTorn {
-            let most = MAX_TORN_BYTES.min(bytes.len());
-            bytes.truncate(self.worker.draw(|random| random.random_range(1..most)));
+            let max_bytes = MAX_PARTIAL_ANSWER_BYTES.min(bytes.len());
+            bytes.truncate(self.worker.draw(|random| random.random_range(1..max_bytes)));
         }
         self.late.push_back(LateAnswer { bytes, due });
         Ok(())
@@ -290,23 +295,25 @@
     }
 
     async fn write_paced(&mut self, steps: &[Bytes], pause: Duration) -> std::io::Result<()> {
-        let mut together = BytesMut::new();
+        let mut unsent = BytesMut::new();
         for step in steps {
-            together.extend_from_slice(step);
+            unsent.extend_from_slice(step);
             if pause.is_zero() {
                 continue;
             }
-            self.write(&together).await?;
-            together.clear();
+            self.write(&unsent).await?;
+            unsent.clear();
             sleep(pause).await;
         }
-        self.write(&together).await
+        self.write(&unsent).await
     }
 
     async fn write_split(&mut self, mut bytes: &[u8]) -> std::io::Result<()> {
         while !bytes.is_empty() {
-            let most = MAX_PIECE_BYTES.min(bytes.len());
-            let length = self.worker.draw(|random| random.random_range(1..=most));
+            let max_bytes = MAX_PIECE_BYTES.min(bytes.len());
+            let length = self
+                .worker
+                .draw(|random| random.random_range(1..=max_bytes));
             self.write(&bytes[..length]).await?;
             bytes = &bytes[length..];
             tokio::task::yield_now().await;
@@ -315,14 +322,14 @@
     }
 
     async fn write_slowly(&mut self, bytes: &[u8]) -> std::io::Result<()> {
-        for piece in bytes.chunks(bytes.len().div_ceil(DRIP_PIECES).max(1)) {
+        for piece in bytes.chunks(bytes.len().div_ceil(SLOW_ANSWER_PIECES).max(1)) {
             self.write(piece).await?;
-            sleep(DRIP_PAUSE).await;
+            sleep(SLOW_ANSWER_PAUSE).await;
         }
         Ok(())
     }
 
-    /// Sends some of the bytes, not all.
+    /// Sends an incomplete prefix of the bytes, possibly an empty one.
     async fn write_part(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         let length = self
             .worker
--- a/crates/fault-soak/src/worker/mod.rs
+++ b/crates/fault-soak/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Workers of the soak: they speak the platform's published protocol, and misbehave on demand.
+//! Workers of the fault soak. They implement the platform's published protocol and inject faults on demand.
 
 mod answers;
 mod connection;
@@ -25,35 +25,36 @@
 
 pub use state::Notebook;
 
-/// Distinguishes workers of one process.
+/// Number of the next incarnation. It distinguishes all incarnations of workers in one process.
 static INCARNATIONS: AtomicU64 = AtomicU64::new(1);
 
-/// What a worker is.
+/// The fixed properties of a worker.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerPlan {
-    /// Its service.
+    /// The service that the worker belongs to.
     pub service: &'static str,
-    /// Its zone.
+    /// The zone that the worker runs in.
     pub zone: &'static str,
-    /// The stage of an engine.
+    /// The stage of an engine; `None` for other workers.
     pub stage: Option<&'static str>,
 }
 
-/// How long a worker that has ended stays in the store: it says nothing, so that its entry runs out.
-const ENTRY_LINGERS: Duration = Duration::from_millis(900);
-/// How long it is gone at the least and at the most, in milliseconds.
-const GONE_MS: std::ops::Range<u64> = 1_000..2_500;
+/// How long the entry of a crashed worker stays in the store. A crashed worker does not remove its entry, so the
+/// entry stays until it expires.
+const ENTRY_TTL: Duration = Duration::from_millis(900);
+/// How long a crashed worker stays down, in milliseconds.
+const DOWNTIME_MS: std::ops::Range<u64> = 1_000..2_500;
 
-/// A worker behind a link. It takes no connections after this is dropped.
+/// A worker behind a link. Dropping it stops accepting connections.
 #[derive(Debug)]
 pub struct Worker {
-    /// Its link.
+    /// The link in front of the worker.
     pub link: Rc<Link>,
-    /// What it is.
+    /// The fixed properties of the worker.
     pub plan: WorkerPlan,
     incarnation: Rc<RefCell<Arc<WorkerState>>>,
     is_leaving: Rc<Cell<bool>>,
-    life: actix_rt::task::JoinHandle<()>,
+    task: actix_rt::task::JoinHandle<()>,
 }
 
 impl Worker {
@@ -75,10 +76,10 @@
             notebook.clone(),
             seed,
         );
-        state.announce("ready");
+        state.announce_state("ready");
         let incarnation = Rc::new(RefCell::new(Arc::new(state)));
         let is_leaving = Rc::new(Cell::new(false));
-        let life = Life {
+        let task = IncarnationLoop {
             link: Rc::clone(&link),
             incarnation: Rc::clone(&incarnation),
             is_leaving: Rc::clone(&is_leaving),
@@ -88,55 +89,55 @@
             plan,
             incarnation,
             is_leaving,
-            life: actix_rt::spawn(life.run(listener)),
+            task: actix_rt::spawn(task.run(listener)),
         })
     }
 
-    /// Changes what goes wrong.
+    /// Sets the faults that the worker injects.
     pub fn set_mix(&self, mix: Mix) {
         self.incarnation.borrow().set_mix(mix);
     }
 
-    /// The name of its present incarnation.
+    /// Returns the id of the current incarnation.
     pub fn id(&self) -> String {
         self.incarnation.borrow().id.clone()
     }
 
-    /// Says in its answers that it is about to leave; the store does not know yet.
-    pub fn say_leaving(&self) {
-        self.incarnation.borrow().say_leaving();
+    /// Announces in all further answers that the worker is leaving. Does not change its entry in the store.
+    pub fn advertise_leaving(&self) {
+        self.incarnation.borrow().advertise_leaving();
     }
 
-    /// Turns everything away from now on and asks for so much rest, or takes requests again.
-    pub fn set_rest(&self, rest_ms: Option<u64>) {
-        self.incarnation.borrow().set_rest(rest_ms);
+    /// Refuses all further requests and asks for this back-off, or with `None` accepts requests again.
+    pub fn set_backoff(&self, backoff_ms: Option<u64>) {
+        self.incarnation.borrow().set_backoff(backoff_ms);
     }
 
-    /// Names this rate limit in its answers from now on, in thousandths of a request a second, or none any more.
-    pub fn name_limit(&self, millirequests: Option<u64>) {
-        self.incarnation.borrow().name_limit(millirequests);
+    /// Sets or clears the rate limit that further answers carry, in thousandths of a request per second.
+    pub fn set_rate_limit(&self, millirequests: Option<u64>) {
+        self.incarnation.borrow().set_rate_limit(millirequests);
     }
 
-    /// Says that it is about to leave.
+    /// Announces in the store that the worker is draining before it leaves.
     pub fn drain(&self) {
         self.is_leaving.set(true);
-        self.incarnation.borrow().announce("draining");
+        self.incarnation.borrow().announce_state("draining");
     }
 
-    /// Writes its entry again, as it stands.
-    pub fn write_again(&self) {
+    /// Writes the current entry to the store again.
+    pub fn rewrite_entry(&self) {
         self.incarnation.borrow().write_entry();
     }
 
-    /// Takes its entry out of the store.
-    pub fn withdraw(&self) {
-        self.incarnation.borrow().withdraw();
+    /// Removes the entry from the store.
+    pub fn remove_entry(&self) {
+        self.incarnation.borrow().remove_entry();
     }
 }
 
 impl Drop for Worker {
     fn drop(&mut self) {
-        self.life.abort();
+        self.task.abort();
     }
 }
 
@@ -145,46 +146,53 @@
     format!("i-{number:08x}")
 }
 
-/// A worker's incarnations, one after another.
-struct Life {
+/// Runs the incarnations of a worker one after another.
+struct IncarnationLoop {
     link: Rc<Link>,
     incarnation: Rc<RefCell<Arc<WorkerState>>>,
     is_leaving: Rc<Cell<bool>>,
 }
 
-impl Life {
+impl IncarnationLoop {
     async fn run(self, mut listener: TcpListener) {
         loop {
             let state = Arc::clone(&self.incarnation.borrow());
-            let accepting = AbortOnDrop(actix_rt::spawn(accept(listener, Arc::clone(&state))));
-            state.until_ended().await;
+            let accepting = AbortOnDrop(actix_rt::spawn(accept_connections(
+                listener,
+                Arc::clone(&state),
+            )));
+            state.wait_until_crashed().await;
             self.link.close();
             drop(accepting);
-            let gone_ms = state.draw(|random| random.random_range(GONE_MS));
-            sleep(ENTRY_LINGERS).await;
+            let downtime_ms = state.draw(|random| random.random_range(DOWNTIME_MS));
+            sleep(ENTRY_TTL).await;
             let was_listed = state.is_listed();
-            state.withdraw();
-            sleep(Duration::from_millis(gone_ms).saturating_sub(ENTRY_LINGERS)).await;
+            state.remove_entry();
+            sleep(Duration::from_millis(downtime_ms).saturating_sub(ENTRY_TTL)).await;
             if self.is_leaving.get() || !was_listed {
                 return;
             }
-            let Ok(next) = TcpListener::bind("127.0.0.1:0").await else {
+            let Ok(next_listener) = TcpListener::bind("127.0.0.1:0").await else {
                 return;
             };
-            listener = next;
-            if self.come_back(&state, &listener).is_err() {
+            listener = next_listener;
+            if self.start_next_incarnation(&state, &listener).is_err() {
                 return;
             }
         }
     }
 
-    fn come_back(&self, last: &WorkerState, listener: &TcpListener) -> std::io::Result<()> {
-        self.link.lead_to(listener.local_addr()?);
-        let seed = last.draw(|random| random.random());
-        let next = Arc::new(last.successor(next_id(), seed));
+    fn start_next_incarnation(
+        &self,
+        previous: &WorkerState,
+        listener: &TcpListener,
+    ) -> std::io::Result<()> {
+        self.link.set_target(listener.local_addr()?);
+        let seed = previous.draw(|random| random.random());
+        let next = Arc::new(previous.next_incarnation(next_id(), seed));
         *self.incarnation.borrow_mut() = Arc::clone(&next);
-        self.link.open_again();
-        next.announce("ready");
+        self.link.reopen();
+        next.announce_state("ready");
         Ok(())
     }
 }
@@ -197,14 +205,14 @@
     }
 }
 
-async fn accept(listener: TcpListener, state: Arc<WorkerState>) {
+async fn accept_connections(listener: TcpListener, state: Arc<WorkerState>) {
     while let Ok((stream, _)) = listener.accept().await {
         actix_rt::spawn(connection::serve(stream, Arc::clone(&state)));
     }
 }
 
-/// A worker's entry in the store.
-fn entry(
+/// Returns the store entry of a worker.
+fn worker_entry(
     plan: &WorkerPlan,
     address: SocketAddr,
     state: &str,
--- a/crates/fault-soak/src/worker/reply.rs
+++ b/crates/fault-soak/src/worker/reply.rs
@@ -1,4 +1,4 @@
-//! An answer of a worker before it is put on a connection.
+//! An answer of a worker before it is written to a connection.
 
 use std::time::Duration;
 
@@ -7,33 +7,33 @@
 use crate::evidence::Rest;
 use crate::identity::RequestKey;
 
-/// An answer.
+/// An answer of a worker.
 #[derive(Debug, Clone)]
 pub(super) struct Reply {
     status: u16,
     headers: Vec<(&'static str, String)>,
-    /// The parts of the body, each written in one step.
+    /// The parts of the body. Each is written in one step.
     parts: Vec<Bytes>,
-    /// The pause between two parts.
+    /// Pause between writing two parts.
     pub(super) pause: Duration,
     is_stream: bool,
-    /// The rest that it asks for.
-    pub(super) rest: Option<Rest>,
-    /// The request that ends the worker, if it does.
-    pub(super) deadly: Option<RequestKey>,
+    /// The back-off that the answer asks for.
+    pub(super) backoff: Option<Rest>,
+    /// The request, if it crashes the worker.
+    pub(super) crashing_request: Option<RequestKey>,
 }
 
-/// How the end of a body is told.
+/// How the receiver recognizes the end of the body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Ending {
-    /// By its length, or by chunks for a stream.
-    Told,
-    /// By the end of the connection.
-    Connection,
+pub(super) enum BodyFraming {
+    /// `Content-Length`, or chunked encoding for a stream.
+    Explicit,
+    /// The worker closes the connection after the body.
+    UntilClose,
 }
 
 impl Reply {
-    /// An answer with this body.
+    /// Creates an answer with this body.
     pub(super) fn new(status: u16, body: impl Into<Bytes>) -> Self {
         Self {
             status,
@@ -41,12 +41,12 @@
             parts: vec![body.into()],
             pause: Duration::ZERO,
             is_stream: false,
-            rest: None,
-            deadly: None,
+            backoff: None,
+            crashing_request: None,
         }
     }
 
-    /// A stream of events.
+    /// Creates an answer that is a stream of events.
     pub(super) fn stream(status: u16, events: Vec<Bytes>, pause: Duration) -> Self {
         Self {
             status,
@@ -54,33 +54,33 @@
             parts: events,
             pause,
             is_stream: true,
-            rest: None,
-            deadly: None,
+            backoff: None,
+            crashing_request: None,
         }
     }
 
-    /// The same with another header.
+    /// Adds a header.
     pub(super) fn with(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The same with a rest that it asks for.
-    pub(super) fn asking_for(mut self, rest: Rest) -> Self {
-        self.rest = Some(rest);
+    /// Marks the answer as one that asks for a back-off.
+    pub(super) fn requesting_backoff(mut self, backoff: Rest) -> Self {
+        self.backoff = Some(backoff);
         self
     }
 
-    /// The same for a request that ends the worker before its answer is whole.
-    pub(super) fn ending_worker(mut self, deadly: RequestKey) -> Self {
-        self.deadly = Some(deadly);
+    /// Marks the answer as one to a request that crashes the worker before the answer is complete.
+    pub(super) fn crashing_worker(mut self, crashing_request: RequestKey) -> Self {
+        self.crashing_request = Some(crashing_request);
         self
     }
 
-    /// The bytes on the connection, in the steps in which they are written. The first is the head.
-    pub(super) fn steps(&self, ending: Ending) -> Vec<Bytes> {
-        let chunked = self.is_stream && ending == Ending::Told;
-        let mut steps = vec![self.head(ending)];
+    /// Returns the bytes of the answer, divided into the steps in which they are written. The first step is the head.
+    pub(super) fn steps(&self, framing: BodyFraming) -> Vec<Bytes> {
+        let chunked = self.is_stream && framing == BodyFraming::Explicit;
+        let mut steps = vec![self.head(framing)];
         for part in &self.parts {
             if chunked {
                 let mut chunk = format!("{:x}\r\n", part.len()).into_bytes();
@@ -97,18 +97,18 @@
         steps
     }
 
-    fn head(&self, ending: Ending) -> Bytes {
+    fn head(&self, framing: BodyFraming) -> Bytes {
         let mut head = format!("HTTP/1.1 {} Answer\r\n", self.status);
         for (name, value) in &self.headers {
             head.push_str(&format!("{name}: {value}\r\n"));
         }
         let length: usize = self.parts.iter().map(Bytes::len).sum();
-        let framing = match ending {
-            Ending::Connection => "Connection: close\r\n".to_owned(),
-            Ending::Told if self.is_stream => "Transfer-Encoding: chunked\r\n".to_owned(),
-            Ending::Told => format!("Content-Length: {length}\r\n"),
+        let header = match framing {
+            BodyFraming::UntilClose => "Connection: close\r\n".to_owned(),
+            BodyFraming::Explicit if self.is_stream => "Transfer-Encoding: chunked\r\n".to_owned(),
+            BodyFraming::Explicit => format!("Content-Length: {length}\r\n"),
         };
-        head.push_str(&framing);
+        head.push_str(&header);
         head.push_str("Keep-Alive: timeout=10\r\n\r\n");
         head.into()
     }
--- a/crates/fault-soak/src/worker/state.rs
+++ b/crates/fault-soak/src/worker/state.rs
@@ -1,4 +1,4 @@
-//! What a worker knows, and where it records what it does.
+//! The state of a worker, and the recorder of what happens in an episode.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,83 +12,86 @@
 use tansyhall_platform_standin::{Store, WORKER_ENTRY_PREFIX};
 use tokio::sync::watch;
 
-use super::{entry, WorkerPlan};
+use super::{worker_entry, WorkerPlan};
 use crate::evidence::{
     Arrival, Call, Evidence, Garbled, NamedLimit, Reading, Rest, Run, WorkerEnd,
 };
 use crate::faults::{Aspect, Fault, FaultCounts, Mix};
 use crate::identity::RequestKey;
 
-/// Where callers and workers of an episode record what they see; clones share it.
+/// Records what callers and workers of an episode observe. Clones share the same records.
 #[derive(Debug, Clone)]
 pub struct Notebook {
     started: Instant,
-    pages: Arc<Mutex<Pages>>,
+    records: Arc<Mutex<Records>>,
 }
 
 #[derive(Debug, Default)]
-struct Pages {
+struct Records {
     evidence: Evidence,
     faults: FaultCounts,
     next_run: u64,
     next_handle: u64,
-    /// KV caches that wait to be taken, by `IP:PORT/HANDLE`.
+    /// KV caches that have not been used yet, by `IP:PORT/HANDLE`.
     caches: HashMap<String, ()>,
 }
 
 impl Notebook {
-    /// An empty one.
+    /// Creates an empty recorder.
     pub fn new() -> Self {
         Self {
             started: Instant::now(),
-            pages: Arc::default(),
+            records: Arc::default(),
         }
     }
 
-    /// Milliseconds from the start.
+    /// Returns the milliseconds since the recorder was created.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Changes the evidence.
+    /// Applies a change to the evidence.
     pub fn record(&self, change: impl FnOnce(&mut Evidence)) {
-        change(&mut self.pages.lock().evidence);
+        change(&mut self.records.lock().evidence);
     }
 
-    /// Counts a fault that happened.
+    /// Counts a fault that was injected.
     pub fn count_fault(&self, name: impl Into<String>) {
-        *self.pages.lock().faults.entry(name.into()).or_default() += 1;
+        *self.records.lock().faults.entry(name.into()).or_default() += 1;
     }
 
-    /// What was recorded so far; the notebook is empty afterwards.
+    /// Returns everything recorded so far and clears the records.
     pub fn take(&self) -> (Evidence, FaultCounts) {
-        let mut pages = self.pages.lock();
-        let evidence = std::mem::take(&mut pages.evidence);
-        (evidence, std::mem::take(&mut pages.faults))
+        let mut records = self.records.lock();
+        let evidence = std::mem::take(&mut records.evidence);
+        (evidence, std::mem::take(&mut records.faults))
     }
 
-    /// The number of a new run.
+    /// Returns the number of a new run.
     pub(super) fn next_run(&self) -> u64 {
-        let mut pages = self.pages.lock();
-        pages.next_run += 1;
-        pages.next_run
+        let mut records = self.records.lock();
+        records.next_run += 1;
+        records.next_run
     }
 
-    /// Keeps a KV cache at an address and returns its handle.
-    pub(super) fn keep_cache(&self, address: SocketAddr, key: RequestKey) -> String {
+    /// Stores a KV cache at an address, records the prefill and returns the handle of the cache.
+    pub(super) fn store_cache(&self, address: SocketAddr, key: RequestKey) -> String {
         let at_ms = self.now_ms();
-        let mut pages = self.pages.lock();
-        pages.next_handle += 1;
-        let handle = format!("c{:x}", pages.next_handle);
+        let mut records = self.records.lock();
+        records.next_handle += 1;
+        let handle = format!("c{:x}", records.next_handle);
         let place = format!("{address}/{handle}");
-        pages.caches.insert(place.clone(), ());
-        pages.evidence.readings.push(Reading { place, key, at_ms });
+        records.caches.insert(place.clone(), ());
+        records
+            .evidence
+            .readings
+            .push(Reading { place, key, at_ms });
         handle
     }
 
-    /// Takes a KV cache; false if it is gone.
-    pub(super) fn take_cache(&self, place: &str) -> bool {
-        self.pages.lock().caches.remove(place).is_some()
+    /// Removes a KV cache. Returns false if it does not exist any more.
+    pub(super) fn remove_cache(&self, place: &str) -> bool {
+        self.records.lock().caches.remove(place).is_some()
     }
 }
 
@@ -107,23 +110,23 @@
 }
 
 #[derive(Debug)]
-struct Changing {
+struct MutableState {
     mix: Mix,
     random: ChaCha8Rng,
     stage: Option<String>,
     state: &'static str,
     is_listed: bool,
-    /// Whether its answers say that it leaves.
-    says_leaving: bool,
-    /// Milliseconds of rest that it asks for as it turns everything away, if it does.
-    rest_ms: Option<u64>,
-    /// Thousandths of a request a second that it names as its rate limit, if it does.
-    limit_milli: Option<u64>,
+    /// Whether answers carry the header that announces that the worker is leaving.
+    is_advertising_leaving: bool,
+    /// Back-off that the worker asks for in milliseconds; while set, the worker refuses every request.
+    backoff_ms: Option<u64>,
+    /// Rate limit that answers carry, in thousandths of a request per second.
+    rate_limit_millirequests: Option<u64>,
     orders: u64,
     highest_fence: u64,
 }
 
-/// A request as it arrived.
+/// A request that arrived at the worker.
 pub(super) struct SeenArrival {
     pub(super) key: RequestKey,
     pub(super) is_reading: bool,
@@ -131,7 +134,7 @@
     pub(super) is_meant: bool,
 }
 
-/// What a worker knows.
+/// The state of one incarnation of a worker.
 #[derive(Debug)]
 pub(super) struct WorkerState {
     pub(super) id: String,
@@ -139,8 +142,8 @@
     pub(super) notebook: Notebook,
     plan: WorkerPlan,
     store: Store,
-    ended: watch::Sender<bool>,
-    changing: Mutex<Changing>,
+    crashed: watch::Sender<bool>,
+    mutable: Mutex<MutableState>,
 }
 
 impl WorkerState {
@@ -152,15 +155,15 @@
         notebook: Notebook,
         seed: u64,
     ) -> Self {
-        let changing = Changing {
+        let mutable = MutableState {
             mix: Mix::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
             stage: plan.stage.map(str::to_owned),
             state: "ready",
             is_listed: true,
-            says_leaving: false,
-            rest_ms: None,
-            limit_milli: None,
+            is_advertising_leaving: false,
+            backoff_ms: None,
+            rate_limit_millirequests: None,
             orders: 0,
             highest_fence: 0,
         };
@@ -170,21 +173,21 @@
             notebook,
             plan,
             store,
-            ended: watch::Sender::new(false),
-            changing: Mutex::new(changing),
+            crashed: watch::Sender::new(false),
+            mutable: Mutex::new(mutable),
         }
     }
 
-    /// The next incarnation of the same worker, with the same faults.
-    pub(super) fn successor(&self, id: String, seed: u64) -> Self {
+    /// Creates the next incarnation of the same worker, with the same faults.
+    pub(super) fn next_incarnation(&self, id: String, seed: u64) -> Self {
         let (store, notebook) = (self.store.clone(), self.notebook.clone());
         let next = Self::new(id, self.address, self.plan, store, notebook, seed);
-        next.set_mix(self.changing.lock().mix.clone());
+        next.set_mix(self.mutable.lock().mix.clone());
         next
     }
 
-    /// Ends it under a request.
-    pub(super) fn end(&self, key: RequestKey) {
+    /// Crashes the worker because of a request.
+    pub(super) fn crash(&self, key: RequestKey) {
         let end = WorkerEnd {
             key,
             worker: self.id.clone(),
@@ -193,50 +196,50 @@
         self.notebook.count_fault("worker ended by a request");
         self.notebook
             .record(|evidence| evidence.worker_ends.push(end));
-        self.ended.send_replace(true);
+        self.crashed.send_replace(true);
     }
 
-    /// Waits until it has ended.
-    pub(super) async fn until_ended(&self) {
-        let mut ended = self.ended.subscribe();
-        // The sender lives as long as this borrow.
-        let _ = ended.wait_for(|ended| *ended).await;
+    /// Waits until the worker has crashed.
+    pub(super) async fn wait_until_crashed(&self) {
+        let mut crashed = self.crashed.subscribe();
+        // `wait_for` cannot fail: the sender outlives this borrow.
+        let _ = crashed.wait_for(|crashed| *crashed).await;
     }
 
-    /// Whether it is in the store, or was until it ended.
+    /// Whether the worker is listed in the store, or was until it crashed.
     pub(super) fn is_listed(&self) -> bool {
-        self.changing.lock().is_listed
+        self.mutable.lock().is_listed
     }
 
-    /// From now on, its answers say that it leaves.
-    pub(super) fn say_leaving(&self) {
-        self.changing.lock().says_leaving = true;
+    /// Announces in all further answers that the worker is leaving.
+    pub(super) fn advertise_leaving(&self) {
+        self.mutable.lock().is_advertising_leaving = true;
     }
 
-    pub(super) fn says_leaving(&self) -> bool {
-        self.changing.lock().says_leaving
+    pub(super) fn is_advertising_leaving(&self) -> bool {
+        self.mutable.lock().is_advertising_leaving
     }
 
-    /// Turns everything away from now on and asks for so much rest, or takes requests again.
-    pub(super) fn set_rest(&self, rest_ms: Option<u64>) {
-        self.changing.lock().rest_ms = rest_ms;
+    /// Refuses all further requests and asks for this back-off, or with `None` accepts requests again.
+    pub(super) fn set_backoff(&self, backoff_ms: Option<u64>) {
+        self.mutable.lock().backoff_ms = backoff_ms;
     }
 
-    pub(super) fn rest_ms(&self) -> Option<u64> {
-        self.changing.lock().rest_ms
+    pub(super) fn backoff_ms(&self) -> Option<u64> {
+        self.mutable.lock().backoff_ms
     }
 
-    /// Names a rate limit from now on, or none any more.
-    pub(super) fn name_limit(&self, millirequests: Option<u64>) {
+    /// Sets or clears the rate limit that further answers carry, and records it.
+    pub(super) fn set_rate_limit(&self, millirequests: Option<u64>) {
         let now_ms = self.notebook.now_ms();
-        let before = {
-            let mut changing = self.changing.lock();
-            std::mem::replace(&mut changing.limit_milli, millirequests)
+        let previous = {
+            let mut mutable = self.mutable.lock();
+            std::mem::replace(&mut mutable.rate_limit_millirequests, millirequests)
         };
         self.notebook.record(|evidence| {
-            if before.is_some() {
-                let mut named = evidence.rate_limits.iter_mut().rev();
-                if let Some(last) = named.find(|named| named.worker == self.id) {
+            if previous.is_some() {
+                let mut limits = evidence.rate_limits.iter_mut().rev();
+                if let Some(last) = limits.find(|limit| limit.worker == self.id) {
                     last.to_ms = Some(now_ms);
                 }
             }
@@ -251,75 +254,76 @@
         });
     }
 
-    pub(super) fn limit_milli(&self) -> Option<u64> {
-        self.changing.lock().limit_milli
+    pub(super) fn rate_limit_millirequests(&self) -> Option<u64> {
+        self.mutable.lock().rate_limit_millirequests
     }
 
-    pub(super) fn record_rest(&self, rest: Rest) {
-        self.notebook.record(|evidence| evidence.rests.push(rest));
+    pub(super) fn record_backoff(&self, backoff: Rest) {
+        self.notebook
+            .record(|evidence| evidence.rests.push(backoff));
     }
 
     pub(super) fn set_mix(&self, mix: Mix) {
-        self.changing.lock().mix = mix;
+        self.mutable.lock().mix = mix;
     }
 
-    /// Draws something from the worker's own random numbers.
+    /// Draws a value from the worker's own random number generator.
     pub(super) fn draw<T>(&self, draw: impl FnOnce(&mut ChaCha8Rng) -> T) -> T {
-        draw(&mut self.changing.lock().random)
+        draw(&mut self.mutable.lock().random)
     }
 
-    /// Draws whether an answer has a fault in this aspect.
+    /// Draws the fault that an answer has in this aspect, if any.
     pub(super) fn draw_fault(&self, aspect: Aspect) -> Option<Fault> {
-        let mut changing = self.changing.lock();
-        let Changing { mix, random, .. } = &mut *changing;
+        let mut mutable = self.mutable.lock();
+        let MutableState { mix, random, .. } = &mut *mutable;
         mix.pick(aspect, random)
     }
 
     pub(super) fn stage(&self) -> Option<String> {
-        self.changing.lock().stage.clone()
+        self.mutable.lock().stage.clone()
     }
 
     pub(super) fn orders(&self) -> u64 {
-        self.changing.lock().orders
+        self.mutable.lock().orders
     }
 
-    /// Takes an order and returns the status of its answer.
-    pub(super) fn take_order(&self, order: Order) -> u16 {
+    /// Applies an order and returns the status of its answer.
+    pub(super) fn apply_order(&self, order: Order) -> u16 {
         {
-            let mut changing = self.changing.lock();
-            if order.fence < changing.highest_fence {
+            let mut mutable = self.mutable.lock();
+            if order.fence < mutable.highest_fence {
                 return 412;
             }
-            changing.highest_fence = order.fence;
-            if order.expected_count != changing.orders {
+            mutable.highest_fence = order.fence;
+            if order.expected_count != mutable.orders {
                 return 409;
             }
-            if changing.stage.as_ref() == Some(&order.stage) {
+            if mutable.stage.as_ref() == Some(&order.stage) {
                 return 200;
             }
-            changing.orders += 1;
-            changing.stage = Some(order.stage);
+            mutable.orders += 1;
+            mutable.stage = Some(order.stage);
         }
         self.write_entry();
         202
     }
 
-    pub(super) fn announce(&self, state: &'static str) {
-        self.changing.lock().state = state;
+    pub(super) fn announce_state(&self, state: &'static str) {
+        self.mutable.lock().state = state;
         self.write_entry();
     }
 
     pub(super) fn write_entry(&self) {
-        let changing = self.changing.lock();
-        if changing.is_listed {
-            let stage = changing.stage.as_deref();
-            let entry = entry(&self.plan, self.address, changing.state, stage);
+        let mutable = self.mutable.lock();
+        if mutable.is_listed {
+            let stage = mutable.stage.as_deref();
+            let entry = worker_entry(&self.plan, self.address, mutable.state, stage);
             self.store.put(&self.key(), &entry);
         }
     }
 
-    pub(super) fn withdraw(&self) {
-        self.changing.lock().is_listed = false;
+    pub(super) fn remove_entry(&self) {
+        self.mutable.lock().is_listed = false;
         self.store.remove(&self.key());
     }
 
