--- a/crates/fault-soak/src/caller/requests.rs
+++ b/crates/fault-soak/src/caller/requests.rs
@@ -8,7 +8,7 @@
 use tansyhall_platform_standin::{DEADLINE, LAST_EVENT, PROMPT_PARTS, REQUEST_ID};
 
 use crate::evidence::Outcome;
-use crate::identity::{body_hash, RequestKey, DEADLY};
+use crate::identity::{body_hash, RequestKey, CRASH_BODY_PREFIX};
 use crate::routes::RouteKind;
 
 /// The `Host` header of all requests.
@@ -81,7 +81,7 @@
     /// Draws a request that crashes each worker that starts to execute it. Its tries differ only in their ids.
     pub fn draw_crashing(name: &str, random: &mut ChaCha8Rng) -> Self {
         let mut request = Self::draw(String::new(), name, random);
-        request.body = [DEADLY, name.as_bytes()].join(&b' ');
+        request.body = [CRASH_BODY_PREFIX, name.as_bytes()].join(&b' ');
         request.key.body = body_hash(&request.body);
         request
     }
--- a/crates/fault-soak/src/gateways.rs
+++ b/crates/fault-soak/src/gateways.rs
@@ -7,10 +7,10 @@
 
 use anyhow::{Context, Result};
 use tansyhall_platform_standin::{GatewayFields, Store, StoreEndpoint, StoreFault};
-use tansyhall_testing::{gateway, gateway_of, GatewayAddresses, GatewayProcess};
+use tansyhall_testing::{start_gateway, start_gateway_program, GatewayAddresses, GatewayProcess};
 use tokio::time::sleep;
 
-use crate::judges::{EXTRA, RATIO, WINDOW_S};
+use crate::judges::{BASE_RETRIES, BUDGET_WINDOW_S, RETRY_RATIO};
 use crate::link::Link;
 use crate::site::{LOCAL_ZONE, TAKEOVER_PAUSE_MS};
 
@@ -35,7 +35,7 @@
     pub disabled_mechanisms: Vec<String>,
     /// The executable of another build. Each start of a gateway alternates between the two builds, so that both run
     /// side by side and replace each other in both directions.
-    pub other_program: Option<PathBuf>,
+    pub other_build: Option<PathBuf>,
 }
 
 impl GatewayConfig {
@@ -191,8 +191,10 @@
         let other_build = self.other_build();
         let started = actix_rt::task::spawn_blocking(move || {
             let mut process = match other_build {
-                Some(program) => gateway_of(program, &directory, &name, &settings, addresses),
-                None => gateway(&directory, &name, &settings, addresses),
+                Some(program) => {
+                    start_gateway_program(program, &directory, &name, &settings, addresses)
+                }
+                None => start_gateway(&directory, &name, &settings, addresses),
             };
             let log = directory.join(format!("{name}.log"));
             process.process.copy_output_to(&log)?;
@@ -207,10 +209,7 @@
     fn other_build(&self) -> Option<PathBuf> {
         let start = self.starts.replace(self.starts.get() + 1);
         let uses_other_build = (self.config.number + start) % 2 == 1;
-        self.config
-            .other_program
-            .clone()
-            .filter(|_| uses_other_build)
+        self.config.other_build.clone().filter(|_| uses_other_build)
     }
 
     fn settings(&self, addresses: &GatewayAddresses) -> Result<String> {
@@ -224,9 +223,9 @@
             metrics: addresses.metrics,
             store: self.store.entrance,
             operations: self.config.operations,
-            retry_ratio: RATIO,
-            retry_extra: EXTRA,
-            retry_window_s: WINDOW_S,
+            retry_ratio: RETRY_RATIO,
+            retry_extra: BASE_RETRIES,
+            retry_window_s: BUDGET_WINDOW_S,
             grace_s: GRACE_PERIOD_S,
             takeover_pause_ms: TAKEOVER_PAUSE_MS,
         };
--- a/crates/fault-soak/src/worker/connection.rs
+++ b/crates/fault-soak/src/worker/connection.rs
@@ -13,7 +13,7 @@
 use super::answers::Request;
 use super::reply::{BodyFraming, Reply};
 use super::state::WorkerState;
-use crate::evidence::Rest;
+use crate::evidence::BackoffRequest;
 use crate::faults::{Aspect, Fault};
 use crate::http::{Framing, ReadError, Reader};
 use crate::identity::RequestKey;
@@ -175,7 +175,11 @@
 
     /// Sends an answer that asks for a back-off, without faults. The back-off is recorded only if no repeated answer
     /// is queued before it: the gateway does not accept an answer that arrives in the place of this one.
-    async fn deliver_backoff(&mut self, reply: &Reply, backoff: &Rest) -> std::io::Result<()> {
+    async fn deliver_backoff(
+        &mut self,
+        reply: &Reply,
+        backoff: &BackoffRequest,
+    ) -> std::io::Result<()> {
         let has_no_late_answers = self.late.is_empty();
         self.send_late_before_answer().await?;
         self.write(&reply.steps(BodyFraming::Explicit).concat())
--- a/crates/fault-soak/src/worker/reply.rs
+++ b/crates/fault-soak/src/worker/reply.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-use crate::evidence::Rest;
+use crate::evidence::BackoffRequest;
 use crate::identity::RequestKey;
 
 /// An answer of a worker.
@@ -18,7 +18,7 @@
     pub(super) pause: Duration,
     is_stream: bool,
     /// The back-off that the answer asks for.
-    pub(super) backoff: Option<Rest>,
+    pub(super) backoff: Option<BackoffRequest>,
     /// The request, if it crashes the worker.
     pub(super) crashing_request: Option<RequestKey>,
 }
@@ -66,7 +66,7 @@
     }
 
     /// Marks the answer as one that asks for a back-off.
-    pub(super) fn requesting_backoff(mut self, backoff: Rest) -> Self {
+    pub(super) fn requesting_backoff(mut self, backoff: BackoffRequest) -> Self {
         self.backoff = Some(backoff);
         self
     }
--- a/crates/fault-soak/src/worker/state.rs
+++ b/crates/fault-soak/src/worker/state.rs
@@ -14,7 +14,8 @@
 
 use super::{worker_entry, WorkerPlan};
 use crate::evidence::{
-    Arrival, Call, Evidence, Garbled, NamedLimit, Reading, Rest, Run, WorkerEnd,
+    AnnouncedRateLimit, Arrival, BackoffRequest, Call, Evidence, InvalidBytes, Prefill, Run,
+    WorkerCrash,
 };
 use crate::faults::{Aspect, Fault, FaultCounts, Mix};
 use crate::identity::RequestKey;
@@ -85,7 +86,7 @@
         records
             .evidence
             .readings
-            .push(Reading { place, key, at_ms });
+            .push(Prefill { place, key, at_ms });
         handle
     }
 
@@ -188,7 +189,7 @@
 
     /// Crashes the worker because of a request.
     pub(super) fn crash(&self, key: RequestKey) {
-        let end = WorkerEnd {
+        let end = WorkerCrash {
             key,
             worker: self.id.clone(),
             at_ms: self.notebook.now_ms(),
@@ -245,7 +246,7 @@
             }
             evidence
                 .rate_limits
-                .extend(millirequests.map(|millirequests| NamedLimit {
+                .extend(millirequests.map(|millirequests| AnnouncedRateLimit {
                     worker: self.id.clone(),
                     millirequests,
                     from_ms: now_ms,
@@ -258,7 +259,7 @@
         self.mutable.lock().rate_limit_millirequests
     }
 
-    pub(super) fn record_backoff(&self, backoff: Rest) {
+    pub(super) fn record_backoff(&self, backoff: BackoffRequest) {
         self.notebook
             .record(|evidence| evidence.rests.push(backoff));
     }
@@ -349,7 +350,7 @@
     }
 
     pub(super) fn record_garbled(&self, bytes: String) {
-        let garbled = Garbled {
+        let garbled = InvalidBytes {
             worker: self.id.clone(),
             bytes,
             at_ms: self.notebook.now_ms(),
--- a/crates/twice-answering/src/lib.rs
+++ b/crates/twice-answering/src/lib.rs
@@ -1,5 +1,5 @@
-//! A server that answers its calls twice, or late, for clients that must not take an answer for
-//! another's.
+//! A test HTTP server that sends answers twice or late, for tests which check that clients never use the
+//! answer to one request for another.
 
 #![forbid(unsafe_code)]
 
@@ -9,98 +9,98 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time in which bytes that were sent have arrived.
-pub const ARRIVAL: Duration = Duration::from_millis(60);
+/// Time after which sent bytes are assumed to have arrived.
+pub const DELIVERY_TIME: Duration = Duration::from_millis(60);
 
-/// When the second copy of an answer is sent.
+/// When the duplicate of an answer is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Second {
-    /// Together with the first.
-    AtOnce,
-    /// While nothing is asked on the connection.
+pub enum DuplicateTiming {
+    /// Together with the answer.
+    Immediate,
+    /// Shortly after the answer, while no request is in progress on the connection.
     WhileIdle,
-    /// When the next question has come, before its own answer.
-    BeforeTheNext,
-    /// Never; the first comes only after this time.
-    Never {
-        /// How late the first comes.
-        after: Duration,
+    /// After the next request has been received, before the answer to that request.
+    BeforeNextAnswer,
+    /// No duplicate is sent, and the answer is delayed.
+    NoDuplicate {
+        /// Delay of the answer.
+        answer_delay: Duration,
     },
 }
 
-impl Second {
-    /// Whenever a second answer may come.
-    pub const ALL: [Self; 3] = [Self::AtOnce, Self::WhileIdle, Self::BeforeTheNext];
+impl DuplicateTiming {
+    /// All variants that send a duplicate.
+    pub const ALL: [Self; 3] = [Self::Immediate, Self::WhileIdle, Self::BeforeNextAnswer];
 }
 
-/// A status and a body.
+/// Status code and body of an answer.
 pub type Answer = (u16, Vec<u8>);
 
-/// The server; each question takes the next of its answers, on whatever connection it comes.
-pub struct TwiceAnswering {
-    /// Where it listens.
+/// A server that sends its answers in order, regardless of the connection on which a request arrives.
+pub struct DuplicateAnswerServer {
+    /// The address at which it listens.
     pub address: SocketAddr,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
 }
 
-impl TwiceAnswering {
-    /// Serves these answers in turn.
-    pub fn start(second: Second, answers: Vec<Answer>) -> Self {
+impl DuplicateAnswerServer {
+    /// Starts a server that sends these answers in order.
+    pub fn start(timing: DuplicateTiming, answers: Vec<Answer>) -> Self {
         let answers = Mutex::new(answers);
-        Self::answering(second, move |_| {
+        Self::start_with_handler(timing, move |_| {
             answers.lock().expect("not poisoned").remove(0)
         })
     }
 
-    /// Answers each question, given by method and target.
-    pub fn answering(
-        second: Second,
+    /// Starts a server that computes the answer to each request from its method and target.
+    pub fn start_with_handler(
+        timing: DuplicateTiming,
         answer: impl Fn(&str) -> Answer + Send + Sync + 'static,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-        let record = Arc::clone(&asked);
+        let requests: Arc<Mutex<Vec<String>>> = Arc::default();
+        let record = Arc::clone(&requests);
         let answer = Arc::new(answer);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (record, answer) = (Arc::clone(&record), Arc::clone(&answer));
-                thread::spawn(move || serve(stream, second, &record, &*answer));
+                thread::spawn(move || serve_connection(stream, timing, &record, &*answer));
             }
         });
-        Self { address, asked }
+        Self { address, requests }
     }
 
-    /// The questions so far: method and target.
-    pub fn asked(&self) -> Vec<String> {
-        self.asked.lock().expect("not poisoned").clone()
+    /// Returns the requests received so far, each as method and target in lower case.
+    pub fn requests(&self) -> Vec<String> {
+        self.requests.lock().expect("not poisoned").clone()
     }
 }
 
-fn serve(
+fn serve_connection(
     mut stream: TcpStream,
-    second: Second,
+    timing: DuplicateTiming,
     record: &Mutex<Vec<String>>,
     answer: &dyn Fn(&str) -> Answer,
 ) {
     let _ = stream.set_nodelay(true);
-    let mut owed: Option<Vec<u8>> = None;
-    while let Some(question) = read_question(&mut stream) {
-        let answer = encode(answer(&question));
-        record.lock().expect("not poisoned").push(question);
-        let mut bytes = owed.take().unwrap_or_default();
+    let mut pending_duplicate: Option<Vec<u8>> = None;
+    while let Some(request) = read_request(&mut stream) {
+        let answer = encode(answer(&request));
+        record.lock().expect("not poisoned").push(request);
+        let mut bytes = pending_duplicate.take().unwrap_or_default();
         bytes.extend_from_slice(&answer);
-        match second {
-            Second::AtOnce => bytes.extend_from_slice(&answer),
-            Second::BeforeTheNext => owed = Some(answer.clone()),
-            Second::Never { after } => thread::sleep(after),
-            Second::WhileIdle => {}
+        match timing {
+            DuplicateTiming::Immediate => bytes.extend_from_slice(&answer),
+            DuplicateTiming::BeforeNextAnswer => pending_duplicate = Some(answer.clone()),
+            DuplicateTiming::NoDuplicate { answer_delay } => thread::sleep(answer_delay),
+            DuplicateTiming::WhileIdle => {}
         }
         if stream.write_all(&bytes).is_err() {
             return;
         }
-        if second == Second::WhileIdle {
-            thread::sleep(ARRIVAL / 2);
+        if timing == DuplicateTiming::WhileIdle {
+            thread::sleep(DELIVERY_TIME / 2);
             let _ = stream.write_all(&answer);
         }
     }
@@ -113,8 +113,9 @@
     bytes
 }
 
-/// Reads a whole question; none at the connection's end.
-fn read_question(stream: &mut TcpStream) -> Option<String> {
+/// Reads a request including its body, and returns method and target in lower case. Returns `None` if the
+/// connection is closed or the request is malformed.
+fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
