--- a/crates/testing/src/fleet.rs
+++ b/crates/testing/src/fleet.rs
@@ -99,7 +99,7 @@
         let name = format!("node-{index}");
         let seeds = &self.peer_addresses[..MAX_SEEDS.min(self.peer_addresses.len())];
         let NodeOptions { zone, platform } = self.node_options[index];
-        let peer_address = self.peers[index];
+        let peer_address = self.peer_addresses[index];
         let settings = peer_node_settings(&self.name, &name, zone, platform, peer_address, seeds);
         start_node(self.directory.path(), &name, &settings)
     }
