--- a/crates/proto-gen/src/lib.rs
+++ b/crates/proto-gen/src/lib.rs
@@ -1,5 +1,5 @@
-//! Generates the Rust code of the messages between nodes from their `.proto` files. The result is
-//! committed, so that building the product needs no generator.
+//! Generates the Rust code for the messages between nodes from their `.proto` files. The generated code is committed, so
+//! that building the product does not require the generator.
 
 #![forbid(unsafe_code)]
 
@@ -9,11 +9,12 @@
 
 /// Compiles `peers.proto` in `sources` and writes `tansyhall.peers.rs` into `output`.
 pub fn generate(sources: &Path, output: &Path) -> Result<()> {
-    let descriptors = protox::compile(["peers.proto"], [sources]).context("peers.proto")?;
+    let descriptors =
+        protox::compile(["peers.proto"], [sources]).context("peers.proto cannot be compiled")?;
     let mut generator = prost_build::Config::new();
     generator.out_dir(output);
     generator.bytes(["."]);
     generator
         .compile_fds(descriptors)
-        .context("the code cannot be written")
+        .context("the Rust code cannot be generated")
 }
--- a/crates/proto-gen/src/main.rs
+++ b/crates/proto-gen/src/main.rs
@@ -1,4 +1,5 @@
-//! `cargo run -p tansyhall-proto-gen`: rewrites the committed code of tansyhall-proto.
+//! `cargo run -p tansyhall-proto-gen`: generates the committed code of tansyhall-proto again. Run it at the root of the
+//! workspace.
 
 #![forbid(unsafe_code)]
 
--- a/crates/proto/src/address.rs
+++ b/crates/proto/src/address.rs
@@ -1,4 +1,4 @@
-//! Socket addresses on the wire.
+//! Encoding of socket addresses.
 
 use std::net::{IpAddr, SocketAddr};
 
--- a/crates/proto/src/datagram.rs
+++ b/crates/proto/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Membership datagrams.
+//! Encoding of membership datagrams.
 
 use std::sync::Arc;
 
@@ -17,8 +17,8 @@
 
 /// Largest datagram sent or accepted, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 16 << 10;
-/// Most updates, digests or contacts accepted in one list.
-const MAX_LIST: usize = 128;
+/// Maximum number of updates, digests, back ends or contacts accepted in one list.
+const MAX_LIST_LENGTH: usize = 128;
 
 /// Encodes a membership message.
 pub fn encode_datagram(message: &Message) -> Vec<u8> {
@@ -38,7 +38,7 @@
     datagram.encode_to_vec()
 }
 
-/// Decodes a membership message.
+/// Decodes a membership message. Returns an error if a field is missing or not well formed, or a list is too long.
 pub fn decode_datagram(bytes: &[u8]) -> Result<Message, DecodeError> {
     let datagram = wire::Datagram::decode(bytes)?;
     check_length(datagram.updates.len(), "updates")?;
@@ -72,23 +72,23 @@
 }
 
 fn check_length(length: usize, list: &'static str) -> Result<(), DecodeError> {
-    if length > MAX_LIST {
+    if length > MAX_LIST_LENGTH {
         return Err(DecodeError::TooMany(list));
     }
     Ok(())
 }
 
-fn checked(name: String) -> Result<Arc<str>, DecodeError> {
+fn decode_name(name: String) -> Result<Arc<str>, DecodeError> {
     check_name(&name)?;
     Ok(name.into())
 }
 
 pub(crate) fn decode_node(name: String) -> Result<NodeId, DecodeError> {
-    Ok(NodeId::new(checked(name)?))
+    Ok(NodeId::new(decode_name(name)?))
 }
 
 fn decode_zone(name: String) -> Result<ZoneName, DecodeError> {
-    Ok(ZoneName::new(checked(name)?))
+    Ok(ZoneName::new(decode_name(name)?))
 }
 
 fn encode_body(body: Body) -> WireBody {
@@ -185,7 +185,7 @@
 
 fn decode_backend(mark: wire::BackendMark) -> Result<BackendMark, DecodeError> {
     Ok(BackendMark {
-        name: EngineName::new(checked(mark.name)?),
+        name: EngineName::new(decode_name(mark.name)?),
         is_leaving: mark.is_leaving,
         version: mark.version,
     })
--- a/crates/proto/src/error.rs
+++ b/crates/proto/src/error.rs
@@ -1,24 +1,24 @@
-//! Why a message was refused.
+//! The reasons why a message cannot be decoded.
 
-/// Bytes that are no message of this protocol.
+/// The bytes are not a valid message of this protocol.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes are no such message.
-    #[error("the bytes are no message: {0}")]
+    /// The bytes are not an encoded message of the expected type.
+    #[error("malformed message: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// A field that every message has is missing.
-    #[error("the field {0} is missing")]
+    /// A required field is missing, or an enumerated value is unknown.
+    #[error("field {0} is missing")]
     Missing(&'static str),
-    /// An identifier has not 16 bytes, or an enumerated value is not one of those defined.
-    #[error("the field {0} is not well formed")]
+    /// An identifier does not have 16 bytes, an enumerated value is unknown, or a view does not have three members.
+    #[error("field {0} is not well formed")]
     Invalid(&'static str),
-    /// An address has neither 4 nor 16 bytes, or a port above 65535.
-    #[error("an address is not well formed")]
+    /// An IP address has neither 4 nor 16 bytes, or a port is above 65535.
+    #[error("invalid socket address")]
     Address,
-    /// A name is not one that a node or zone can have.
-    #[error("a name is not well formed: {0}")]
+    /// A name is not valid for a node, zone or engine.
+    #[error("invalid name: {0}")]
     Name(#[from] tansyhall_core::id::NameError),
-    /// A list is longer than any sender makes it.
-    #[error("there are too many {0}")]
+    /// A list is longer than the maximum that a sender writes.
+    #[error("too many {0}")]
     TooMany(&'static str),
 }
--- a/crates/proto/src/journal.rs
+++ b/crates/proto/src/journal.rs
@@ -1,4 +1,4 @@
-//! Requests to a replica of the at-most-once records, and its answers.
+//! Requests to a replica of the at-most-once records, and the replica's answers.
 
 use prost::Message as _;
 use tansyhall_core::Incarnation;
@@ -16,46 +16,46 @@
 /// A request to a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JournalRequest {
-    /// Which incarnation of which node answers.
+    /// Asks which node answers, and in which incarnation.
     Identify,
-    /// A try asks for a key.
+    /// Asks the replica to grant a key to an attempt.
     Vote {
         /// The view in which the vote counts.
         view: ViewNumber,
-        /// Tells it apart from another view of that number; absent if an older build asks.
+        /// Distinguishes the view from another one with the same number. Absent if an older build asks.
         digest: Option<ViewDigest>,
         /// The key.
         key: RecordKey,
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// A try that will never run gives its key back.
+    /// Gives back the key of an attempt that will never run.
     Release {
         /// The key.
         key: RecordKey,
-        /// The try.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// The replica votes no more in views before `next`.
+    /// Orders the replica to stop voting in views before `next`.
     Seal {
         /// The view that is active.
         active: ViewNumber,
         /// The view that is to follow it.
         next: ViewNumber,
     },
-    /// The replica votes in this view from now on.
+    /// Orders the replica to vote in a view from now on.
     Install {
         /// The view.
         view: View,
-        /// What the view before had recorded.
+        /// The keys recorded in the preceding view.
         records: Records,
     },
 }
 
-/// A request to a replica, and whom it is meant for.
+/// A request to a replica, and its addressee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JournalCall {
-    /// The member; absent if whoever answers will do, or if an older build asks.
+    /// The member that the request is meant for. Absent if any member may answer, or if an older build asks.
     pub addressee: Option<Member>,
     /// The request.
     pub request: JournalRequest,
@@ -64,31 +64,31 @@
 /// A replica's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum JournalAnswer {
-    /// Who answers.
+    /// The member that answers.
     Identity {
         /// The node and its incarnation.
         member: Member,
-        /// Whether it is about to stop.
+        /// Whether the node is about to stop.
         is_stopping: bool,
     },
-    /// The vote.
+    /// The answer to a request for a vote.
     Voted {
-        /// The vote itself.
+        /// The vote.
         reply: VoteReply,
-        /// The try that holds a taken key, where it is known.
+        /// The attempt that holds a taken key, if it is known.
         holder: Option<AttemptId>,
     },
-    /// The record is taken back.
+    /// The key was given back.
     Released,
     /// The answer to a seal.
     Sealed(SealReply),
     /// Whether the replica votes in the view.
     Installed(bool),
-    /// The request is meant for another member, such as one that was reached at this address before.
+    /// The request is meant for another member, such as one that previously had this address.
     NotAddressed,
 }
 
-/// Encodes an answer.
+/// Encodes a replica's answer.
 pub fn encode_journal_answer(answer: &JournalAnswer) -> Vec<u8> {
     let body = match answer {
         JournalAnswer::Identity {
@@ -110,7 +110,7 @@
     wire::JournalAnswer { body: Some(body) }.encode_to_vec()
 }
 
-/// Decodes an answer.
+/// Decodes a replica's answer.
 pub fn decode_journal_answer(bytes: &[u8]) -> Result<JournalAnswer, DecodeError> {
     let answer = wire::JournalAnswer::decode(bytes)?;
     Ok(match answer.body.ok_or(DecodeError::Missing("body"))? {
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,5 +1,5 @@
-//! The encoding of messages between nodes. Decision crates know only their own typed messages;
-//! this crate turns them into bytes and back, and refuses what is not well formed.
+//! Encoding of the messages between nodes. The crates that contain the state machines use only their own typed messages.
+//! This crate encodes and decodes those messages, and returns an error for bytes that are not well formed.
 
 #![forbid(unsafe_code)]
 
--- a/crates/proto/src/pull.rs
+++ b/crates/proto/src/pull.rs
@@ -1,4 +1,4 @@
-//! Answers to configuration pulls.
+//! Encoding of the answers to configuration pulls.
 
 use prost::Message as _;
 use tansyhall_core::Duration;
@@ -11,13 +11,13 @@
 /// The answer to a pull.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PullAnswer {
-    /// Time since the answering node's configuration was last known to be the newest.
+    /// Time since the answering node last knew that its configuration was the newest.
     pub confirmation_age: Duration,
-    /// What it holds that is newer.
+    /// The newer configuration that the answering node holds, if any.
     pub body: PullBody,
 }
 
-/// Encodes an answer.
+/// Encodes the answer to a pull.
 pub fn encode_pull_answer(answer: &PullAnswer) -> Vec<u8> {
     let body = match &answer.body {
         PullBody::Current { revision } => Body::Current(wire::Current {
@@ -38,7 +38,7 @@
     answer.encode_to_vec()
 }
 
-/// Decodes an answer.
+/// Decodes the answer to a pull.
 pub fn decode_pull_answer(bytes: &[u8]) -> Result<PullAnswer, DecodeError> {
     let answer = wire::PullAnswer::decode(bytes)?;
     let body = match answer.body.ok_or(DecodeError::Missing("body"))? {
--- a/crates/proto/src/request.rs
+++ b/crates/proto/src/request.rs
@@ -1,4 +1,4 @@
-//! What one node asks of another over TCP: one request, one answer.
+//! Requests that one node sends to another over TCP. Each request has one answer.
 
 use prost::Message as _;
 use tansyhall_core::{FleetId, RequestId};
@@ -9,24 +9,24 @@
 use crate::journal::{self, JournalCall};
 use crate::status::{self, StatusQuery};
 
-/// Bytes of a request's identifier.
+/// Length of a request identifier, in bytes.
 const ID_BYTES: usize = 16;
 
 /// A request between nodes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerRequest {
-    /// What is newer than the configuration that the asking node holds.
+    /// Asks for a configuration newer than the one that the requesting node holds.
     Pull {
-        /// Revision of the configuration held.
+        /// Revision of the configuration that the requesting node holds.
         held_revision: u64,
     },
-    /// A request to the replica of the at-most-once records.
+    /// A request to the node's replica of the at-most-once records.
     Journal(JournalCall),
-    /// How a caller's request stands.
+    /// Asks for the status of a caller's request.
     Status(StatusQuery),
 }
 
-/// A request, and the fleet of the node that asks.
+/// A request, and the fleet of the requesting node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerCall {
     /// The fleet.
--- a/crates/proto/src/status.rs
+++ b/crates/proto/src/status.rs
@@ -1,4 +1,4 @@
-//! Questions about callers' requests that another node serves, and their answers.
+//! Queries for the status of a caller's request that another node serves, and their answers.
 
 use bytes::Bytes;
 use prost::Message as _;
@@ -8,19 +8,19 @@
 use crate::generated as wire;
 use crate::request::{decode_id, encode_id};
 
-/// A question about a caller's request.
+/// A query for the status of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatusQuery {
     /// The request.
     pub request: RequestId,
-    /// Whether the asked node may ask a member of its own zone.
+    /// Whether the queried node may forward the query to a member of its own zone.
     pub may_forward: bool,
 }
 
-/// What is known of a caller's request.
+/// The answer to a status query.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StatusAnswer {
-    /// No such request is known.
+    /// The queried node knows no such request.
     Unknown,
     /// The status resource, in JSON.
     Known(Bytes),
@@ -28,7 +28,7 @@
     Unreachable,
 }
 
-/// Encodes an answer.
+/// Encodes the answer to a status query.
 pub fn encode_status_answer(answer: &StatusAnswer) -> Vec<u8> {
     let (outcome, resource) = match answer {
         StatusAnswer::Unknown => (wire::StatusOutcome::Unknown, Bytes::new()),
@@ -42,7 +42,7 @@
     answer.encode_to_vec()
 }
 
-/// Decodes an answer.
+/// Decodes the answer to a status query.
 pub fn decode_status_answer(bytes: &[u8]) -> Result<StatusAnswer, DecodeError> {
     let answer = wire::StatusAnswer::decode(bytes)?;
     let outcome = wire::StatusOutcome::try_from(answer.outcome);
--- a/crates/proto/tests/builds_before.rs
+++ b/crates/proto/tests/builds_before.rs
@@ -1,4 +1,4 @@
-//! Messages of a build that names neither its fleet nor the member a request is meant for.
+//! Compatibility with a build whose messages contain neither the fleet of the sender nor the addressee of a request.
 
 use tansyhall_core::{Duration, FleetId, Incarnation, RequestId};
 use tansyhall_journal::{AttemptId, RecordKey, ViewNumber};
@@ -8,7 +8,7 @@
     PeerCall, PeerRequest,
 };
 
-/// Bytes that build e4dc558 wrote.
+/// Messages encoded by build e4dc558, in hexadecimal.
 const VOTE: &str = "121a12180803120261621a1000000000000000000000000000000102";
 const PULL: &str = "0a020807";
 const PING: &str = "0a066e6f64652d3112086b616c696d61746918e807200728ac0252020805";
@@ -55,9 +55,10 @@
     }
 }
 
-// Guards against an upgrade during which nodes of both builds do not understand each other.
+// Guards against a change of the encoding due to which nodes of both builds cannot decode each other's messages during
+// an upgrade.
 #[test]
-fn messages_of_the_build_before_are_read_and_written_byte_for_byte() {
+fn messages_of_the_previous_build_are_decoded_and_encoded_byte_for_byte() {
     for (bytes, call) in [(VOTE, vote()), (PULL, pull())] {
         let bytes = hex::decode(bytes).expect("hexadecimal digits");
         assert_eq!(encode_request(&call), bytes);
--- a/crates/proto/tests/codec.rs
+++ b/crates/proto/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Every message survives encoding, and no bytes make the decoder panic.
+//! Every encoded message decodes to itself, and no bytes cause a decoder to panic.
 
 use std::net::{Ipv6Addr, SocketAddr};
 
@@ -151,12 +151,12 @@
     #![proptest_config(fixed_cases(1))]
 
     #[test]
-    fn a_datagram_survives_encoding(message in message()) {
+    fn an_encoded_datagram_decodes_to_itself(message in message()) {
         prop_assert_eq!(decode_datagram(&encode_datagram(&message)), Ok(message));
     }
 
     #[test]
-    fn a_pull_survives_encoding(held in any::<u64>(), age in any::<u32>(), body in pull_body()) {
+    fn an_encoded_pull_decodes_to_itself(held in any::<u64>(), age in any::<u32>(), body in pull_body()) {
         let request = PeerRequest::Pull { held_revision: held };
         let call = PeerCall { fleet: FleetId::UNNAMED, request };
         prop_assert_eq!(decode_request(&encode_request(&call)), Ok(call));
@@ -166,14 +166,14 @@
     }
 
     #[test]
-    fn garbage_is_refused_without_a_panic(bytes in vec(any::<u8>(), 0..600)) {
+    fn arbitrary_bytes_do_not_cause_a_panic(bytes in vec(any::<u8>(), 0..600)) {
         let _ = decode_datagram(&bytes);
         let _ = decode_request(&bytes);
         let _ = decode_pull_answer(&bytes);
     }
 
     #[test]
-    fn a_damaged_datagram_never_panics(
+    fn a_corrupted_datagram_does_not_cause_a_panic(
         message in message(), position in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
         let mut bytes = encode_datagram(&message);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn an_empty_datagram_says_what_is_missing() {
+fn an_empty_datagram_is_rejected_as_incomplete() {
     assert!(matches!(
         decode_datagram(&[]),
         Err(DecodeError::Name(_) | DecodeError::Missing(_))
--- a/crates/proto/tests/requests.rs
+++ b/crates/proto/tests/requests.rs
@@ -1,5 +1,4 @@
-//! Requests between nodes over TCP and their answers survive encoding, and no bytes make a decoder
-//! panic.
+//! Every encoded request between nodes and every answer decodes to itself, and no bytes cause a decoder to panic.
 
 use bytes::Bytes;
 use proptest::collection::vec;
@@ -121,25 +120,25 @@
     #![proptest_config(fixed_cases(1))]
 
     #[test]
-    fn a_request_survives_encoding(request in request()) {
+    fn an_encoded_request_decodes_to_itself(request in request()) {
         prop_assert_eq!(decode_request(&encode_request(&request)), Ok(request));
     }
 
     #[test]
-    fn an_answer_survives_encoding(journal in journal_answer(), status in status_answer()) {
+    fn an_encoded_answer_decodes_to_itself(journal in journal_answer(), status in status_answer()) {
         prop_assert_eq!(decode_journal_answer(&encode_journal_answer(&journal)), Ok(journal));
         prop_assert_eq!(decode_status_answer(&encode_status_answer(&status)), Ok(status));
     }
 
     #[test]
-    fn garbage_is_refused_without_a_panic(bytes in vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_cause_a_panic(bytes in vec(any::<u8>(), 0..300)) {
         let _ = decode_request(&bytes);
         let _ = decode_journal_answer(&bytes);
         let _ = decode_status_answer(&bytes);
     }
 
     #[test]
-    fn a_damaged_request_never_panics(
+    fn a_corrupted_request_does_not_cause_a_panic(
         request in request(), position in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
         let mut bytes = encode_request(&request);
@@ -151,6 +150,6 @@
 }
 
 #[test]
-fn a_request_without_a_body_is_refused() {
+fn a_request_without_a_body_is_rejected() {
     assert_eq!(decode_request(&[]), Err(DecodeError::Missing("body")));
 }
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -1,6 +1,5 @@
-//! The spread of configuration revisions between the nodes, with the real state machine. Operators
-//! change the configuration in the store; the first node that is up follows the store, the others
-//! pull from each other.
+//! Dissemination of configuration revisions between the nodes, with the state machine of the product. Operators change
+//! the configuration in the store. The first reachable node follows the store, and the others pull from each other.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,89 +9,91 @@
     Action, Dissemination, DisseminationSettings, MembershipView, Peer, PullOutcome, RevisionStatus,
 };
 
-use crate::cluster::NODES;
+use crate::cluster::NODE_COUNT;
 use crate::oracle::Oracle;
 use crate::run::Rule;
 
-/// One pull of one run of a node.
+/// A pull by one incarnation of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Pull {
     /// The node that pulls.
     pub node: usize,
-    /// Its run.
-    pub run: u64,
-    /// The pull's number.
+    /// Incarnation of that node.
+    pub incarnation: u64,
+    /// Number of the pull. No two pulls of an episode have the same number.
     pub number: u64,
-    /// The node asked.
+    /// The node that is asked.
     pub target: usize,
 }
 
-/// What passes between nodes, and between a node and the store.
+/// A message between two nodes, or between a node and the store.
 #[derive(Debug, Clone, Copy)]
 pub enum Message {
-    /// A node asks another for what is newer than it holds.
-    Ask(Pull),
-    /// The answer: what the other has in force.
-    Answer(Pull, RevisionStatus),
-    /// A node tells another what it has in force.
-    Tell {
-        /// Who tells.
+    /// A node asks another for a configuration newer than its own.
+    PullRequest(Pull),
+    /// The answer to a pull: the revision that the other node has in force.
+    PullAnswer(Pull, RevisionStatus),
+    /// A node announces the revision that it has in force to another.
+    Announcement {
+        /// The sender.
         from: usize,
-        /// Who is told.
+        /// The receiver.
         target: usize,
-        /// What is in force.
-        mark: RevisionStatus,
+        /// The revision that the sender has in force.
+        status: RevisionStatus,
     },
     /// A node reads the store.
     ReadStore {
         /// The node.
         node: usize,
-        /// Its run.
-        run: u64,
+        /// Incarnation of the node.
+        incarnation: u64,
     },
-    /// The store's newest revision, as it was read.
+    /// The answer to a read: the newest revision in the store.
     StoreRead {
         /// The node.
         node: usize,
-        /// Its run.
-        run: u64,
-        /// The revision.
+        /// Incarnation of the node.
+        incarnation: u64,
+        /// The newest revision.
         revision: u64,
     },
 }
 
-/// Where a message is handled.
+/// The recipient of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Receiver {
-    /// At a node in whatever run it is.
+    /// A node, in whichever incarnation is current.
     Node(usize),
-    /// At one run of a node.
-    Run(usize, u64),
-    /// At the store.
+    /// A node, if it is still in this incarnation.
+    NodeIncarnation(usize, u64),
+    /// The store.
     Store,
 }
 
 impl Message {
-    /// Where the message is handled.
+    /// Returns the recipient of the message.
     pub fn receiver(&self) -> Receiver {
         match *self {
-            Message::Ask(pull) => Receiver::Node(pull.target),
-            Message::Answer(pull, _) => Receiver::Run(pull.node, pull.run),
-            Message::Tell { target, .. } => Receiver::Node(target),
+            Message::PullRequest(pull) => Receiver::Node(pull.target),
+            Message::PullAnswer(pull, _) => Receiver::NodeIncarnation(pull.node, pull.incarnation),
+            Message::Announcement { target, .. } => Receiver::Node(target),
             Message::ReadStore { .. } => Receiver::Store,
-            Message::StoreRead { node, run, .. } => Receiver::Run(node, run),
+            Message::StoreRead {
+                node, incarnation, ..
+            } => Receiver::NodeIncarnation(node, incarnation),
         }
     }
 }
 
-/// Every node's revisions, and the store's.
+/// The configuration revisions of all nodes and of the store.
 pub struct Configurations {
-    spreads: Vec<Dissemination>,
+    nodes: Vec<Dissemination>,
     store_revision: u64,
     pulls: u64,
     probes: usize,
     outstanding: BTreeSet<Pull>,
-    broken: Option<Rule>,
+    disabled_rule: Option<Rule>,
 }
 
 fn peer(node: usize) -> Peer {
@@ -107,144 +108,148 @@
     usize::from(peer.address.port()) - 1
 }
 
-fn spread(node: usize, run: u64) -> Dissemination {
+fn dissemination(node: usize, incarnation: u64) -> Dissemination {
     Dissemination::new(
         DisseminationSettings::default(),
-        run * NODES as u64 + node as u64,
+        incarnation * NODE_COUNT as u64 + node as u64,
     )
 }
 
 impl Configurations {
-    /// Nodes that hold nothing, and a store with a first configuration.
-    pub fn new(broken: Option<Rule>) -> Self {
+    /// Creates nodes without a configuration, and a store that holds a first revision.
+    pub fn new(disabled_rule: Option<Rule>) -> Self {
         Self {
-            spreads: (0..NODES).map(|node| spread(node, 1)).collect(),
+            nodes: (0..NODE_COUNT).map(|node| dissemination(node, 1)).collect(),
             store_revision: 1,
             pulls: 0,
             probes: 0,
             outstanding: BTreeSet::new(),
-            broken,
+            disabled_rule,
         }
     }
 
-    /// A node restarts and holds nothing.
-    pub fn restart(&mut self, node: usize, run: u64) {
-        self.spreads[node] = spread(node, run);
+    /// Restarts a node, which loses its configuration.
+    pub fn restart(&mut self, node: usize, incarnation: u64) {
+        self.nodes[node] = dissemination(node, incarnation);
         self.outstanding.retain(|pull| pull.node != node);
     }
 
-    /// Operators change the configuration in the store.
-    pub fn change(&mut self) {
+    /// Changes the configuration in the store, as an operator does.
+    pub fn change_in_store(&mut self) {
         self.store_revision += 1;
     }
 
-    /// The store answers a read.
-    pub fn read_store(&self, node: usize, run: u64) -> Message {
+    /// Returns the store's answer to a read by a node.
+    pub fn read_store(&self, node: usize, incarnation: u64) -> Message {
         let revision = self.store_revision;
         Message::StoreRead {
             node,
-            run,
+            incarnation,
             revision,
         }
     }
 
-    /// What is due at a node; `up` tells which nodes answer. Returns what it sends.
+    /// Performs the periodic work of a node. `reachable` says which nodes answer. Returns the messages to send.
     pub fn tick(
         &mut self,
         now: Timestamp,
         node: usize,
-        run: u64,
-        up: &[bool],
+        incarnation: u64,
+        reachable: &[bool],
         oracle: &mut Oracle,
     ) -> Vec<Message> {
-        let others = (0..NODES).filter(|other| *other != node);
+        let others = (0..NODE_COUNT).filter(|other| *other != node);
         let view = MembershipView {
-            is_watcher: up.iter().position(|is_up| *is_up) == Some(node),
+            is_watcher: reachable.iter().position(|is_reachable| *is_reachable) == Some(node),
             is_settled: true,
-            neighbours: others.filter(|other| up[*other]).map(peer).collect(),
+            neighbours: others.filter(|other| reachable[*other]).map(peer).collect(),
         };
-        let actions = self.spreads[node].tick(now, view);
-        let mut messages = self.perform(now, node, run, actions, oracle);
-        if self.spreads[node].follows_store() {
-            messages.push(Message::ReadStore { node, run });
+        let actions = self.nodes[node].tick(now, view);
+        let mut messages = self.execute(now, node, incarnation, actions, oracle);
+        if self.nodes[node].follows_store() {
+            messages.push(Message::ReadStore { node, incarnation });
         }
-        // Membership's probes carry the revision in force to one other node at a time.
+        // Membership probes carry the revision in force to one other node at a time.
         self.probes += 1;
-        let target = (node + 1 + self.probes % (NODES - 1)) % NODES;
-        let mark = self.spreads[node].status(now);
-        messages.push(Message::Tell {
+        let target = (node + 1 + self.probes % (NODE_COUNT - 1)) % NODE_COUNT;
+        let status = self.nodes[node].status(now);
+        messages.push(Message::Announcement {
             from: node,
             target,
-            mark,
+            status,
         });
         messages
     }
 
-    /// A node handles a message; returns what it sends.
-    pub fn deliver(
+    /// Handles a message at its recipient. Returns the messages to send.
+    pub fn handle_message(
         &mut self,
         now: Timestamp,
         message: Message,
-        run: u64,
+        incarnation: u64,
         oracle: &mut Oracle,
     ) -> Vec<Message> {
         match message {
-            Message::Ask(pull) => {
-                let mark = self.spreads[pull.target].status(now);
-                vec![Message::Answer(pull, mark)]
+            Message::PullRequest(pull) => {
+                let status = self.nodes[pull.target].status(now);
+                vec![Message::PullAnswer(pull, status)]
             }
-            Message::Answer(pull, mark) => self.answered(now, pull, mark, oracle),
-            Message::Tell { from, target, mark } => {
-                let actions = self.spreads[target].handle_status(now, &peer(from), mark);
-                self.perform(now, target, run, actions, oracle)
+            Message::PullAnswer(pull, status) => self.handle_pull_answer(now, pull, status, oracle),
+            Message::Announcement {
+                from,
+                target,
+                status,
+            } => {
+                let actions = self.nodes[target].handle_status(now, &peer(from), status);
+                self.execute(now, target, incarnation, actions, oracle)
             }
             Message::StoreRead { node, revision, .. } => {
-                let actions = self.spreads[node].handle_store_revision(now, revision);
-                self.perform(now, node, run, actions, oracle)
+                let actions = self.nodes[node].handle_store_revision(now, revision);
+                self.execute(now, node, incarnation, actions, oracle)
             }
             Message::ReadStore { .. } => Vec::new(),
         }
     }
 
-    /// A pull has waited long enough.
+    /// Ends a pull that was not answered within [`Self::pull_timeout`]. Returns the messages to send.
     pub fn time_out(&mut self, now: Timestamp, pull: Pull, oracle: &mut Oracle) -> Vec<Message> {
         if !self.outstanding.remove(&pull) {
             return Vec::new();
         }
         let outcome = PullOutcome::Failed;
-        let actions = self.spreads[pull.node].handle_pull_outcome(now, &peer(pull.target), outcome);
-        self.perform(now, pull.node, pull.run, actions, oracle)
+        let actions = self.nodes[pull.node].handle_pull_outcome(now, &peer(pull.target), outcome);
+        self.execute(now, pull.node, pull.incarnation, actions, oracle)
     }
 
-    /// How long a pull waits.
+    /// Returns how long a pull waits for its answer.
     pub fn pull_timeout() -> Duration {
         DisseminationSettings::default().pull_timeout
     }
 
-    fn answered(
+    fn handle_pull_answer(
         &mut self,
         now: Timestamp,
         pull: Pull,
-        mark: RevisionStatus,
+        status: RevisionStatus,
         oracle: &mut Oracle,
     ) -> Vec<Message> {
-        if self.broken == Some(Rule::Monotonic) && mark.revision > 0 {
-            // Whatever a peer answers is put in force, however old the answer is.
-            oracle.configuration_in_force(pull.node, pull.run, mark.revision);
+        if self.disabled_rule == Some(Rule::Monotonic) && status.revision > 0 {
+            // Puts every revision that a peer answers in force, also one that is older than the current one.
+            oracle.record_configuration_in_force(pull.node, pull.incarnation, status.revision);
         }
         if !self.outstanding.remove(&pull) {
             return Vec::new();
         }
-        let outcome = PullOutcome::Held(mark);
-        let actions = self.spreads[pull.node].handle_pull_outcome(now, &peer(pull.target), outcome);
-        self.perform(now, pull.node, pull.run, actions, oracle)
+        let outcome = PullOutcome::Held(status);
+        let actions = self.nodes[pull.node].handle_pull_outcome(now, &peer(pull.target), outcome);
+        self.execute(now, pull.node, pull.incarnation, actions, oracle)
     }
 
-    fn perform(
+    fn execute(
         &mut self,
         now: Timestamp,
         node: usize,
-        run: u64,
+        incarnation: u64,
         actions: Vec<Action>,
         oracle: &mut Oracle,
     ) -> Vec<Message> {
@@ -257,26 +262,26 @@
                     let number = self.pulls;
                     let pull = Pull {
                         node,
-                        run,
+                        incarnation,
                         number,
                         target,
                     };
                     self.outstanding.insert(pull);
-                    messages.push(Message::Ask(pull));
+                    messages.push(Message::PullRequest(pull));
                 }
                 Action::PutInForce => {
-                    let revision = self.spreads[node].revision_held();
-                    oracle.configuration_in_force(node, run, revision);
-                    let actions = self.spreads[node].handle_put_in_force(revision);
-                    messages.extend(self.perform(now, node, run, actions, oracle));
+                    let revision = self.nodes[node].revision_held();
+                    oracle.record_configuration_in_force(node, incarnation, revision);
+                    let actions = self.nodes[node].handle_put_in_force(revision);
+                    messages.extend(self.execute(now, node, incarnation, actions, oracle));
                 }
                 Action::Announce { peers } => {
-                    let mark = self.spreads[node].status(now);
-                    let told = peers.iter().map(index);
-                    messages.extend(told.map(|target| Message::Tell {
+                    let status = self.nodes[node].status(now);
+                    let targets = peers.iter().map(index);
+                    messages.extend(targets.map(|target| Message::Announcement {
                         from: node,
                         target,
-                        mark,
+                        status,
                     }));
                 }
             }
@@ -284,13 +289,13 @@
         messages
     }
 
-    /// The store's newest revision.
+    /// Returns the newest revision in the store.
     pub fn store_revision(&self) -> u64 {
         self.store_revision
     }
 
-    /// The revision in force at a node.
-    pub fn in_force(&self, node: usize) -> u64 {
-        self.spreads[node].revision_in_force()
+    /// Returns the revision in force at a node.
+    pub fn revision_in_force(&self, node: usize) -> u64 {
+        self.nodes[node].revision_in_force()
     }
 }
--- a/crates/soak/src/engines.rs
+++ b/crates/soak/src/engines.rs
@@ -1,5 +1,5 @@
-//! Engines: the engine model's control side, with requests that come and go. Each effect is
-//! reported to the judge.
+//! Simulated engines: the control side of the engine model, with requests that start and end at random. Every effect is
+//! reported to the oracle.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -10,76 +10,76 @@
 use crate::oracle::Oracle;
 use crate::run::Rule;
 
-/// Most requests in progress at one engine.
+/// Maximum number of requests in progress at one engine.
 const MAX_REQUESTS: u32 = 3;
 
-/// What a node asks of an engine.
+/// A request of a node to an engine.
 #[derive(Debug, Clone)]
 pub enum EngineRequest {
-    /// Its state.
+    /// Reads the state.
     State,
-    /// To raise its fence token.
+    /// Raises the fence token.
     Seal(FenceToken),
-    /// To carry an order out.
+    /// Carries out an order.
     Order(Order),
 }
 
-/// What an engine answers.
+/// An engine's answer.
 #[derive(Debug, Clone)]
 pub enum EngineReply {
-    /// Its state.
+    /// The engine's state.
     State(EngineState),
-    /// Its state after the seal.
+    /// The engine's state after its fence token was raised.
     Sealed(EngineState),
-    /// Its answer to an order.
+    /// The answer to an order.
     Order(OrderReply),
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct Engine {
     index: usize,
     control: Control,
     incarnation: u64,
     requests: u32,
-    broken: Option<Rule>,
+    disabled_rule: Option<Rule>,
 }
 
 impl Engine {
-    /// An engine that has just started.
-    pub fn new(index: usize, broken: Option<Rule>) -> Self {
+    /// Creates an engine that has just started.
+    pub fn new(index: usize, disabled_rule: Option<Rule>) -> Self {
         Self {
             index,
             control: control(index, 1),
             incarnation: 1,
             requests: 0,
-            broken,
+            disabled_rule,
         }
     }
 
-    /// Crashes and starts again.
+    /// Crashes the engine and starts it again.
     pub fn crash(&mut self, oracle: &mut Oracle) {
         self.incarnation += 1;
         self.control = control(self.index, self.incarnation);
         self.requests = 0;
-        oracle.engine_crashes(self.index);
+        oracle.record_engine_crash(self.index);
     }
 
-    /// Ends the order in force if its time has come; requests begin and end.
+    /// Ends the order in force if it is due, then starts and ends requests at random.
     pub fn work(&mut self, now: Timestamp, random: &mut ChaCha8Rng, oracle: &mut Oracle) {
         if self.control.advance(now).is_some() {
-            oracle.change_ends(self.index);
+            oracle.record_change_end(self.index);
         }
         if self.requests > 0 && random.random_bool(0.3) {
             self.requests -= 1;
-            oracle.request_ends(self.index);
+            oracle.record_request_end(self.index);
         }
         if self.control.accepts_work() && self.requests < MAX_REQUESTS && random.random_bool(0.3) {
             self.requests += 1;
-            oracle.request_begins(self.index);
+            oracle.record_request_start(self.index);
         }
     }
 
-    /// Serves a node's request, made under a claim that the judge has numbered.
+    /// Serves a request that a node made under a claim. `claim` is the oracle's number of that claim.
     pub fn serve(
         &mut self,
         now: Timestamp,
@@ -88,14 +88,14 @@
         oracle: &mut Oracle,
     ) -> EngineReply {
         if self.control.advance(now).is_some() {
-            oracle.change_ends(self.index);
+            oracle.record_change_end(self.index);
         }
         match request {
             EngineRequest::State => EngineReply::State(self.state()),
             EngineRequest::Seal(token) => {
                 self.control.seal(token);
                 if token >= self.control.state(0).fence_token {
-                    oracle.claim_reached(self.index, claim);
+                    oracle.record_claim_reached(self.index, claim);
                 }
                 EngineReply::Sealed(self.state())
             }
@@ -110,7 +110,7 @@
     }
 
     fn visible_requests(&self) -> u32 {
-        match self.broken {
+        match self.disabled_rule {
             Some(Rule::Drain) => 0,
             _ => self.requests,
         }
@@ -124,7 +124,7 @@
         oracle: &mut Oracle,
     ) -> OrderReply {
         let before = self.control.state(0);
-        if self.broken == Some(Rule::Fence) {
+        if self.disabled_rule == Some(Rule::Fence) {
             order.fence_token = order.fence_token.max(before.fence_token);
         }
         let changes_role = matches!(order.action, OrderAction::SetRole { .. });
@@ -132,9 +132,9 @@
         let mut after = self.control.state(0);
         after.fence_token = before.fence_token;
         if after != before {
-            oracle.order_took_effect(self.index, claim);
+            oracle.record_order_effect(self.index, claim);
             if changes_role {
-                oracle.change_begins(self.index);
+                oracle.record_change_start(self.index);
             }
         }
         reply
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,65 +1,67 @@
-//! Faults, planned before an episode begins.
+//! The faults of an episode, which are planned before it starts.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 use serde::Serialize;
 use tansyhall_core::{Duration, Timestamp};
 
-use crate::cluster::{ENGINES, NODES};
+use crate::cluster::{ENGINE_COUNT, NODE_COUNT};
 
-/// Faults in an episode.
-const FAULTS: usize = 24;
-/// Longest pause of a node, and longest outage or partition, in milliseconds.
-const LONGEST_MILLIS: u64 = 15_000;
+/// Number of faults in an episode.
+const FAULTS_PER_EPISODE: usize = 24;
+/// Maximum duration of a pause, outage or partition, in milliseconds.
+const MAX_FAULT_MILLIS: u64 = 15_000;
 
-/// What kind of thing goes wrong.
+/// The kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A node is killed and started again; it keeps nothing.
+    /// A node is killed and started again without any of its state.
     Kill,
-    /// A node is paused, and wakes.
+    /// A node is paused and continues later.
     Pause,
     /// A node is cut off from the store, the engines and the other nodes.
     Partition,
-    /// The store answers nobody.
+    /// The store answers no node.
     Outage,
-    /// The store's next answers are lost, after the writes took effect.
+    /// The next answers of the store are lost after it has executed the requests.
     LostAnswers,
     /// An engine crashes and starts again.
     EngineCrash,
-    /// An operator asks for another role of an engine, perhaps while a change is under way.
+    /// An operator requests another role for an engine, possibly while a change is in progress.
     OperatorChange,
 }
 
-/// One fault.
+/// A fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// Its kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// The node or engine it strikes.
+    /// Index of the node or engine that is affected.
     pub target: usize,
-    /// How long it lasts, if it lasts.
+    /// Duration of the fault. Ignored for kinds that have no duration.
     pub lasts: Duration,
 }
 
-/// A fault and when it strikes.
+/// A fault and the time at which it occurs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct PlannedFault {
-    /// Microseconds since the episode's start.
+    /// Time since the start of the episode, in microseconds.
     pub at_micros: u64,
     /// The fault.
     pub fault: Fault,
 }
 
-/// Plans an episode's faults, in order of time.
-pub fn plan(random: &mut ChaCha8Rng, length: Duration) -> Vec<PlannedFault> {
-    let mut faults: Vec<PlannedFault> = (0..FAULTS).map(|_| planned(random, length)).collect();
+/// Plans the faults of an episode, ordered by time.
+pub fn plan_faults(random: &mut ChaCha8Rng, length: Duration) -> Vec<PlannedFault> {
+    let mut faults: Vec<PlannedFault> = (0..FAULTS_PER_EPISODE)
+        .map(|_| random_fault(random, length))
+        .collect();
     faults.sort_by_key(|planned| planned.at_micros);
     faults
 }
 
-fn planned(random: &mut ChaCha8Rng, length: Duration) -> PlannedFault {
+fn random_fault(random: &mut ChaCha8Rng, length: Duration) -> PlannedFault {
     let kind = match random.random_range(0..10) {
         0 => FaultKind::Kill,
         1 => FaultKind::Pause,
@@ -70,11 +72,11 @@
         _ => FaultKind::OperatorChange,
     };
     let targets = match kind {
-        FaultKind::EngineCrash | FaultKind::OperatorChange => ENGINES,
-        _ => NODES,
+        FaultKind::EngineCrash | FaultKind::OperatorChange => ENGINE_COUNT,
+        _ => NODE_COUNT,
     };
     let at = Timestamp::default() + length.mul_f64(random.random_range(0.0..1.0));
-    let lasts = Duration::from_millis(random.random_range(1..LONGEST_MILLIS));
+    let lasts = Duration::from_millis(random.random_range(1..MAX_FAULT_MILLIS));
     PlannedFault {
         at_micros: at.0,
         fault: Fault {
--- a/crates/soak/src/journal.rs
+++ b/crates/soak/src/journal.rs
@@ -1,5 +1,5 @@
-//! Requests that are not repeatable, each tried through two nodes, with the journal's replicas on
-//! the nodes and its views in the store.
+//! Callers' requests that are not repeatable. Each is attempted through two nodes. The journal has its replicas on the
+//! nodes and its views in the store.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -9,48 +9,48 @@
     ReplicaLimits, View, ViewChange, ViewNumber, VoteReply, VIEW_SIZE,
 };
 
-use crate::cluster::NODES;
+use crate::cluster::NODE_COUNT;
 use crate::oracle::Oracle;
 use crate::run::Rule;
 
-/// Part of the permitted requests that no back end takes.
-const NOT_TAKEN: f64 = 0.2;
-/// Part of the messages of a change of view that are lost.
-const CHANGE_LOSS: f64 = 0.2;
+/// Probability that no back end accepts a request that is permitted to run.
+const NO_BACKEND_PROBABILITY: f64 = 0.2;
+/// Probability that a message of a view change is lost, and that the view change is abandoned after a step.
+const VIEW_CHANGE_LOSS_PROBABILITY: f64 = 0.2;
 
 /// A request for a vote.
 #[derive(Debug, Clone, Copy)]
 pub struct VoteRequest {
-    /// The try.
+    /// Index of the attempt.
     pub attempt: usize,
-    /// The node asked.
+    /// The node that is asked.
     pub target: usize,
     /// The view in which the vote counts.
     pub view: ViewNumber,
 }
 
-struct Slip {
-    number: u64,
+struct CallerAttempt {
+    request: u64,
     node: usize,
-    run: u64,
+    incarnation: u64,
     attempt: Attempt,
-    told: bool,
+    is_decided: bool,
 }
 
-/// Every try and replica.
+/// All attempts and replicas, and the views.
 pub struct Journal {
     replicas: Vec<Replica>,
     active: View,
     prepared: Option<View>,
     change: Option<ViewChange>,
-    slips: Vec<Slip>,
-    broken: Option<Rule>,
+    attempts: Vec<CallerAttempt>,
+    disabled_rule: Option<Rule>,
 }
 
-fn replica(node: usize, run: u64) -> Replica {
+fn replica(node: usize, incarnation: u64) -> Replica {
     let member = Member {
         node: format!("node-{node}").as_str().into(),
-        incarnation: Incarnation(run),
+        incarnation: Incarnation(incarnation),
     };
     let limits = ReplicaLimits {
         max_records: 100_000,
@@ -60,9 +60,9 @@
 }
 
 impl Journal {
-    /// Replicas on every node; the first three vote.
-    pub fn new(broken: Option<Rule>) -> Self {
-        let mut replicas: Vec<Replica> = (0..NODES).map(|node| replica(node, 1)).collect();
+    /// Creates a replica on every node. The first three vote.
+    pub fn new(disabled_rule: Option<Rule>) -> Self {
+        let mut replicas: Vec<Replica> = (0..NODE_COUNT).map(|node| replica(node, 1)).collect();
         let members: [Member; VIEW_SIZE] =
             std::array::from_fn(|node| replicas[node].member().clone());
         let active = View {
@@ -77,15 +77,15 @@
             active,
             prepared: None,
             change: None,
-            slips: Vec::new(),
-            broken,
+            attempts: Vec::new(),
+            disabled_rule,
         }
     }
 
-    /// A node restarts; its replica knows nothing.
-    pub fn restart(&mut self, now: Timestamp, node: usize, run: u64) {
-        if self.broken != Some(Rule::Journal) {
-            self.replicas[node] = replica(node, run);
+    /// Restarts a node, whose replica loses its records.
+    pub fn restart(&mut self, now: Timestamp, node: usize, incarnation: u64) {
+        if self.disabled_rule != Some(Rule::Journal) {
+            self.replicas[node] = replica(node, incarnation);
             return;
         }
         let incarnation = self.replicas[node].member().incarnation;
@@ -93,21 +93,26 @@
         self.replicas[node].install(now, &self.active, &Records::default());
     }
 
-    /// A try of a request begins at a node; returns the votes to ask for.
-    pub fn begin(&mut self, number: u64, node: usize, run: u64) -> Vec<VoteRequest> {
-        let index = self.slips.len();
+    /// Begins an attempt at a request at a node. Returns the requests for votes to send.
+    pub fn begin_attempt(
+        &mut self,
+        request: u64,
+        node: usize,
+        incarnation: u64,
+    ) -> Vec<VoteRequest> {
+        let index = self.attempts.len();
         let id = AttemptId(RequestId(index as u128));
-        let key = RecordKey(format!("slip-{number}"));
+        let key = RecordKey(format!("slip-{request}"));
         let attempt = Attempt::new(key, id, KeyOrigin::Caller, self.active.clone());
-        self.slips.push(Slip {
-            number,
+        self.attempts.push(CallerAttempt {
+            request,
             node,
-            run,
+            incarnation,
             attempt,
-            told: false,
+            is_decided: false,
         });
         let view = self.active.number;
-        (0..NODES)
+        (0..NODE_COUNT)
             .filter(|target| self.active.has(self.replicas[*target].member()))
             .map(|target| VoteRequest {
                 attempt: index,
@@ -117,26 +122,29 @@
             .collect()
     }
 
-    /// A replica answers a request for its vote.
+    /// Returns a replica's answer to a request for its vote, and the member that answers.
     pub fn vote(&mut self, now: Timestamp, request: VoteRequest) -> (Member, VoteReply) {
-        let attempt = &self.slips[request.attempt].attempt;
+        let attempt = &self.attempts[request.attempt].attempt;
         let replica = &mut self.replicas[request.target];
         let reply = replica.vote(now, request.view, attempt.key(), attempt.id());
         (replica.member().clone(), reply)
     }
 
-    /// Tries begun so far.
-    pub fn attempts(&self) -> usize {
-        self.slips.len()
+    /// Returns the number of attempts begun so far.
+    pub fn attempt_count(&self) -> usize {
+        self.attempts.len()
     }
 
-    /// The node that a try belongs to, and its run.
+    /// Returns the node that makes an attempt, and the incarnation in which it began the attempt.
     pub fn owner(&self, attempt: usize) -> (usize, u64) {
-        (self.slips[attempt].node, self.slips[attempt].run)
+        (
+            self.attempts[attempt].node,
+            self.attempts[attempt].incarnation,
+        )
     }
 
-    /// A vote arrives at the try.
-    pub fn voted(
+    /// Handles a vote that arrives at the node of an attempt.
+    pub fn handle_vote_reply(
         &mut self,
         request: VoteRequest,
         member: &Member,
@@ -144,47 +152,55 @@
         random: &mut ChaCha8Rng,
         oracle: &mut Oracle,
     ) {
-        let slip = &mut self.slips[request.attempt];
-        if slip.told {
+        let caller_attempt = &mut self.attempts[request.attempt];
+        if caller_attempt.is_decided {
             return;
         }
-        match slip.attempt.handle_reply(member, request.view, reply) {
+        match caller_attempt
+            .attempt
+            .handle_reply(member, request.view, reply)
+        {
             None => {}
-            Some(Decision::Run) if random.random_bool(NOT_TAKEN) => {
-                let decision = slip.attempt.cancel_run();
-                self.tell(request.attempt, decision, oracle);
+            Some(Decision::Run) if random.random_bool(NO_BACKEND_PROBABILITY) => {
+                let decision = caller_attempt.attempt.cancel_run();
+                self.report_decision(request.attempt, decision, oracle);
             }
             Some(Decision::Run) => {
-                slip.told = true;
-                oracle.slip_runs(slip.number);
+                caller_attempt.is_decided = true;
+                oracle.record_caller_request_run(caller_attempt.request);
             }
-            Some(decision) => self.tell(request.attempt, decision, oracle),
+            Some(decision) => self.report_decision(request.attempt, decision, oracle),
         }
     }
 
-    /// The try waits no longer.
+    /// Ends an attempt that is not decided yet.
     pub fn time_out(&mut self, attempt: usize, oracle: &mut Oracle) {
-        if !self.slips[attempt].told {
-            let decision = self.slips[attempt].attempt.give_up();
-            self.tell(attempt, decision, oracle);
+        if !self.attempts[attempt].is_decided {
+            let decision = self.attempts[attempt].attempt.give_up();
+            self.report_decision(attempt, decision, oracle);
         }
     }
 
-    fn tell(&mut self, attempt: usize, decision: Decision, oracle: &mut Oracle) {
-        let slip = &mut self.slips[attempt];
-        slip.told = true;
-        if decision == Decision::NotRun || self.broken == Some(Rule::Verdict) {
-            oracle.told_not_run(slip.number);
+    fn report_decision(&mut self, attempt: usize, decision: Decision, oracle: &mut Oracle) {
+        let caller_attempt = &mut self.attempts[attempt];
+        caller_attempt.is_decided = true;
+        if decision == Decision::NotRun || self.disabled_rule == Some(Rule::Verdict) {
+            oracle.record_not_run_report(caller_attempt.request);
         }
-        if slip.attempt.must_release() {
+        if caller_attempt.attempt.must_release() {
             for replica in &mut self.replicas {
-                replica.release(slip.attempt.key(), slip.attempt.id());
+                replica.release(caller_attempt.attempt.key(), caller_attempt.attempt.id());
             }
         }
     }
 
-    /// One step of a change of view, if one is due; its messages may be lost.
-    pub fn maintain(&mut self, now: Timestamp, reachable: &[bool], random: &mut ChaCha8Rng) {
+    /// Performs one step of a view change if one is due. Messages of the step may be lost.
+    pub fn advance_view_change(
+        &mut self,
+        now: Timestamp,
+        reachable: &[bool],
+        random: &mut ChaCha8Rng,
+    ) {
         if self.change.is_none() && !self.prepare() {
             return;
         }
@@ -199,7 +215,7 @@
             return;
         }
         for (replica, reachable) in self.replicas.iter_mut().zip(reachable) {
-            if !reachable || random.random_bool(CHANGE_LOSS) {
+            if !reachable || random.random_bool(VIEW_CHANGE_LOSS_PROBABILITY) {
                 continue;
             }
             let member = replica.member().clone();
@@ -214,18 +230,18 @@
                 _ => {}
             }
         }
-        if random.random_bool(CHANGE_LOSS) {
+        if random.random_bool(VIEW_CHANGE_LOSS_PROBABILITY) {
             self.change = None;
         }
     }
 
     fn prepare(&mut self) -> bool {
-        let present = |member: &Member| self.replicas.iter().any(|r| r.member() == member);
-        if self.prepared.is_none() && self.active.members.iter().all(present) {
+        let is_present = |member: &Member| self.replicas.iter().any(|r| r.member() == member);
+        if self.prepared.is_none() && self.active.members.iter().all(is_present) {
             return false;
         }
         if self.prepared.is_none() {
-            // Members that are still there first, then the others.
+            // Members of the active view that are still present come first, then the others.
             let mut members: Vec<Member> =
                 self.replicas.iter().map(|r| r.member().clone()).collect();
             members.sort_by_key(|member| !self.active.has(member));
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,9 @@
-//! Nodes, a store, engines and journal replicas in virtual time, under random faults, judged by an
-//! oracle that shares no code with the mechanisms. The nodes run the real lease keeper, claims,
-//! orders, attempts, changes of view and spread of configurations; the engines are the engine model's control side.
+//! Simulation of nodes, a store, engines and journal replicas in virtual time under random faults. An oracle that shares
+//! no code with the mechanisms checks the result. The nodes run the lease holder, pool claim, engine orders, attempts,
+//! view changes and configuration dissemination of the product. The engines are the control side of the engine model.
 //!
-//! An episode is decided by its seed and its list of faults, so a failing one can be run again with
-//! fewer faults until no fault can be dropped.
+//! An episode is determined by its seed and its list of faults, so a failing episode can be run again with fewer faults
+//! until no fault can be removed.
 
 #![forbid(unsafe_code)]
 
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,27 +1,27 @@
-//! The judge. It numbers claims itself as the store takes them, counts requests at engines itself,
-//! and never looks at tokens, leases, records or views.
+//! The oracle. It relies on its own numbers of the claims, in the order in which the store accepts them, and on its own
+//! counts of requests at engines. It never reads tokens, leases, records or views.
 
 use std::collections::HashMap;
 
 use serde::Serialize;
 
-/// A point of the users' list that did not hold.
+/// A required property that did not hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Violation {
-    /// An engine held two orders at once.
+    /// An engine carried out two orders at the same time.
     ConflictingOrders,
-    /// A change of role cut a request.
+    /// A change of role interrupted a request.
     RequestCut,
-    /// An order of an earlier claim took effect after a later claim had reached the engine.
+    /// An order of an earlier claim took effect after the holder of a later claim had reached the engine.
     StaleOrder,
     /// A request that is not repeatable ran twice.
     RanTwice,
-    /// A caller was told that a request was not run, though it was.
+    /// A request was reported as not run to its caller, although it had run.
     FalseNotRun,
-    /// A node put an older configuration in force after a newer one.
+    /// A node replaced the configuration in force with an older one.
     ConfigurationReverted,
-    /// A configuration did not come into force everywhere in time, with nothing in its way.
+    /// A configuration was not in force at every node in time, although no fault prevented it.
     ConfigurationLate,
 }
 
@@ -32,18 +32,18 @@
     requests: u32,
 }
 
-/// How much happened, to show that an episode without a violation was not an idle one.
+/// Counts of what happened, which show that an episode without a violation exercised the mechanisms.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Activity {
     /// Orders that took effect.
     pub orders: u64,
-    /// Changes of role carried out to their end.
+    /// Changes of role that were completed.
     pub role_changes: u64,
-    /// Requests that are not repeatable and ran.
+    /// Runs of requests that are not repeatable.
     pub slips_run: u64,
-    /// Callers told that a request was not run.
+    /// Reports to callers that a request was not run.
     pub told_not_run: u64,
-    /// Configurations put in force, at any node.
+    /// Times that any node put a configuration in force.
     pub configurations: u64,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// What the judge knows.
+/// The state of the oracle.
 #[derive(Debug, Default)]
 pub struct Oracle {
     activity: Activity,
@@ -68,24 +68,24 @@
 }
 
 impl Oracle {
-    /// What did not hold.
+    /// Returns the violations found so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// What happened.
+    /// Returns counts of what happened so far.
     pub fn activity(&self) -> Activity {
         self.activity
     }
 
-    /// A claim's holder has reached an engine.
-    pub fn claim_reached(&mut self, engine: usize, claim: u64) {
+    /// Records that the holder of a claim has reached an engine.
+    pub fn record_claim_reached(&mut self, engine: usize, claim: u64) {
         let view = self.engines.entry(engine).or_default();
         view.newest_claim = view.newest_claim.max(claim);
     }
 
-    /// An order of this claim took effect at an engine.
-    pub fn order_took_effect(&mut self, engine: usize, claim: u64) {
+    /// Records that an order of a claim took effect at an engine.
+    pub fn record_order_effect(&mut self, engine: usize, claim: u64) {
         self.activity.orders += 1;
         let view = self.engines.entry(engine).or_default();
         if claim < view.newest_claim {
@@ -94,8 +94,8 @@
         view.newest_claim = view.newest_claim.max(claim);
     }
 
-    /// A change of role begins.
-    pub fn change_begins(&mut self, engine: usize) {
+    /// Records that a change of role starts at an engine.
+    pub fn record_change_start(&mut self, engine: usize) {
         let view = self.engines.entry(engine).or_default();
         if view.change_in_force {
             self.violations.push(Violation::ConflictingOrders);
@@ -106,8 +106,8 @@
         view.change_in_force = true;
     }
 
-    /// A change of role ends.
-    pub fn change_ends(&mut self, engine: usize) {
+    /// Records that a change of role ends at an engine.
+    pub fn record_change_end(&mut self, engine: usize) {
         let view = self.engines.entry(engine).or_default();
         self.activity.role_changes += u64::from(view.change_in_force);
         if view.requests > 0 {
@@ -116,27 +116,28 @@
         view.change_in_force = false;
     }
 
-    /// A request begins at an engine.
-    pub fn request_begins(&mut self, engine: usize) {
+    /// Records that a request starts at an engine.
+    pub fn record_request_start(&mut self, engine: usize) {
         self.engines.entry(engine).or_default().requests += 1;
     }
 
-    /// A request ends at an engine.
-    pub fn request_ends(&mut self, engine: usize) {
+    /// Records that a request ends at an engine.
+    pub fn record_request_end(&mut self, engine: usize) {
         let view = self.engines.entry(engine).or_default();
         view.requests = view.requests.saturating_sub(1);
     }
 
-    /// An engine crashes: its requests and its change are gone, which no plan caused.
-    pub fn engine_crashes(&mut self, engine: usize) {
+    /// Records that an engine crashes. The loss of its requests and its change is not a violation, because no
+    /// planned change caused it.
+    pub fn record_engine_crash(&mut self, engine: usize) {
         let view = self.engines.entry(engine).or_default();
         view.requests = 0;
         view.change_in_force = false;
     }
 
-    /// A request that is not repeatable runs.
-    pub fn slip_runs(&mut self, slip: u64) {
-        let runs = self.runs.entry(slip).or_default();
+    /// Records that a request that is not repeatable runs.
+    pub fn record_caller_request_run(&mut self, request: u64) {
+        let runs = self.runs.entry(request).or_default();
         *runs += 1;
         self.activity.slips_run += 1;
         if *runs > 1 {
@@ -144,27 +145,27 @@
         }
     }
 
-    /// A caller is told that a request was not run.
-    pub fn told_not_run(&mut self, slip: u64) {
+    /// Records that a request is reported as not run to its caller.
+    pub fn record_not_run_report(&mut self, request: u64) {
         self.activity.told_not_run += 1;
-        if self.runs.get(&slip).is_some_and(|runs| *runs > 0) {
+        if self.runs.get(&request).is_some_and(|runs| *runs > 0) {
             self.violations.push(Violation::FalseNotRun);
         }
     }
 
-    /// One run of a node puts a configuration in force.
-    pub fn configuration_in_force(&mut self, node: usize, run: u64, revision: u64) {
+    /// Records that one incarnation of a node puts a configuration in force.
+    pub fn record_configuration_in_force(&mut self, node: usize, incarnation: u64, revision: u64) {
         self.activity.configurations += 1;
-        let newest = self.in_force.entry((node, run)).or_default();
+        let newest = self.in_force.entry((node, incarnation)).or_default();
         if revision < *newest {
             self.violations.push(Violation::ConfigurationReverted);
         }
         *newest = revision.max(*newest);
     }
 
-    /// Nothing has been in the way of a configuration for long enough, and a node still has an
-    /// older one in force.
-    pub fn configuration_late(&mut self) {
+    /// Records that a node still has an older configuration in force, although no fault has prevented the newest one for
+    /// long enough.
+    pub fn record_late_configuration(&mut self) {
         self.violations.push(Violation::ConfigurationLate);
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Episodes one after the other, and the shrinking of one that fails.
+//! Runs episodes in sequence, and shrinks the fault list of a failing one.
 
 use std::collections::BTreeMap;
 
@@ -8,29 +8,29 @@
 use tansyhall_core::{Duration, Timestamp};
 
 use crate::cluster::Cluster;
-use crate::faults::{plan, FaultKind, PlannedFault};
+use crate::faults::{plan_faults, FaultKind, PlannedFault};
 use crate::oracle::{Activity, Violation};
 
-/// Virtual time of an episode.
-const EPISODE: Duration = Duration::from_secs(120);
+/// Duration of an episode in virtual time.
+const EPISODE_DURATION: Duration = Duration::from_secs(120);
 
-/// A mechanism that can be switched off, to show that the judge can find a fault.
+/// A rule of the mechanisms that can be disabled, to show that the oracle detects the resulting fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// Engines refuse stale tokens.
+    /// Engines reject stale fence tokens.
     Fence,
-    /// Changes wait for requests in progress.
+    /// Changes wait until no request is in progress.
     Drain,
-    /// A restarted replica is no member of its view.
+    /// A restarted replica is not a member of the view any more.
     Journal,
-    /// Without a quorum the verdict is not `not-run`.
+    /// Without a quorum, a request is not reported as `not-run`.
     Verdict,
     /// An older configuration never replaces a newer one.
     Monotonic,
 }
 
 impl Rule {
-    /// Every rule.
+    /// All rules.
     pub const ALL: [Rule; 5] = [
         Rule::Fence,
         Rule::Drain,
@@ -39,7 +39,7 @@
         Rule::Monotonic,
     ];
 
-    /// The rule's name on the command line.
+    /// Returns the name of the rule on the command line.
     pub const fn name(self) -> &'static str {
         match self {
             Rule::Fence => "fence",
@@ -51,25 +51,25 @@
     }
 }
 
-/// How an episode went.
+/// The result of an episode.
 #[derive(Debug, Clone)]
 pub struct Episode {
-    /// Its seed.
+    /// Seed of the episode.
     pub seed: u64,
-    /// Its faults.
+    /// Faults of the episode.
     pub faults: Vec<PlannedFault>,
-    /// Events handled.
+    /// Number of events handled.
     pub steps: u64,
-    /// What happened.
+    /// Counts of what happened.
     pub activity: Activity,
-    /// What did not hold; the episode ended there.
+    /// The violation that ended the episode, if any.
     pub violation: Option<Violation>,
 }
 
-/// Runs an episode with these faults.
-pub fn run_episode(seed: u64, faults: &[PlannedFault], broken: Option<Rule>) -> Episode {
-    let mut cluster = Cluster::new(seed, faults, broken);
-    let steps = cluster.run(Timestamp::default() + EPISODE);
+/// Runs an episode with `faults`.
+pub fn run_episode(seed: u64, faults: &[PlannedFault], disabled_rule: Option<Rule>) -> Episode {
+    let mut cluster = Cluster::new(seed, faults, disabled_rule);
+    let steps = cluster.run(Timestamp::default() + EPISODE_DURATION);
     Episode {
         seed,
         faults: faults.to_vec(),
@@ -79,16 +79,16 @@
     }
 }
 
-/// Drops faults for as long as the same violation remains.
-pub fn shrink(failed: &Episode, broken: Option<Rule>) -> Episode {
+/// Removes every fault without which the episode still ends with the same violation.
+pub fn shrink(failed: &Episode, disabled_rule: Option<Rule>) -> Episode {
     let mut smallest = failed.clone();
     let mut index = 0;
     while index < smallest.faults.len() {
         let mut faults = smallest.faults.clone();
         faults.remove(index);
-        let tried = run_episode(failed.seed, &faults, broken);
-        if tried.violation == failed.violation {
-            smallest = tried;
+        let candidate = run_episode(failed.seed, &faults, disabled_rule);
+        if candidate.violation == failed.violation {
+            smallest = candidate;
         } else {
             index += 1;
         }
@@ -96,39 +96,39 @@
     smallest
 }
 
-/// What a soak found.
+/// The result of a soak.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Report {
-    /// The first episode's seed; each further one has the next.
+    /// Seed of the first episode. Each further episode uses the next number.
     pub seed: u64,
-    /// Episodes run.
+    /// Number of episodes run.
     pub episodes: u64,
-    /// Events handled.
+    /// Number of events handled.
     pub steps: u64,
-    /// Faults planned in the episodes.
+    /// Number of faults planned in all episodes.
     pub faults: u64,
-    /// Faults by kind.
+    /// Number of planned faults by kind.
     pub faults_by_kind: BTreeMap<FaultKind, u64>,
-    /// What happened.
+    /// Counts of what happened.
     pub activity: Activity,
-    /// Episodes that ended with a violation.
+    /// Number of episodes that ended with a violation.
     pub violations: u64,
 }
 
-/// Runs episodes while `go_on` says so; returns at the first that fails, shrunk.
+/// Runs episodes while `should_continue` returns true and none fails. Returns the failing episode, shrunk, if any.
 pub fn soak(
     seed: u64,
-    broken: Option<Rule>,
-    mut go_on: impl FnMut(&Report) -> bool,
+    disabled_rule: Option<Rule>,
+    mut should_continue: impl FnMut(&Report) -> bool,
 ) -> (Report, Option<Episode>) {
     let mut report = Report {
         seed,
         ..Report::default()
     };
-    while go_on(&report) {
+    while should_continue(&report) {
         let seed = seed.wrapping_add(report.episodes);
-        let faults = plan(&mut ChaCha8Rng::seed_from_u64(seed), EPISODE);
-        let episode = run_episode(seed, &faults, broken);
+        let faults = plan_faults(&mut ChaCha8Rng::seed_from_u64(seed), EPISODE_DURATION);
+        let episode = run_episode(seed, &faults, disabled_rule);
         report.episodes += 1;
         report.steps += episode.steps;
         report.activity += episode.activity;
@@ -138,7 +138,7 @@
         }
         if episode.violation.is_some() {
             report.violations += 1;
-            return (report, Some(shrink(&episode, broken)));
+            return (report, Some(shrink(&episode, disabled_rule)));
         }
     }
     (report, None)
--- a/crates/soak/src/store.rs
+++ b/crates/soak/src/store.rs
@@ -1,12 +1,12 @@
-//! The store: leases, and the pool's one key, created by compare-and-swap. A stand-in of the
-//! platform's service, without its own faults; the cluster adds those.
+//! A simulated store: leases, and the single key of the pool, which is created by compare-and-swap. It stands in for the
+//! platform's store and has no faults itself. The cluster adds those.
 
 use std::collections::HashMap;
 
 use tansyhall_authority::{ClaimRecord, Epoch, Lease};
 use tansyhall_core::{Duration, Timestamp};
 
-/// The pool's key.
+/// The key of the pool.
 #[derive(Debug, Clone, Copy)]
 struct Key {
     lease: i64,
@@ -14,35 +14,35 @@
     claim: u64,
 }
 
-/// What a node asks of the store.
+/// A request of a node to the store.
 #[derive(Debug, Clone, Copy)]
 pub enum StoreRequest {
-    /// A new lease.
+    /// Grants a lease with this time to live.
     Grant(Duration),
-    /// Another term of a lease.
+    /// Renews a lease.
     Renew(Lease),
-    /// Create the key, attached to a lease.
+    /// Creates the key, attached to a lease.
     Create(Lease),
-    /// Read the key.
+    /// Reads the key.
     Read,
 }
 
-/// What the store answers.
+/// The store's answer to a request.
 #[derive(Debug, Clone, Copy)]
 pub enum StoreReply {
-    /// The lease.
+    /// The lease was granted with this time to live.
     Granted(Lease, Duration),
-    /// The lease goes on.
+    /// The lease was renewed with this time to live.
     Renewed(Duration),
-    /// The lease is gone.
+    /// The lease has lapsed.
     Lapsed,
-    /// The key was created, or existed.
+    /// The key was created, or the request had no effect: the key existed, or the lease had lapsed.
     Created,
-    /// The key, and the judge's number of the claim.
+    /// The claim record in the key and the oracle's number of the claim, or `None` if the key is absent.
     Read(Option<(ClaimRecord, u64)>),
 }
 
-/// The store's state.
+/// The state of the store.
 #[derive(Debug, Default)]
 pub struct Store {
     leases: HashMap<i64, (Timestamp, Duration)>,
@@ -76,7 +76,7 @@
                 }
                 StoreReply::Created
             }
-            StoreRequest::Read => StoreReply::Read(self.key.map(read)),
+            StoreRequest::Read => StoreReply::Read(self.key.map(read_key)),
         }
     }
 
@@ -102,7 +102,7 @@
     }
 }
 
-fn read(key: Key) -> (ClaimRecord, u64) {
+fn read_key(key: Key) -> (ClaimRecord, u64) {
     let record = ClaimRecord {
         lease: Lease(key.lease),
         epoch: Epoch(key.revision),
