--- a/spec/authority.pml
+++ b/spec/authority.pml
@@ -1,31 +1,31 @@
 /* Authority over one pool, and orders to one of its engines.
  *
- * Two nodes compete for the pool's key in the store. Leases lapse, answers to writes are lost,
- * nodes restart and keep nothing, and any process may be paused at any point (interleaving). Orders
- * travel over a link that delays, reorders, loses and duplicates. The engine may crash at any
- * point, also halfway through a change; it comes back as a new incarnation with an empty fence
- * register. Time is not modelled: a lease lapses at any moment, and a node's own check of its lease
- * can be followed by a pause of any length before the order leaves.
+ * Two nodes compete for the key of the pool in the store. Leases lapse, answers to writes are lost, nodes
+ * restart without any state, and every process may pause at any point (interleaving). Orders are sent over
+ * a link that delays, reorders, loses and duplicates them. The engine may crash at any point, including
+ * during a change. It restarts as a new incarnation with an empty fence register. Time is not modelled: a
+ * lease may lapse at any moment, and a node may pause for any time between the check of its lease and the
+ * sending of the order.
  *
- * Each safety rule is a macro-guarded line. Defining NO_<RULE> drops it, and spec/check demands a
+ * Each safety rule is guarded by a macro. Defining NO_<RULE> disables the rule, and spec/check requires a
  * counterexample for each.
  */
 
 #ifndef CLAIMS
-#define CLAIMS 2        /* tokens that the store hands out */
+#define CLAIMS 2        /* claims (epochs) that the store grants */
 #endif
 #ifndef CRASHES
 #define CRASHES 1       /* crashes of the engine */
 #endif
 #ifndef LINK
-#define LINK 2          /* orders on their way at once */
+#define LINK 2          /* maximum number of orders in transit */
 #endif
 #define LEASES (CLAIMS + 1)
-#define SEQUENCES 8     /* orders below one token; also the base of the fence register */
+#define SEQUENCES 8     /* bound on the sequence numbers of an epoch; also the factor of the epoch in the fence register */
 
 mtype = { none, drain, change, resume };
 
-/* The store: leases, and one key that vanishes with its lease. */
+/* The store: leases, and one key that is deleted when its lease lapses. */
 bool live[LEASES + 1];
 byte leases = 0;
 byte revision = 0;
@@ -42,12 +42,12 @@
 mtype running = none;
 byte running_fence = 0;
 byte running_target = 0;
-byte last_fence = 0;    /* the identifier of the last order carried out */
+byte last_fence = 0;    /* identifier of the last order that took effect */
 
-/* What only the properties read. */
-byte in_force = 0;      /* changes being carried out */
-byte newest_epoch = 0;  /* the newest token the engine has learnt of, over all incarnations */
-byte newest_effect = 0; /* the newest order that took effect */
+/* Variables that only the assertions read. */
+byte in_force = 0;      /* number of changes in progress */
+byte newest_epoch = 0;  /* highest epoch that any incarnation of the engine has received */
+byte newest_effect = 0; /* highest identifier of an order that took effect */
 
 /* epoch, sequence, incarnation, action, target */
 chan link = [LINK] of { byte, byte, byte, mtype, byte };
@@ -89,7 +89,7 @@
     fi
 }
 
-/* Control::order: refuses what is stale, ignores repeats, holds one order at a time. */
+/* Control::order: refuses stale orders, ignores repeated ones, and executes one order at a time. */
 inline take_order(o_epoch, o_sequence, o_incarnation, o_action, o_target) {
     if
 #ifndef NO_FENCE
@@ -111,17 +111,17 @@
         :: o_action == change && requests > 0 -> skip
 #endif
         :: else ->
-            /* An order from a process that lost its authority has no effect. */
+            /* An order from a process that has lost its authority has no effect. */
             assert(o_epoch >= newest_epoch);
-            /* Orders take effect once each, in the order in which they were given. */
+            /* Each order takes effect at most once, and orders take effect in the sequence of their identifiers. */
             assert(IDENTIFIER(o_epoch, o_sequence) > newest_effect);
             newest_effect = IDENTIFIER(o_epoch, o_sequence);
             learn_epoch(o_epoch);
             if
             :: o_action == change ->
-                /* An engine never holds two conflicting orders. */
+                /* An engine never executes two conflicting orders. */
                 assert(in_force == 0);
-                /* No request is cut by a planned change. */
+                /* A planned change interrupts no request. */
                 assert(requests == 0);
                 in_force++;
                 running = change;
@@ -142,11 +142,11 @@
     mtype action;
 end:
     do
-    /* An order is overtaken by the next. */
+    /* An order is overtaken by the next one. */
     :: atomic { len(link) > 1 -> link?epoch, sequence, meant_for, action, target;
         link!epoch, sequence, meant_for, action, target;
         epoch = 0; sequence = 0; meant_for = 0; target = 0; action = none }
-    /* An order arrives, and may arrive again. */
+    /* An order arrives and may be delivered again. */
     :: atomic { link?epoch, sequence, meant_for, action, target ->
         take_order(epoch, sequence, meant_for, action, target);
         epoch = 0; sequence = 0; meant_for = 0; target = 0; action = none }
@@ -156,7 +156,7 @@
     /* An order is lost. */
     :: atomic { link?epoch, sequence, meant_for, action, target ->
         epoch = 0; sequence = 0; meant_for = 0; target = 0; action = none }
-    /* The change ends. */
+    /* A change ends. */
     :: atomic { running != none ->
         assert(requests == 0);
         role = running_target;
@@ -167,7 +167,7 @@
     :: atomic { requests == 0 && ACCEPTS_WORK -> requests++ }
     /* A request ends. */
     :: atomic { requests > 0 -> requests-- }
-    /* The engine crashes, perhaps halfway through a change. */
+    /* The engine crashes, possibly during a change. */
     :: atomic { crashes < CRASHES ->
         crashes++; incarnation++;
         fence = 0; draining = false; role = 0; requests = 0;
@@ -178,7 +178,7 @@
 
 #define LAPSE(lease) atomic { live[lease] -> live[lease] = false; if :: key_lease == lease -> key_lease = 0; key_owner = 0; key_epoch = 0 :: else -> skip fi }
 
-/* A lease lapses; the key attached to it goes with it. */
+/* A lease lapses, and the key attached to it is deleted. */
 active proctype Lapse() {
 end:
     do
@@ -193,30 +193,30 @@
 
 proctype Holder(byte me) {
     byte lease = 0, epoch = 0, sequence = 0;
-    byte sealed = 0;            /* the incarnation that was sealed */
-    byte seen = 0;              /* the incarnation that was read */
+    byte sealed = 0;            /* engine incarnation that was sealed */
+    byte seen = 0;              /* engine incarnation that was read */
     mtype action = none, sent = none;
     byte sent_to = 0;
 
 restart:
-    /* Nothing is kept over a restart. */
+    /* No state survives a restart. */
     atomic { lease = 0; epoch = 0; sequence = 0; sealed = 0; seen = 0;
         action = none; sent = none; sent_to = 0 };
-    /* A grant whose answer is lost leaves an orphan lease, which lapses. */
+    /* A grant whose answer is lost leaves an unused lease, which lapses. */
     if
     :: atomic { leases < LEASES -> leases++; lease = leases; live[lease] = true }
     :: goto end_idle
     fi;
 
 claim:
-    /* The claim: the key must be absent. Its answer may be lost; nothing reads it. */
+    /* Creates the key, which must be absent. No step reads the answer, because it may be lost. */
     atomic {
         if
         :: live[lease] && revision < CLAIMS && CLAIM_ALLOWED -> revision++; key_lease = lease; key_owner = me; key_epoch = revision
         :: else -> skip
         fi };
 
-    /* The key is read back: it is ours if it carries our lease. */
+    /* Reads the key back. The claim is held if the key contains this node's lease. */
     if
 #ifdef NO_LEASE_IN_VALUE
     :: atomic { key_lease != 0 && key_owner == me -> epoch = key_epoch }
@@ -230,7 +230,7 @@
 
 seal:
 #ifndef NO_SEAL
-    /* The engine is sealed before any decision rests on its state. */
+    /* Seals the engine before any decision is based on its state. */
     atomic { raise_fence(REGISTER(epoch, 0)); learn_epoch(epoch); sealed = incarnation };
 #else
     atomic { sealed = incarnation };
@@ -248,7 +248,7 @@
         :: else ->
             if
             :: role == me && !draining ->
-                /* Done: from here on no older order may have an effect. */
+                /* The goal is reached: from now on, no older order may take effect. */
                 learn_epoch(epoch); goto end_done
             :: role == me && draining -> action = resume
             :: role != me && !draining -> action = drain
@@ -259,15 +259,16 @@
         if
         :: action == none -> skip
         :: else ->
-            /* The lease is checked after the state is read and before the order is sent. The node's
-             * own clock runs out before the store's, so that it is never valid for longer. */
+            /* The lease is checked after the state is read and before the order is sent. The node considers
+             * its lease lapsed before the store does, so that the lease is never valid for longer at the
+             * node. */
 #ifndef NO_SELF_FENCE
             if
             :: atomic { live[lease] -> assert(key_lease == lease) }
             :: atomic { !live[lease] -> goto restart }
             fi;
 #endif
-            /* Paused here, perhaps for long. A repeated order keeps its identifier. */
+            /* The node may pause here for any time. A repeated order keeps its identifier. */
             atomic {
                 if
                 :: sent == action && sent_to == seen -> skip
--- a/spec/duties.pml
+++ b/spec/duties.pml
@@ -1,50 +1,50 @@
-/* Duties that one gateway at a time has for the whole site: calls to the platform's operations under the
- * fence of one claim, among them the report of each window of usage.
+/* Duties that one gateway at a time performs for the whole site: calls to the platform's operations with the
+ * fence of one claim, including the report of each usage window.
  *
- * What stands for what:
- *   the claim's key, its lease and the key of the first claim     gateway::authority_claim
+ * Parts of the model, and the code that implements them:
+ *   key of the claim, its lease and the key of the first claim    gateway::authority_claim
  *   keep: the lease and its clock                                 gateway::lease, authority::lease
- *   look, create: the claim as it is read and made                gateway::authority, authority::claim
- *   MAY_CALL, check: what is asked before each call               gateway::authority, gateway::duty_calls
- *   decide, learn: what is reported, as it stands in the store    gateway::usage::reporter, usage::report
+ *   look, create: reading and creating the claim                  gateway::authority, authority::claim
+ *   MAY_CALL, check: the conditions checked before each call      gateway::authority, gateway::duty_calls
+ *   decide, learn: the reports as recorded in the store           gateway::usage::reporter, usage::report
  *   send, take_call: the call, and the platform's side of it      gateway::duties, gateway::worker_orders,
  *                                                                 the adapter's duties
  *
- * Two or three gateways compete. Any of them may stand still between any two steps and go on (frozen, or
- * slow), may take no step of the store for any time (cut from it) and may be killed and start anew with
- * nothing kept. A step that reads the copy of the store may be left out for any time, so that what
- * was read before is old. A write and a call may be carried out at once with or without an answer, or at
- * any later moment, or never.
+ * Two or three gateways compete. Each of them may pause between any two steps and continue (because it is
+ * frozen or slow), may execute no step on the store for any time (because it is partitioned from the store),
+ * and may be killed and restarted without any of its state. A step that reads the mirror of the store may be
+ * omitted for any time, so that the state read earlier is outdated. A write or a call may be executed at once,
+ * with or without an answer, or at any later moment, or never.
  *
- * Time is modelled by what it orders only. A lease lapses at any moment, and the holder's clock never
- * counts it for longer (WRONG_CLOCK: it counts it for any time). A call of a gateway counts as recent
- * for one lease; the pause of a later holder is as long, so that it ends only when every call that was
- * made before the claim is no longer recent.
+ * Time is modelled only by the sequence of events that it implies. A lease may lapse at any moment, and the
+ * holder's clock never considers it valid for longer (with WRONG_CLOCK, it considers the lease valid for any
+ * time). A call of a gateway counts as recent for the duration of one lease. The pause of a later holder has
+ * the same duration, so that it ends only when no call that was made before the claim is recent any more.
  *
- * The platform compares fences, and calls may be late for any time. With UNCHECKED it does not, and no
- * call is late for longer than the pause.
+ * The platform compares fences, and calls may be delayed for any time. With UNCHECKED, the platform does not
+ * compare fences, and no call is delayed for longer than the pause.
  *
- * WINDOWS: 0 for calls without content, as orders of workers are; otherwise windows of usage.
- * NO_<RULE> drops a rule, and spec/check demands a counterexample for each.
+ * WINDOWS: 0 models calls without content, such as orders to workers; otherwise the number of usage windows.
+ * NO_<RULE> disables a rule, and spec/check requires a counterexample for each.
  */
 
 #ifndef GATEWAYS
 #define GATEWAYS 2
 #endif
 #ifndef CLAIMS
-#define CLAIMS 3        /* claims that are ever made */
+#define CLAIMS 3        /* total number of claims */
 #endif
 #ifndef LEASES
-#define LEASES 3        /* leases that are ever granted */
+#define LEASES 3        /* total number of leases */
 #endif
 #ifndef WINDOWS
 #define WINDOWS 2
 #endif
 #ifndef LATE_CALLS
-#define LATE_CALLS 1    /* calls on their way at once */
+#define LATE_CALLS 1    /* maximum number of calls in transit */
 #endif
 #ifndef LATE_WRITES
-#define LATE_WRITES 1   /* decisions on their way at once */
+#define LATE_WRITES 1   /* maximum number of decisions in transit */
 #endif
 #if WINDOWS > 0
 #define LAST_WINDOW WINDOWS
@@ -52,10 +52,10 @@
 #define LAST_WINDOW 1
 #endif
 #ifndef LATE_CLAIMS
-#define LATE_CLAIMS 1   /* claims on their way at once */
+#define LATE_CLAIMS 1   /* maximum number of claims in transit */
 #endif
 #if WINDOWS == 0 && !defined(WRONG_CLOCK)
-#define TURNS           /* whether pauses, and who calls in turns, are modelled */
+#define TURNS           /* whether pauses and the alternation of calls between holders are modelled */
 #endif
 #define NOTHING 255
 
@@ -67,31 +67,31 @@
 byte key_owner = 0;
 byte key_epoch = 0;
 byte first_epoch = 0;       /* 0: the key of the first claim is absent */
-byte decided[LAST_WINDOW + 1];  /* 0: nothing is decided of the window */
+byte decided[LAST_WINDOW + 1];  /* 0: the counts of the window are not decided */
 byte closed = 0;
 byte closed_revision = 0;
 
-/* Writes without an answer: claims, by their lease, and decisions. */
+/* Writes that are not executed yet and will not be answered: claims, by their lease, and decisions. */
 byte late_claim = 0, late_claim_owner = 0;
-/* epoch, window, counts, closed, revision of the closed key that is expected */
+/* epoch, window, counts, closed, expected revision of the closed key */
 chan late_writes = [LATE_WRITES] of { byte, byte, byte, byte, byte };
 
-/* The operations. */
-byte seen = 0;              /* the highest fence */
+/* The platform's operations. */
+byte seen = 0;              /* highest fence received */
 /* holder, fence, window, counts */
 chan late_calls = [LATE_CALLS] of { byte, byte, byte, byte };
 
-/* What only the properties read. */
-byte newest = 0;            /* the highest fence that took effect */
-byte told[LAST_WINDOW + 1];     /* the counts that were told of each window */
-byte recent[GATEWAYS + 1];  /* 1: called within a lease; 2: and another called after it */
-bool before[(GATEWAYS + 1) * (GATEWAYS + 1)];   /* calls that must be over before a holder's pause is */
-byte asked[GATEWAYS + 1];   /* the fence of a call that is about to be sent */
+/* Variables for the assertions and for the end of a holder's pause; `asked` is also the fence that is sent. */
+byte newest = 0;            /* highest fence of a call that took effect */
+byte told[LAST_WINDOW + 1];     /* counts reported for each window */
+byte recent[GATEWAYS + 1];  /* 1: has called within the duration of a lease; 2: and another holder has called since */
+bool before[(GATEWAYS + 1) * (GATEWAYS + 1)];   /* holders whose recent calls must have ended before a holder's pause ends */
+byte asked[GATEWAYS + 1];   /* fence of the call that is about to be sent, or 0 */
 
 #define BEFORE(holder, other) before[(holder) * (GATEWAYS + 1) + (other)]
 
-/* Holders do not call in turns (one, another, the first again) within a lease.
- * Where this is not modelled no holder waits, which allows more than the code does. */
+/* Holders do not alternate in calling (one, another, the first again) within the duration of a lease.
+ * If this is not modelled, no holder waits, which permits more behaviours than the code has. */
 inline note_call(caller) {
 #ifdef TURNS
     assert(recent[caller] != 2);
@@ -109,7 +109,7 @@
 #endif
 }
 
-/* The platform's side of a call; `refused` is what the answer says. */
+/* The platform's side of a call. `refused` is the answer. */
 inline take_call(holder, fence, window, counts, refused) {
     if
 #if !defined(NO_FENCE_COMPARE) && !defined(UNCHECKED)
@@ -118,10 +118,10 @@
     :: else ->
         refused = false;
         seen = fence;
-        /* No call of a lower fence takes effect after one of a higher. */
+        /* No call with a lower fence takes effect after a call with a higher one. */
         assert(fence >= newest);
         newest = fence;
-        /* No window is told twice with different counts. */
+        /* No window is reported twice with different counts. */
         assert(window == 0 || told[window] == 0 || told[window] == counts);
         if
         :: window > 0 -> told[window] = counts
@@ -159,24 +159,25 @@
 #else
 #define IS_UNDECIDED(window) (decided[window] == 0)
 #endif
-/* Each decision writes the closed key, so that it also says that nothing was decided since. */
+/* Each decision writes the closed key, so that its expected revision also shows that nothing has been decided since
+ * it was read. */
 #if defined(NO_CLOSED_COMPARE) || defined(NO_DECIDE_ONCE)
 #define IS_EXPECTED(expected) true
 #else
 #define IS_EXPECTED(expected) (closed_revision == (expected))
 #endif
 
-/* A decision as the store carries it out. */
+/* The store's execution of a decision. */
 inline write_decision(fence, window, counts, closes, expected, succeeded) {
     if
     :: CLAIM_STANDS(fence) && IS_UNDECIDED(window) && IS_EXPECTED(expected) ->
         succeeded = true;
-        /* Nothing is decided by a gateway that has lost the claim. */
+        /* A gateway that has lost the claim decides nothing. */
         assert(key_epoch == fence);
         decided[window] = counts;
         closed = closes;
 #ifdef NO_DECIDE_ONCE
-        closed_revision = 1;    /* nothing compares it */
+        closed_revision = 1;    /* constant, because no rule compares it */
 #else
         closed_revision++;
 #endif
@@ -191,14 +192,14 @@
     fi
 }
 
-/* What happens without any gateway: leases lapse, calls cease to be recent, what was late is done. */
+/* Events that no gateway causes: leases lapse, calls cease to be recent, and delayed writes and calls are executed. */
 active proctype World() {
     byte number, other, over;
     byte holder, fence, window, counts, closes, expected;
     bool outcome;
 end:
     do
-    /* A lease lapses, and its key goes with it. */
+    /* A lease lapses, and the key attached to it is deleted. */
     :: atomic {
         select (number : 1 .. LEASES);
         if
@@ -215,14 +216,14 @@
         fi;
         number = 0 }
 #ifdef TURNS
-    /* A lease's time has passed since a gateway's last call. */
+    /* The duration of a lease has passed since a gateway's last call. */
     :: atomic {
         select (number : 1 .. GATEWAYS);
         recent[number] = 0;
         for (other : 1 .. GATEWAYS) { BEFORE(other, number) = false };
         number = 0; other = 0 }
 #endif
-    /* A claim without an answer is carried out. */
+    /* A delayed claim without an answer is executed. */
     :: atomic { late_claim != 0 ->
         make_claim(late_claim, late_claim_owner);
         late_claim = 0; late_claim_owner = 0 }
@@ -236,7 +237,7 @@
         fence = 0; window = 0; counts = 0; closes = 0; expected = 0 }
 #endif
 #endif
-    /* A call without an answer is lost, or carried out. */
+    /* A delayed call without an answer is lost or executed. */
     :: atomic { late_calls?holder, fence, window, counts ->
         holder = 0; fence = 0; window = 0; counts = 0 }
     :: atomic { late_calls?holder, fence, window, counts ->
@@ -250,7 +251,7 @@
     od
 }
 
-/* The pause of a later holder is over. */
+/* Whether the pause of a later holder has ended. */
 #if GATEWAYS > 2
 #define NONE_BEFORE(holder) (!BEFORE(holder, 1) && !BEFORE(holder, 2) && !BEFORE(holder, 3))
 #define IS_OLDER(gateway, fence) (asked[gateway] != 0 && asked[gateway] < (fence))
@@ -263,7 +264,7 @@
 #if defined(NO_TAKEOVER_PAUSE) || !defined(TURNS)
 #define SETTLED true
 #elif defined(UNCHECKED)
-/* Where fences are not compared, no call may be late for longer than the pause. */
+/* If fences are not compared, no call may be delayed for longer than the pause. */
 #define SETTLED (is_first || (NONE_BEFORE(me) && NONE_ASKED(epoch) && empty(late_calls)))
 #else
 #define SETTLED (is_first || NONE_BEFORE(me))
@@ -290,7 +291,7 @@
 #define IS_OWN_KEY (key_lease != 0 && key_lease == lease)
 #endif
 
-/* What the copy of the store says; knowledge of closed windows does not go back. */
+/* Reads the mirror of the store. The last known closed window never decreases. */
 inline learn() {
     known_closed = (closed > known_closed -> closed : known_closed);
     known_revision = closed_revision;
@@ -314,8 +315,8 @@
     over = 0
 }
 
-/* Windows before this one are over that are not decided, were taken, or are past due by this gateway's
- * time; nothing says when that is, so that each may be. */
+/* Closes earlier windows that are not decided, whose reports were accepted, or that are overdue by this gateway's
+ * clock. The model does not limit when a window is overdue, so that any of them may be closed. */
 inline closed_before() {
     closes = window - 1;
     over = 1;
@@ -331,7 +332,8 @@
     closes = (closes > known_closed -> closes : known_closed)
 }
 
-/* The call is about to be sent. Where calls may be late at will, who calls in turns is told by this moment. */
+/* The call is about to be sent. If calls may be delayed for any time, the alternation of holders is checked at this
+ * moment. */
 inline act() {
 #ifndef UNCHECKED
     note_call(me);
@@ -347,7 +349,7 @@
 #endif
 }
 
-/* A write without an answer counts for nothing before it is read back. */
+/* A write without an answer is not considered executed before it is read back. */
 inline take_for_done() {
 #ifdef NO_READ_BACK
     known[window] = said
@@ -357,27 +359,27 @@
 }
 
 proctype Gateway(byte me) {
-    byte lease = 0;             /* as its keeper has it */
+    byte lease = 0;             /* as the lease holder knows it; 0: none */
     byte epoch = 0;             /* 0: the claim is not held */
-    byte claim_lease = 0;       /* the lease that the held claim hangs on */
+    byte claim_lease = 0;       /* lease to which the held claim is attached */
     bool is_first = false;
-    byte refused = 0;           /* the fence with which a call was refused */
-    byte told_refused = 0;      /* the same, for the property only */
-    byte known[LAST_WINDOW + 1];    /* decisions that it knows */
-    bool done[LAST_WINDOW + 1];     /* reports that were taken */
+    byte refused = 0;           /* fence with which a call was refused */
+    byte told_refused = 0;      /* the same, for the assertion only */
+    byte known[LAST_WINDOW + 1];    /* decisions known to the gateway */
+    bool done[LAST_WINDOW + 1];     /* reports that the platform has accepted */
     byte known_closed = 0, known_revision = 0;
-    byte sending = NOTHING;     /* the window of a call that was checked */
-    byte counts = 0;            /* what it says */
+    byte sending = NOTHING;     /* window of the checked call, or NOTHING */
+    byte counts = 0;            /* counts in that call */
     byte window, said, closes, other, over;
     bool outcome;
 end:
     do
-    /* keep: a lease is asked for while the key is free, or while the claim is held. */
+    /* keep: requests a lease while the key is absent or the claim is held. */
     :: atomic { lease == 0 && leases < LEASES && (epoch != 0 || key_lease == 0) ->
         leases++; lease = leases; live[lease] = true }
     :: atomic { lease != 0 && !live[lease] -> lease = 0 }
 
-    /* look: the claim is held if the key carries this gateway's lease. */
+    /* look: the claim is held if the key contains this gateway's lease. */
     :: atomic { epoch == 0 && lease != 0 && IS_OWN_KEY ->
         epoch = key_epoch; claim_lease = lease;
         is_first = (first_epoch == key_epoch);
@@ -385,7 +387,7 @@
         for (other : 1 .. GATEWAYS) { BEFORE(me, other) = (recent[other] != 0) };
         other = 0;
 #endif
-        /* The copy that shows the claim shows all that was written before it. */
+        /* A mirror that contains the claim also contains everything that was written before it. */
         learn() }
     :: atomic { epoch != 0 && !IS_OWN_KEY -> give_up() }
 
@@ -399,12 +401,13 @@
 #if WINDOWS > 0
     :: atomic { epoch != 0 && known_revision != closed_revision -> learn() }
 
-    /* decide: what others counted meanwhile may be in the sum or not. The claim may be lost by now. */
+    /* decide: the sum may or may not include what other gateways have counted meanwhile. The claim may have been
+     * lost. */
     :: atomic { epoch != 0 && sending == NOTHING ->
         select (window : 1 .. LAST_WINDOW);
         if
         :: known[window] == 0 && window > known_closed ->
-            /* What the window after the last of interest says does not matter. */
+            /* The counts of the last window do not matter unless it is the only one. */
             if
             :: window < WINDOWS || WINDOWS == 1 -> said = 2
             :: true -> said = 1
@@ -414,7 +417,7 @@
 #ifdef NO_DECIDE_FIRST
             :: known[window] = said
 #else
-            /* With an answer, without one, and later. */
+            /* Executed with an answer, without an answer, or later. */
             :: true -> write_decision(epoch, window, said, closes, known_revision, outcome);
                 if
                 :: outcome -> known[window] = said; known_closed = closes; known_revision = closed_revision;
@@ -430,10 +433,10 @@
         window = 0; said = 0; closes = 0; outcome = false }
 #endif
 
-    /* check: right before a call. */
+    /* check: immediately before a call. */
     :: atomic { sending == NOTHING && MAY_CALL ->
 #ifndef WRONG_CLOCK
-        /* Who may call still has the claim. */
+        /* A gateway that may call still holds the claim. */
         assert(key_epoch == epoch);
 #endif
 #if WINDOWS > 0
@@ -449,12 +452,12 @@
 #endif
         }
 
-    /* send: the gateway may have stood still since the check. */
+    /* send: the gateway may have paused since the check. */
     :: atomic { sending != NOTHING ->
         /* A fence that was refused is not used again. */
         assert(asked[me] != told_refused);
         if
-        /* With an answer, without one, and later. */
+        /* Executed with an answer, without an answer, or later. */
         :: true -> take_call(me, asked[me], sending, counts, outcome);
             if
             :: outcome -> refused = asked[me]; told_refused = asked[me]
@@ -466,7 +469,7 @@
         fi;
         sending = NOTHING; asked[me] = 0; counts = 0; outcome = false }
 
-    /* The process is killed, and another starts. */
+    /* The process is killed and restarted. */
     :: atomic { lease != 0 || epoch != 0 ->
         give_up();
         lease = 0; refused = 0; told_refused = 0; sending = NOTHING; asked[me] = 0; counts = 0;
--- a/spec/journal.pml
+++ b/spec/journal.pml
@@ -1,50 +1,50 @@
 /* The at-most-once record of one key, on a quorum of three replicas with changing views.
  *
- * A view is a number and three members; a member is a node in one incarnation. The store decides,
- * by compare-and-swap, which view is active and which one is being prepared. Nodes keep nothing: a
- * node that restarts is a new incarnation, hence no member of any earlier view, and it votes only
- * once a later view names it and it has been given the records of the view before.
+ * A view consists of a number and three members. A member is a node in one incarnation. The store determines,
+ * by compare-and-swap, which view is active and which one is being prepared. Nodes have no persistent
+ * storage: a node that restarts has a new incarnation and is therefore not a member of any earlier view. It
+ * votes only after a later view contains it and it has received the records of the preceding view.
  *
- * Two nodes each hold one try of the same key. Messages are lost in either direction, and a
- * request for a vote may arrive late and again. Either node may pause anywhere (interleaving) or
- * die (it stops taking steps).
+ * Two nodes each make one attempt with the same key. Messages are lost in either direction, and a request for
+ * a vote may arrive late and more than once. Either node may pause at any point (interleaving) or crash (it
+ * makes no further steps).
  *
- * Each safety rule is a macro-guarded line. Defining NO_<RULE> drops it, and spec/check demands a
+ * Each safety rule is guarded by a macro. Defining NO_<RULE> disables the rule, and spec/check requires a
  * counterexample for each.
  */
 
 #ifndef VIEWS
-#define VIEWS 2         /* views in all, the first included */
+#define VIEWS 2         /* number of views, including the first */
 #endif
 #ifndef RESTARTS
-#define RESTARTS 1      /* restarts of replicas */
+#define RESTARTS 1      /* number of restarts of replicas */
 #endif
 #ifndef PASSES
-#define PASSES 1        /* tries of a change of view, abandoned ones included */
+#define PASSES 1        /* number of attempts at a view change, including abandoned ones */
 #endif
 #ifndef LATE
-#define LATE 0          /* late requests for a vote, for each try */
+#define LATE 0          /* number of delayed requests for a vote, per attempt */
 #endif
 #define NODES 4         /* three members and one more */
-#define CLOSED 3        /* a record taken over from an earlier view: nobody may be granted it */
+#define CLOSED 3        /* a record from an earlier view: the key is granted to no attempt */
 
 mtype = { vote_none, vote_granted, vote_taken };
 
 /* Replicas. */
 byte incarnation[NODES];
-byte voting[NODES];     /* the view a replica votes in; 0 when in none */
-byte sealed[NODES];     /* the highest view that sealed it */
-byte record[NODES];     /* 0, a try, or CLOSED */
+byte voting[NODES];     /* view in which a replica votes, or 0 */
+byte sealed[NODES];     /* highest view for which a replica was sealed */
+byte record[NODES];     /* 0, an attempt, or CLOSED */
 
-/* The store: for each view the members' incarnations, 0 for a node that is no member. */
+/* The store: the incarnations of the members of each view, 0 for a node that is not a member. */
 typedef Members { byte member[NODES] };
 Members view[VIEWS + 1];
 byte active_view = 1;
-byte prepared_view = 1; /* active_view, or the one after it */
+byte prepared_view = 1; /* active_view, or the next view */
 
-/* What only the properties read. */
-byte running = 0;       /* tries that were permitted to run */
-byte undecided = 2;     /* once every try is decided, nothing more can go wrong: the search ends */
+/* Variables that only the assertions and the condition that ends the search read. */
+byte running = 0;       /* number of attempts that were permitted to run */
+byte undecided = 2;     /* undecided attempts; at 0 no assertion can fail any more, and the search ends */
 
 #define IS_MEMBER(v, n) (view[v].member[n] != 0 && view[v].member[n] == incarnation[n])
 
@@ -89,8 +89,8 @@
     fi
 }
 
-/* One try of the key, at one node. A fresh key was made up by the node itself, so that no other
- * try of it can exist; here both tries carry the caller's key. */
+/* One attempt with the key, at one node. If a node has generated the key itself, no other attempt with that
+ * key can exist. Here, both attempts use the caller's key. */
 proctype Try(byte me) {
     byte v = 0, granted = 0, n = 0, late_votes = 0;
     mtype answer = vote_none;
@@ -101,9 +101,9 @@
     :: atomic { n < NODES && view[v].member[n] != 0 ->
         answer = vote_none;
         if
-        :: true -> vote(v, n, me, answer)           /* asked and answered */
+        :: true -> vote(v, n, me, answer)           /* the replica answers */
         :: true -> vote(v, n, me, answer); answer = vote_none   /* the answer is lost */
-        :: skip                             /* the question is lost */
+        :: skip                             /* the request is lost */
         fi;
         if
         :: answer == vote_granted -> granted++
@@ -112,7 +112,7 @@
         answer = vote_none;
         n++ }
 #ifdef NO_VIEW_CHECK
-    /* Votes of several views are added up. */
+    /* Counts the votes of several views together. */
     :: atomic { n > 0 && v < active_view -> v = active_view; n = 0 }
 #else
     :: atomic { n > 0 && v < active_view && granted < QUORUM -> v = active_view; n = 0; granted = 0 }
@@ -125,7 +125,7 @@
     :: granted >= QUORUM ->
         if
         :: atomic { true ->
-            /* Two tries of one key never run; none runs after the caller was told otherwise. */
+            /* At most one attempt with a key runs, and none runs after `not-run` was reported to a caller. */
             running++;
             assert(running <= 1);
             undecided-- };
@@ -133,8 +133,8 @@
             goto release
 #endif
         :: atomic { true ->
-            /* Granted, but no back end took it: it will not run. The quorum shows that no other try
-             * had permission. */
+            /* The key was granted, but no back end accepted the request, so that it will not run. The quorum
+             * shows that no other attempt was permitted to run. */
             assert(running == 0);
             undecided--;
             granted = 0 };
@@ -142,10 +142,10 @@
         fi
     :: else ->
 #ifdef NO_VERDICT_RULE
-        /* Told `not-run` without a quorum, on a key that another try may have run under. */
+        /* Reports `not-run` without a quorum, although another attempt with the key may have run. */
         atomic { assert(running == 0); undecided-- }
 #else
-        /* Without a quorum the verdict on a caller's key is may-have-run. */
+        /* Without a quorum, `may-have-run` is reported for a caller's key. */
         undecided--
 #endif
     fi;
@@ -155,7 +155,7 @@
     fi;
 
 release:
-    /* The try will never run: its records are taken back, each message perhaps lost. */
+    /* The attempt will never run: its records are released. Each of the messages may be lost. */
     n = 0;
     do
     :: atomic { undecided > 0 && n < NODES ->
@@ -172,7 +172,7 @@
     od;
 
 late:
-    /* Requests for a vote that were delayed arrive now, or again. */
+    /* Delayed requests for a vote arrive now, possibly for the second time. */
     atomic { granted = 0; n = 0 };
 end:
     do
@@ -186,8 +186,8 @@
     od
 }
 
-/* Changes the view. It may be abandoned halfway; the next pass carries on with what the store
- * holds. */
+/* Changes the view. A view change may be abandoned at any step. The next pass continues from the state in the
+ * store. */
 active proctype Reconfigure() {
     byte n = 0, count = 0, left_out = 0, merged = 0, next = 0, installed = 0, passes = 0;
 
@@ -195,7 +195,7 @@
     atomic { n = 0; count = 0; merged = 0; next = 0; installed = 0; passes++ };
 end:
     if
-    /* Prepare a view: every node but one, in its present incarnation. */
+    /* Prepares a view: all nodes but one, in their current incarnations. */
     :: atomic { undecided > 0 && passes <= PASSES && prepared_view == active_view && active_view < VIEWS ->
         if
         :: left_out = 0
@@ -218,10 +218,10 @@
     :: atomic { undecided > 0 && passes <= PASSES && prepared_view > active_view -> next = prepared_view }
     fi;
 
-    /* Seal a majority of the active view, and take over what it has recorded. */
+    /* Seals a majority of the active view and collects its records. */
     do
     :: atomic { undecided > 0 && n < NODES ->
-        /* Any of those still to come; the ones passed over did not answer. */
+        /* Continues with any later member. The members that are skipped did not answer. */
         do
         :: n < NODES && MAY_SEAL(next - 1, n) -> break
         :: n < NODES -> n++
@@ -250,7 +250,7 @@
 #ifdef NO_SYNC
     merged = 0;
 #endif
-    /* Give it to the members of the next view, which vote from then on. */
+    /* Sends the records to the members of the next view, which vote from then on. */
     do
     :: atomic { undecided > 0 && n < NODES ->
         do
@@ -276,7 +276,7 @@
     :: atomic { undecided > 0 && n == NODES && installed < 2 -> goto again }
     od;
 
-    /* Make it the active view, once a majority of it votes. */
+    /* Makes it the active view once a majority of its members votes. */
     atomic { undecided > 0;
         if
         :: active_view < next -> active_view = next
@@ -285,7 +285,7 @@
     goto again
 }
 
-/* Replicas restart and forget. */
+/* Replicas restart and lose their records. */
 active proctype Restart() {
     byte n = 0, restarts = 0;
 end:
