--- a/crates/fault-soak/src/lib.rs
+++ b/crates/fault-soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! Gateway processes under random faults on real sockets, judged by what callers and workers see.
+//! Fault-injection test of gateway processes on real sockets, checked by what callers and workers observe.
 //!
-//! An episode starts gateways as processes, and in its own process the platform's stand-in, workers
-//! that misbehave, links that harm what passes through them, and callers. A seed gives the schedule
-//! of faults. When the episode has ended, judges read what callers and workers have recorded.
+//! An episode starts gateways as child processes. The stand-in for the platform, faulty workers, links that inject
+//! network faults, and callers run in the test's own process. A seed determines the schedule of faults. After the
+//! episode, the judges check what callers and workers recorded.
 
 #![forbid(unsafe_code)]
 
@@ -24,15 +24,16 @@
 
 pub use episode::{run_episode, Episode, EpisodePlan};
 pub use evidence::{
-    Arrival, Call, CallerAnswer, Evidence, Garbled, NamedLimit, Outcome, Reading, Rest, Run,
-    RunBody, Sent, StaleConfiguration, StrayBytes, Trouble, WorkerEnd, WorkerTrouble,
+    AnnouncedRateLimit, Arrival, BackoffRequest, Call, CallerAnswer, Evidence, GatewayFaultPeriod,
+    InvalidBytes, Outcome, Prefill, Run, RunBody, SentRequest, StaleConfiguration, StrayBytes,
+    WorkerCrash, WorkerLinkFaultPeriod,
 };
 pub use faults::{Fault, FaultCounts, Mix};
 pub use http::{Framing, Head, ReadError, Reader};
-pub use identity::{body_hash, Mark, RequestKey, DEADLY};
+pub use identity::{body_hash, Mark, RequestKey, CRASH_BODY_PREFIX};
 pub use judges::{judge, Rule, Violation};
-pub use keep::{keep, KEEP_DIRECTORY};
+pub use keep::{save_episode, DEFAULT_OUTPUT_DIRECTORY};
 pub use link::{Link, LinkFault};
-pub use regressions::{regressions, Regression};
+pub use regressions::{load_regressions, Regression};
 pub use routes::RouteKind;
 pub use schedule::{Action, Schedule, ScheduledAction};
--- a/crates/fault-soak/tests/records/mod.rs
+++ b/crates/fault-soak/tests/records/mod.rs
@@ -1,14 +1,14 @@
-//! Records as an episode leaves them.
+//! Builders for the evidence that an episode records.
 
 use bytes::Bytes;
 use tansyhall_fault_soak::{
-    Arrival, CallerAnswer, Evidence, Mark, Outcome, Reading, RequestKey, RouteKind, Run, RunBody,
-    Sent,
+    Arrival, CallerAnswer, Evidence, Mark, Outcome, Prefill, RequestKey, RouteKind, Run, RunBody,
+    SentRequest,
 };
 
 const PROMPT: &str = "- - -";
 const WORKER: &str = "i-1";
-/// The last event of streams.
+/// The number of the last event of streams.
 const LAST_EVENT: u32 = 3;
 
 pub fn key(id: &str) -> RequestKey {
@@ -19,7 +19,7 @@
     }
 }
 
-pub fn evidence(sent: Vec<Sent>, runs: Vec<Run>) -> Evidence {
+pub fn evidence(sent: Vec<SentRequest>, runs: Vec<Run>) -> Evidence {
     Evidence {
         sent,
         runs,
@@ -27,8 +27,8 @@
     }
 }
 
-pub fn sent(route: RouteKind, key: RequestKey) -> Sent {
-    Sent {
+pub fn sent(route: RouteKind, key: RequestKey) -> SentRequest {
+    SentRequest {
         key,
         route,
         prompt: PROMPT.into(),
@@ -40,7 +40,7 @@
     }
 }
 
-pub fn with_outcome(mut sent: Sent, outcome: Outcome) -> Sent {
+pub fn with_outcome(mut sent: SentRequest, outcome: Outcome) -> SentRequest {
     sent.outcome = outcome;
     sent
 }
@@ -78,19 +78,19 @@
     }
 }
 
-/// The whole answer of a plain run.
+/// Returns the complete answer of a run with a plain body.
 pub fn answer(run: &Run) -> Outcome {
     let RunBody::Plain(body) = &run.body else {
-        panic!("a plain run is needed");
+        panic!("expected a run with a plain body");
     };
-    whole(run, body.clone(), true)
+    answer_with_body(run, body.clone(), true)
 }
 
 pub fn stream_answer(run: &Run, events: &str, is_whole: bool) -> Outcome {
-    whole(run, Bytes::from(events.to_owned()), is_whole)
+    answer_with_body(run, Bytes::from(events.to_owned()), is_whole)
 }
 
-fn whole(run: &Run, body: Bytes, is_whole: bool) -> Outcome {
+fn answer_with_body(run: &Run, body: Bytes, is_whole: bool) -> Outcome {
     Outcome::Answer(CallerAnswer {
         status: run.status,
         id: Some(run.mark.key.id.clone()),
@@ -107,8 +107,8 @@
     format!("id: {number}\ndata: {number}/{LAST_EVENT} {mark}\n\n")
 }
 
-pub fn reading(place: &str, key: RequestKey) -> Reading {
-    Reading {
+pub fn reading(place: &str, key: RequestKey) -> Prefill {
+    Prefill {
         place: place.into(),
         key,
         at_ms: 0,
