--- a/crates/lab/src/agree/agreement.rs
+++ b/crates/lab/src/agree/agreement.rs
@@ -1,4 +1,4 @@
-//! Figures of a real and of an emulated run, side by side.
+//! Comparison of the figures of a real run and of an emulated run.
 
 use std::fmt;
 
@@ -7,16 +7,16 @@
 
 use crate::emulator::Outcome;
 
-/// How far ratios may be from one for the emulator to agree.
-const TOLERANCE: f64 = 0.10;
+/// Maximum deviation of a ratio from 1 for the emulator to agree with the real run.
+const MAX_RATIO_DEVIATION: f64 = 0.10;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// What came of one run.
+/// Results of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Figures {
     /// Requests that arrived.
     pub requests: u64,
-    /// Part of them that met their deadlines.
+    /// Fraction of requests that met their deadlines.
     pub goodput: f64,
     /// Requests answered `not-run`.
     pub rejected: u64,
@@ -31,8 +31,8 @@
 }
 
 impl Figures {
-    /// Of a load that was run in real time.
-    pub fn of_load(summary: &Summary) -> Self {
+    /// Returns the figures of a load that was run in real time.
+    pub fn from_load_summary(summary: &Summary) -> Self {
         Self {
             requests: summary.requests,
             goodput: summary.in_deadline as f64 / summary.requests.max(1) as f64,
@@ -44,11 +44,11 @@
         }
     }
 
-    /// Of an emulated run.
-    pub fn of_emulation(outcome: &Outcome) -> Self {
+    /// Returns the figures of an emulated run.
+    pub fn from_emulation(outcome: &Outcome) -> Self {
         let first_token =
-            |part| outcome.first_token.value_at_quantile(part) as f64 / MICROS_PER_MILLI;
-        let whole = |part| outcome.whole.value_at_quantile(part) as f64 / MICROS_PER_MILLI;
+            |quantile| outcome.first_token.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
+        let whole = |quantile| outcome.whole.value_at_quantile(quantile) as f64 / MICROS_PER_MILLI;
         Self {
             requests: outcome.offered,
             goodput: outcome.goodput(),
@@ -61,36 +61,36 @@
     }
 }
 
-/// Real over emulated figures.
+/// Ratios of the real figures to the emulated figures.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Ratios {
-    /// Of the goodputs.
+    /// Ratio of the goodputs.
     pub goodput: f64,
-    /// Of the median times to the first token.
+    /// Ratio of the median times to the first token.
     pub p50_first_token: f64,
-    /// Of the 95th percentiles of the times to the first token.
+    /// Ratio of the 95th percentiles of the times to the first token.
     pub p95_first_token: f64,
-    /// Of the median times to the last token.
+    /// Ratio of the median times to the last token.
     pub p50_whole: f64,
-    /// Of the 95th percentiles of the times to the last token.
+    /// Ratio of the 95th percentiles of the times to the last token.
     pub p95_whole: f64,
 }
 
-/// Both runs and how they compare.
+/// Figures of both runs and their ratios.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Agreement {
     /// The run in real time.
     pub real: Figures,
     /// The run in virtual time.
     pub emulated: Figures,
-    /// The first over the second.
+    /// Ratios of the real figures to the emulated figures.
     pub ratios: Ratios,
-    /// Whether every ratio is within a tenth of one.
+    /// Whether every ratio is between 0.9 and 1.1.
     pub within_tolerance: bool,
 }
 
 impl Agreement {
-    /// Compares two runs of one trace.
+    /// Compares a real and an emulated run of the same trace.
     pub fn new(real: Figures, emulated: Figures) -> Self {
         let ratios = Ratios {
             goodput: real.goodput / emulated.goodput,
@@ -110,7 +110,9 @@
             real,
             emulated,
             ratios,
-            within_tolerance: all.iter().all(|ratio| (ratio - 1.0).abs() <= TOLERANCE),
+            within_tolerance: all
+                .iter()
+                .all(|ratio| (ratio - 1.0).abs() <= MAX_RATIO_DEVIATION),
         }
     }
 }
--- a/crates/lab/src/agree/mod.rs
+++ b/crates/lab/src/agree/mod.rs
@@ -1,5 +1,5 @@
-//! `tansyhall-lab agree`: the same trace through a fleet in real time and through the emulator, to
-//! see how far what the emulator says can be believed.
+//! `tansyhall-lab agree`: runs the same trace through a fleet in real time and through the emulator,
+//! to measure how accurate the emulator is.
 
 mod agreement;
 
@@ -16,7 +16,7 @@
 
 pub use agreement::{Agreement, Figures};
 
-use crate::compare::own_strategy;
+use crate::compare::system_strategy;
 use crate::emulator::{run, Conditions};
 use crate::strategy::service_rates;
 use crate::workload::TraceRequest;
@@ -29,19 +29,19 @@
 
 OPTIONS:
   --load NAME      mix-shift, mix-surge or steady (default: mix-shift)
-  --duration TIME  how long the load lasts (default: 30s)
+  --duration TIME  duration of the load (default: 30s)
   --seed N         seed of the arrivals (default: 1)
-  --json           one JSON object instead of a table
-  --help           this text
+  --json           print one JSON object instead of a table
+  --help           print this help
 ";
 
 const DEFAULT_DURATION: Duration = Duration::from_secs(30);
-/// Time between the stand-in's reads of its load, halved: the mean age of a report.
+/// Mean age of a report: half the interval at which the stand-in reads its load.
 const REPORT_LAG: Duration = Duration::from_millis(10);
-/// One way over loopback, servers included.
+/// One-way delay over loopback, including the time in the servers.
 const LINK_DELAY: Duration = Duration::from_micros(300);
-/// Moving the KV cache of one token between stand-in engines, in seconds.
-const TRANSFER_TOKEN: f64 = 1e-5;
+/// Time to transfer the KV cache of one token between stand-in engines.
+const TRANSFER_SECONDS_PER_TOKEN: f64 = 1e-5;
 
 /// Runs the command.
 pub fn command(mut arguments: Arguments) -> Result<ExitCode> {
@@ -61,8 +61,8 @@
         bail!("unknown arguments {rest:?}; see tansyhall-lab agree --help");
     }
     let load = Workload::named(&name, duration, seed)
-        .with_context(|| format!("unknown load {name}; there are: {:?}", workload::NAMES))?;
-    let real = actix_rt::System::new().block_on(run_for_real(&load))?;
+        .with_context(|| format!("unknown load {name}; known loads: {:?}", workload::NAMES))?;
+    let real = actix_rt::System::new().block_on(run_in_real_time(&load))?;
     let agreement = Agreement::new(real, emulate(&load));
     if json {
         println!("{}", serde_json::to_string(&agreement)?);
@@ -72,45 +72,46 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn run_for_real(load: &Workload) -> Result<Figures> {
+async fn run_in_real_time(load: &Workload) -> Result<Figures> {
     let fleet = Fleet::start().await?;
     let summary = fleet.run_load(load, |_| ()).await?;
     fleet.stop().await;
-    Ok(Figures::of_load(&summary))
+    Ok(Figures::from_load_summary(&summary))
 }
 
-/// Runs a load through the emulator, under the conditions of the real fleet.
+/// Runs a load through the emulator under the conditions of the real fleet.
 pub fn emulate(load: &Workload) -> Figures {
     let trace: Vec<TraceRequest> = arrivals(load)
         .into_iter()
-        .map(|(due, shape)| traced(due, &shape))
+        .map(|(due, shape)| trace_request(due, &shape))
         .collect();
     let conditions = Conditions {
         engines: ENGINES,
         nodes: NODES,
         costs: CostModel::default(),
         role_change: ROLE_CHANGE,
-        report_period: Duration::from_millis(250),
+        report_interval: Duration::from_millis(250),
         report_lag: REPORT_LAG,
         report_loss: 0.0,
-        // The fleet's nodes change no roles: its pool has no bounds that ask for it.
-        plan_period: load.duration + Duration::from_secs(3_600),
+        // The fleet's nodes never change roles, since its pool has no role bounds that require it; the
+        // first plan is therefore scheduled after the end of the run.
+        plan_interval: load.duration + Duration::from_secs(3_600),
         link_delay: LINK_DELAY,
-        transfer_token: TRANSFER_TOKEN,
+        transfer_token: TRANSFER_SECONDS_PER_TOKEN,
         crashes_per_minute: 0.0,
         restart: Duration::ZERO,
         outage: None,
         seed: load.seed,
     };
     let rates = service_rates(&conditions.costs, conditions.transfer_token);
-    let mut strategy = own_strategy(rates, ChoiceSettings::default());
-    Figures::of_emulation(&run(&conditions, &trace, &mut strategy))
+    let mut strategy = system_strategy(rates, ChoiceSettings::default());
+    Figures::from_emulation(&run(&conditions, &trace, &mut strategy))
 }
 
-/// Prompts longer than this are of the fleet's class of reviews, which gives way to the others.
+/// Requests with longer prompts belong to the fleet's review class, which has the lowest priority.
 const LONG_PROMPT_TOKENS: u32 = 500;
 
-fn traced(due: Duration, shape: &RequestShape) -> TraceRequest {
+fn trace_request(due: Duration, shape: &RequestShape) -> TraceRequest {
     let arrival = Timestamp::default() + due;
     let is_review = shape.prompt_tokens > LONG_PROMPT_TOKENS;
     TraceRequest {
--- a/crates/lab/src/compare/mod.rs
+++ b/crates/lab/src/compare/mod.rs
@@ -1,4 +1,4 @@
-//! `tansyhall-lab compare`: every strategy on the same traces, side by side.
+//! `tansyhall-lab compare`: runs all strategies on the same traces and compares the results.
 
 mod options;
 mod report;
@@ -19,9 +19,9 @@
 pub use options::Options;
 use statistics::{summarise, StrategySummary};
 
-/// Every strategy's outcome on one seed.
+/// Outcomes of all strategies for one seed.
 pub struct SeedOutcomes {
-    /// Name and outcome, in the order of the table.
+    /// Name and outcome of each strategy, in the order of the table.
     pub strategies: Vec<(String, Outcome)>,
 }
 
@@ -42,7 +42,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs every strategy on every seed, a thread for each seed.
+/// Runs all strategies on all seeds, with one thread per seed.
 pub fn compare(workload: &Workload, options: &Options) -> Vec<SeedOutcomes> {
     let seeds: Vec<u64> = (0..options.seeds)
         .map(|index| options.first_seed + index)
@@ -50,11 +50,11 @@
     std::thread::scope(|scope| {
         let mut outcomes = Vec::new();
         for chunk in seeds.chunks(options.threads) {
-            let running: Vec<_> = chunk
+            let threads: Vec<_> = chunk
                 .iter()
                 .map(|seed| scope.spawn(move || compare_seed(workload, options, *seed)))
                 .collect();
-            outcomes.extend(running.into_iter().filter_map(|thread| thread.join().ok()));
+            outcomes.extend(threads.into_iter().filter_map(|thread| thread.join().ok()));
         }
         outcomes
     })
@@ -64,16 +64,16 @@
     let trace = workload.trace(seed);
     let conditions = options.conditions(workload, seed);
     let rates = service_rates(&conditions.costs, conditions.transfer_token);
-    let mut strategies = baselines(&conditions, &rates, &trace);
-    let mut own = own_strategy(rates, options.choice);
-    strategies.push((own.name(), run(&conditions, &trace, &mut own)));
+    let mut strategies = run_baselines(&conditions, &rates, &trace);
+    let mut system = system_strategy(rates, options.choice);
+    strategies.push((system.name(), run(&conditions, &trace, &mut system)));
     let search = search::Search {
         conditions: &conditions,
         rates,
         trace: &trace,
     };
     let best = if options.without_search {
-        search.mixed(workload)
+        search.best_mixed(workload)
     } else {
         search.best(workload)
     };
@@ -81,12 +81,12 @@
     SeedOutcomes { strategies }
 }
 
-/// The system's own strategy.
-pub fn own_strategy(rates: ServiceRates, choice: ChoiceSettings) -> Predictive {
+/// Creates the strategy that the system itself uses.
+pub fn system_strategy(rates: ServiceRates, choice: ChoiceSettings) -> Predictive {
     Predictive::new(rates, choice, PlannerSettings::default())
 }
 
-fn baselines(
+fn run_baselines(
     conditions: &Conditions,
     rates: &ServiceRates,
     trace: &[TraceRequest],
@@ -106,10 +106,10 @@
     outcomes
 }
 
-/// Names of the strategies that never change a role.
+/// Names of the strategies that never change roles.
 pub const STATIC_STRATEGIES: [&str; 3] = ["best-static-split", "round-robin", "least-load"];
 
-/// The summary of one strategy by name.
+/// Returns the summary of the strategy with this name.
 pub fn find<'a>(summaries: &'a [StrategySummary], name: &str) -> Option<&'a StrategySummary> {
     summaries.iter().find(|summary| summary.name == name)
 }
--- a/crates/lab/src/compare/options.rs
+++ b/crates/lab/src/compare/options.rs
@@ -11,26 +11,26 @@
 use crate::emulator::Conditions;
 use crate::workload::Workload;
 
-/// Help of the command.
+/// Help text of the command.
 pub const HELP: &str = "\
-Every strategy on the same traces, side by side, in virtual time.
+Runs all strategies on the same traces in virtual time and compares the results.
 
 USAGE:
   tansyhall-lab compare --workload FILE [--seeds N] [--first-seed S] [--faults]
                         [--threads N] [--report DIR] [--json]
 
 OPTIONS:
-  --workload FILE   a workload file; see docs/workloads.md
+  --workload FILE   workload file; see docs/workloads.md
   --seeds N         number of traces (default: 5)
   --first-seed S    seed of the first trace (default: 1)
-  --faults          lose a tenth of the reports, let them be 2 s old, crash an engine a minute,
-                    and take the store away for the middle third of the run
-  --threads N       traces emulated at once (default: 4)
+  --faults          lose a tenth of the reports, delay the others by 2 s, crash one engine per
+                    minute, and make the store unavailable for the middle third of the run
+  --threads N       number of traces emulated in parallel (default: 4)
   --without-search  keep the clairvoyant's engines mixed instead of searching for its roles
   --harm-weight W, --refuse-above R, --safe-below R
-                    override settings of the system's own strategy
+                    override settings of the system's strategy
   --report DIR      write an HTML page with plots
-  --json            one JSON object on the last line
+  --json            print one JSON object on the last line
 ";
 
 /// The options.
@@ -42,32 +42,32 @@
     pub seeds: u64,
     /// Seed of the first trace.
     pub first_seed: u64,
-    /// Whether faults happen.
+    /// Whether faults are injected.
     pub faults: bool,
-    /// Traces emulated at once.
+    /// Number of traces emulated in parallel.
     pub threads: usize,
-    /// Whether to leave out the search for the clairvoyant's roles, which takes most of the time.
+    /// Whether to skip the search for the clairvoyant's roles, which takes most of the time.
     pub without_search: bool,
-    /// Overrides of the choice's settings.
+    /// Settings of the system's engine choice, with overrides applied.
     pub choice: ChoiceSettings,
-    /// Where to write a page.
+    /// Directory of the HTML report.
     pub report: Option<PathBuf>,
     /// Whether to print JSON.
     pub json: bool,
 }
 
-/// Traces of a comparison.
+/// Default number of traces.
 const DEFAULT_SEEDS: u64 = 5;
-/// Traces emulated at once.
+/// Default number of traces emulated in parallel.
 const DEFAULT_THREADS: usize = 4;
-/// Age of reports without faults.
+/// Age of a report on arrival, without faults.
 const REPORT_LAG: Duration = Duration::from_millis(300);
-/// Age of reports under faults.
+/// Age of a report on arrival, with faults.
 const FAULT_REPORT_LAG: Duration = Duration::from_secs(2);
-/// Part of the reports lost under faults.
+/// Fraction of reports lost, with faults.
 const FAULT_REPORT_LOSS: f64 = 0.1;
-/// Moving one token's KV cache: 100 KB at 10 GB/s, in seconds.
-const TRANSFER_TOKEN: f64 = 1e-5;
+/// Time to transfer the KV cache of one token: 100 KB at 10 GB/s.
+const TRANSFER_SECONDS_PER_TOKEN: f64 = 1e-5;
 
 impl Default for Options {
     fn default() -> Self {
@@ -131,7 +131,7 @@
         Ok(options)
     }
 
-    /// What a trace of the workload runs under.
+    /// Returns the conditions under which a trace of the workload runs.
     pub fn conditions(&self, workload: &Workload, seed: u64) -> Conditions {
         let third = workload.duration() / 3;
         Conditions {
@@ -139,16 +139,16 @@
             nodes: workload.nodes,
             costs: CostModel::default(),
             role_change: workload.role_change,
-            report_period: Duration::from_millis(250),
+            report_interval: Duration::from_millis(250),
             report_lag: if self.faults {
                 FAULT_REPORT_LAG
             } else {
                 REPORT_LAG
             },
             report_loss: if self.faults { FAULT_REPORT_LOSS } else { 0.0 },
-            plan_period: Duration::from_millis(500),
+            plan_interval: Duration::from_millis(500),
             link_delay: Duration::from_millis(1),
-            transfer_token: TRANSFER_TOKEN,
+            transfer_token: TRANSFER_SECONDS_PER_TOKEN,
             crashes_per_minute: if self.faults { 1.0 } else { 0.0 },
             restart: Duration::from_secs(10),
             outage: self.faults.then_some((third, third)),
--- a/crates/lab/src/compare/report.rs
+++ b/crates/lab/src/compare/report.rs
@@ -1,5 +1,5 @@
-//! A page with plots: goodput over time for each strategy on the first seed, with the mix and the
-//! role changes drawn in.
+//! An HTML page with a plot per strategy: goodput over time on the first seed, with the request mix
+//! and the role changes.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -14,10 +14,10 @@
 
 const WIDTH: u32 = 900;
 const HEIGHT: u32 = 260;
-/// Seconds that each point of a curve averages over.
-const SMOOTHING_SECONDS: usize = 5;
+/// Window of the moving average that each curve shows.
+const SMOOTHING_WINDOW_SECONDS: usize = 5;
 
-/// Writes `index.html` and its plots into a directory.
+/// Writes `index.html` and its plots to a directory.
 pub fn write(
     directory: &Path,
     workload: &Workload,
@@ -64,15 +64,15 @@
         )?;
     }
     page.push_str(
-        "</table><p>Blue: requests that met their deadlines, as a part of those that \
-                   arrived. Grey: prompt tokens, as a part of all tokens. Red: role changes.</p>",
+        "</table><p>Blue: requests that met their deadlines, as a fraction of those that \
+                   arrived. Grey: prompt tokens, as a fraction of all tokens. Red: role changes.</p>",
     );
     Ok(())
 }
 
-fn curve(timeline: &[TimePoint], value: impl Fn(&[TimePoint]) -> f64) -> Vec<(f64, f64)> {
+fn moving_average(timeline: &[TimePoint], value: impl Fn(&[TimePoint]) -> f64) -> Vec<(f64, f64)> {
     let windows = timeline
-        .windows(SMOOTHING_SECONDS.min(timeline.len()).max(1))
+        .windows(SMOOTHING_WINDOW_SECONDS.min(timeline.len()).max(1))
         .enumerate();
     windows
         .map(|(second, window)| (second as f64, value(window)))
@@ -85,7 +85,7 @@
     f64::from(met) / f64::from(offered.max(1))
 }
 
-fn prompt_share(window: &[TimePoint]) -> f64 {
+fn prompt_token_ratio(window: &[TimePoint]) -> f64 {
     let prompt: u64 = window.iter().map(|point| point.prompt_tokens).sum();
     let output: u64 = window.iter().map(|point| point.output_tokens).sum();
     prompt as f64 / ((prompt + output) as f64).max(1.0)
@@ -93,30 +93,30 @@
 
 fn plot(file: &Path, name: &str, outcome: &Outcome) -> Result<()> {
     let area = SVGBackend::new(file, (WIDTH, HEIGHT)).into_drawing_area();
-    let failed = |error: String| anyhow!("cannot plot {name}: {error}");
+    let plot_error = |error: String| anyhow!("cannot plot {name}: {error}");
     area.fill(&WHITE)
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| plot_error(error.to_string()))?;
     let seconds = outcome.timeline.len() as f64;
     let mut chart = ChartBuilder::on(&area)
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(40)
         .build_cartesian_2d(0.0..seconds, 0.0..1.05)
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| plot_error(error.to_string()))?;
     chart
         .configure_mesh()
         .x_desc("seconds")
         .draw()
-        .map_err(|error| failed(error.to_string()))?;
-    let mix = curve(&outcome.timeline, prompt_share);
+        .map_err(|error| plot_error(error.to_string()))?;
+    let mix = moving_average(&outcome.timeline, prompt_token_ratio);
     let grey = RGBColor(160, 160, 160);
     chart
         .draw_series(LineSeries::new(mix, &grey))
-        .map_err(|error| failed(error.to_string()))?;
-    let met = curve(&outcome.timeline, goodput);
+        .map_err(|error| plot_error(error.to_string()))?;
+    let met = moving_average(&outcome.timeline, goodput);
     chart
         .draw_series(LineSeries::new(met, &BLUE))
-        .map_err(|error| failed(error.to_string()))?;
+        .map_err(|error| plot_error(error.to_string()))?;
     let changes = outcome
         .timeline
         .iter()
@@ -126,6 +126,7 @@
         .map(|(second, _)| PathElement::new(vec![(second as f64, 0.0), (second as f64, 1.0)], RED));
     chart
         .draw_series(marks)
-        .map_err(|error| failed(error.to_string()))?;
-    area.present().map_err(|error| failed(error.to_string()))
+        .map_err(|error| plot_error(error.to_string()))?;
+    area.present()
+        .map_err(|error| plot_error(error.to_string()))
 }
--- a/crates/lab/src/compare/search.rs
+++ b/crates/lab/src/compare/search.rs
@@ -1,6 +1,6 @@
-//! Searches for the best that could have been done with a trace known in advance: constant splits,
-//! then another split for each phase in turn, each with several weights of harm. The result is a
-//! bound found by search, not a proven optimum.
+//! Searches for the best schedule of roles for a trace that is known in advance: first among constant
+//! splits, then by changing the split of one phase at a time. Several harm weights are tried before
+//! and after. The result is a bound found by search, not a proven optimum.
 
 use std::time::Duration;
 
@@ -12,18 +12,19 @@
 use crate::strategy::Clairvoyant;
 use crate::workload::{TraceRequest, Workload};
 
-/// Weights of harm that the search tries.
+/// Harm weights that the search tries.
 const HARM_WEIGHTS: [f64; 5] = [0.1, 0.3, 0.5, 1.0, 2.0];
-/// Most engines for which every split is tried; above it splits are tried in steps.
-const EXHAUSTIVE_ENGINES: usize = 9;
+/// Maximum number of engines for which every split is tried; with more engines the split sizes
+/// advance in larger steps.
+const MAX_EXHAUSTIVE_ENGINES: usize = 9;
 
-/// A trace to search on.
+/// A search over the role schedules of one trace.
 pub struct Search<'a> {
-    /// What runs take place under.
+    /// Conditions of the emulated runs.
     pub conditions: &'a Conditions,
-    /// The engines' costs.
+    /// Service rates of the engines.
     pub rates: ServiceRates,
-    /// The requests.
+    /// Requests of the trace.
     pub trace: &'a [TraceRequest],
 }
 
@@ -37,12 +38,12 @@
         phase_starts(workload).into_iter().map(step).collect()
     }
 
-    /// The best outcome with every engine mixed throughout.
-    pub fn mixed(&self, workload: &Workload) -> Outcome {
+    /// Returns the best outcome if all engines stay mixed.
+    pub fn best_mixed(&self, workload: &Workload) -> Outcome {
         self.best_settings(&self.mixed_schedule(workload)).0
     }
 
-    /// The best outcome found.
+    /// Returns the best outcome found.
     pub fn best(&self, workload: &Workload) -> Outcome {
         let mut schedule = self.mixed_schedule(workload);
         let (mut best, settings) = self.best_settings(&schedule);
@@ -51,18 +52,18 @@
             candidate
                 .iter_mut()
                 .for_each(|step| step.roles.clone_from(&roles));
-            self.improve(&mut best, &mut schedule, candidate, settings);
+            self.keep_if_better(&mut best, &mut schedule, candidate, settings);
         }
         for phase in 0..schedule.len() {
             for roles in splits(self.conditions.engines) {
                 let mut candidate = schedule.clone();
                 candidate[phase].roles = roles;
-                self.improve(&mut best, &mut schedule, candidate, settings);
+                self.keep_if_better(&mut best, &mut schedule, candidate, settings);
             }
         }
-        let (again, _) = self.best_settings(&schedule);
-        if again.goodput() > best.goodput() {
-            return again;
+        let (retuned, _) = self.best_settings(&schedule);
+        if retuned.goodput() > best.goodput() {
+            return retuned;
         }
         best
     }
@@ -81,10 +82,10 @@
             .into_iter()
             .map(|settings| (self.run(schedule, settings), settings))
             .max_by(|left, right| left.0.goodput().total_cmp(&right.0.goodput()))
-            .expect("there are weights to try")
+            .expect("HARM_WEIGHTS is not empty")
     }
 
-    fn improve(
+    fn keep_if_better(
         &self,
         best: &mut Outcome,
         schedule: &mut Vec<ScheduleStep>,
@@ -109,9 +110,10 @@
     starts
 }
 
-/// Every split with at least one prefill and one decode engine, and all mixed.
+/// Returns the role assignments to try: all engines mixed, and each split with at least one prefill
+/// and one decode engine.
 fn splits(engines: usize) -> Vec<Vec<Role>> {
-    let step = engines.div_ceil(EXHAUSTIVE_ENGINES);
+    let step = engines.div_ceil(MAX_EXHAUSTIVE_ENGINES);
     let mut splits = vec![vec![Role::Mixed; engines]];
     for prefill in (1..engines).step_by(step) {
         for decode in (1..=engines - prefill).step_by(step) {
--- a/crates/lab/src/compare/statistics.rs
+++ b/crates/lab/src/compare/statistics.rs
@@ -1,23 +1,23 @@
-//! Means and spreads over seeds.
+//! Means and ranges over seeds.
 
 use serde::Serialize;
 
 use super::SeedOutcomes;
 use crate::emulator::Outcome;
 
-/// A mean over seeds with its extremes.
+/// Mean, minimum and maximum over seeds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Spread {
-    /// The mean.
+    /// Mean.
     pub mean: f64,
-    /// The smallest.
+    /// Minimum.
     pub min: f64,
-    /// The largest.
+    /// Maximum.
     pub max: f64,
 }
 
 impl Spread {
-    fn of(values: &[f64]) -> Self {
+    fn from_values(values: &[f64]) -> Self {
         let mean = values.iter().sum::<f64>() / values.len() as f64;
         let min = values.iter().copied().fold(f64::INFINITY, f64::min);
         let max = values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
@@ -25,19 +25,19 @@
     }
 }
 
-/// One strategy over all seeds.
+/// Results of one strategy over all seeds.
 #[derive(Debug, Clone, Serialize)]
 pub struct StrategySummary {
-    /// The strategy.
+    /// Name of the strategy.
     #[serde(skip)]
     pub name: String,
-    /// Requests that met their deadlines, as a part of those offered.
+    /// Requests that met their deadlines, as a fraction of those offered.
     pub goodput: Spread,
-    /// Goodput over the clairvoyant's on the same seed.
+    /// Ratio of the goodput to the clairvoyant's goodput on the same seed.
     pub goodput_ratio_to_clairvoyant: Spread,
-    /// Changes of role.
+    /// Role changes.
     pub role_changes: Spread,
-    /// Requests refused as not run.
+    /// Requests rejected as not run.
     pub rejected: Spread,
     /// 95th percentile of the time to the first token, in milliseconds.
     pub p95_ttft_ms: Spread,
@@ -45,7 +45,7 @@
     pub p95_inter_token_ms: Spread,
 }
 
-/// Summarises every strategy, in the order of the outcomes.
+/// Summarises all strategies, in the order of the outcomes.
 pub fn summarise(outcomes: &[SeedOutcomes]) -> Vec<StrategySummary> {
     let count = outcomes.first().map_or(0, |seed| seed.strategies.len());
     (0..count)
@@ -59,14 +59,17 @@
             .iter()
             .map(|seed| value(seed, &seed.strategies[index].1))
             .collect();
-        Spread::of(&values)
+        Spread::from_values(&values)
     };
-    let bound = |seed: &SeedOutcomes| seed.strategies.last().map_or(1.0, |last| last.1.goodput());
+    let clairvoyant_goodput =
+        |seed: &SeedOutcomes| seed.strategies.last().map_or(1.0, |last| last.1.goodput());
     let millis = |micros: u64| micros as f64 / 1_000.0;
     StrategySummary {
         name: outcomes[0].strategies[index].0.clone(),
         goodput: spread(&|_, outcome| outcome.goodput()),
-        goodput_ratio_to_clairvoyant: spread(&|seed, outcome| outcome.goodput() / bound(seed)),
+        goodput_ratio_to_clairvoyant: spread(&|seed, outcome| {
+            outcome.goodput() / clairvoyant_goodput(seed)
+        }),
         role_changes: spread(&|_, outcome| outcome.role_changes as f64),
         rejected: spread(&|_, outcome| outcome.rejected as f64),
         p95_ttft_ms: spread(&|_, outcome| millis(outcome.first_token.value_at_quantile(0.95))),
--- a/crates/lab/src/compare/table.rs
+++ b/crates/lab/src/compare/table.rs
@@ -1,4 +1,4 @@
-//! The comparison as a table for people and as JSON for programs.
+//! Prints the comparison as a text table or as JSON.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
     strategies: BTreeMap<&'a str, &'a StrategySummary>,
 }
 
-/// Mean goodput of the system over the best strategy that never changes a role.
+/// Ratio of the system's mean goodput to that of the best strategy that never changes roles.
 fn ratio_to_best_static(summaries: &[StrategySummary]) -> f64 {
     let goodput = |name: &str| find(summaries, name).map_or(0.0, |summary| summary.goodput.mean);
     let best = STATIC_STRATEGIES
@@ -37,7 +37,7 @@
     goodput("tansyhall") / goodput("reactive")
 }
 
-/// One JSON object.
+/// Formats the comparison as one JSON object.
 pub fn json(
     workload: &Workload,
     options: &Options,
@@ -59,7 +59,7 @@
     Ok(serde_json::to_string(&document)?)
 }
 
-/// A table with means and extremes.
+/// Formats the comparison as a table of means, minima and maxima.
 pub fn text(workload: &Workload, options: &Options, summaries: &[StrategySummary]) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING).set_header([
--- a/crates/lab/src/emulator/control.rs
+++ b/crates/lab/src/emulator/control.rs
@@ -1,5 +1,5 @@
-//! What happens around engines: reports, the holder's plans, changes of role, and when engines
-//! crash.
+//! Events that control engines: reports, the lease holder's plans, role changes and the schedule of
+//! crashes.
 
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 use super::engine::EngineMode;
 use super::events::Event;
 use super::run::Emulation;
-use crate::strategy::PoolFacts;
+use crate::strategy::PoolView;
 
 impl Emulation<'_> {
     pub(super) fn schedule_crash(&mut self) {
         if self.conditions.crashes_per_minute <= 0.0 {
             return;
         }
-        let mean = 60.0 / self.conditions.crashes_per_minute;
-        let wait = -(1.0 - self.random.random::<f64>()).ln() * mean;
+        let mean_seconds = 60.0 / self.conditions.crashes_per_minute;
+        let delay_seconds = -(1.0 - self.random.random::<f64>()).ln() * mean_seconds;
         let engine = self.random.random_range(0..self.engines.len());
         self.events.push(
-            self.now + Duration::from_secs_f64(wait),
+            self.now + Duration::from_secs_f64(delay_seconds),
             Event::Crash { engine },
         );
     }
 
-    pub(super) fn make_reports(&mut self) {
+    pub(super) fn send_reports(&mut self) {
         for engine in 0..self.engines.len() {
             if self.engines[engine].mode == EngineMode::Down {
                 continue;
@@ -48,29 +48,31 @@
                     .push(self.now + self.conditions.report_lag, report);
             }
         }
-        self.events
-            .push(self.now + self.conditions.report_period, Event::MakeReports);
+        self.events.push(
+            self.now + self.conditions.report_interval,
+            Event::SendReports,
+        );
     }
 
-    pub(super) fn may_plan(&self) -> bool {
+    pub(super) fn can_plan(&self) -> bool {
         let since_start = self.now.since(Timestamp::default());
-        let inside = |(start, length): (Duration, Duration)| {
+        let is_during = |(start, length): (Duration, Duration)| {
             since_start >= start && since_start < start + length
         };
-        !self.conditions.outage.is_some_and(inside)
+        !self.conditions.outage.is_some_and(is_during)
     }
 
     pub(super) fn plan(&mut self) {
         self.events
-            .push(self.now + self.conditions.plan_period, Event::Plan);
-        if !self.may_plan() {
+            .push(self.now + self.conditions.plan_interval, Event::Plan);
+        if !self.can_plan() {
             return;
         }
-        let facts = PoolFacts {
+        let view = PoolView {
             now: self.now,
             engines: self.estimates(0),
         };
-        let Some(change) = self.strategy.plan(&facts) else {
+        let Some(change) = self.strategy.plan(&view) else {
             return;
         };
         if self.engines[change.engine].mode != EngineMode::Serving {
@@ -78,14 +80,15 @@
         }
         self.engines[change.engine].mode = EngineMode::Draining(change.role);
         self.outcome.role_changes += 1;
-        let second = self.second(self.now);
+        let second = self.timeline_index(self.now);
         self.outcome.timeline[second].role_changes += 1;
-        self.tell_nodes(change.engine);
-        self.change_if_idle(change.engine);
+        self.notify_nodes(change.engine);
+        self.start_role_change_if_idle(change.engine);
     }
 
-    /// Nodes learn of drains and restarts by gossip, well before the next report.
-    pub(super) fn tell_nodes(&mut self, engine: usize) {
+    /// Updates the nodes' role and availability of an engine at once: nodes learn of drains and restarts
+    /// by gossip, well before the next report.
+    pub(super) fn notify_nodes(&mut self, engine: usize) {
         let accepts_work = self.engines[engine].accepts_work();
         for node in &mut self.nodes {
             node.engines[engine].accepts_work = accepts_work;
@@ -93,7 +96,7 @@
         }
     }
 
-    pub(super) fn change_if_idle(&mut self, engine: usize) {
+    pub(super) fn start_role_change_if_idle(&mut self, engine: usize) {
         let state = &mut self.engines[engine];
         let EngineMode::Draining(role) = state.mode else {
             return;
@@ -102,10 +105,10 @@
             return;
         }
         state.mode = EngineMode::Changing(role);
-        let ends = self.now + self.conditions.role_change;
+        let end = self.now + self.conditions.role_change;
         let incarnation = state.incarnation;
         self.events.push(
-            ends,
+            end,
             Event::RoleChanged {
                 engine,
                 incarnation,
@@ -113,7 +116,7 @@
         );
     }
 
-    pub(super) fn role_changed(&mut self, engine: usize, incarnation: u32) {
+    pub(super) fn finish_role_change(&mut self, engine: usize, incarnation: u32) {
         let state = &mut self.engines[engine];
         if state.incarnation != incarnation {
             return;
@@ -121,7 +124,7 @@
         let EngineMode::Changing(role) = state.mode else {
             return;
         };
-        state.take_role(role);
-        self.tell_nodes(engine);
+        state.set_role(role);
+        self.notify_nodes(engine);
     }
 }
--- a/crates/lab/src/emulator/engine.rs
+++ b/crates/lab/src/emulator/engine.rs
@@ -4,38 +4,38 @@
 use tansyhall_engine_model::{Batch, CostModel};
 use tansyhall_routing::LoadSnapshot;
 
-/// What an engine is doing about work.
+/// Availability of an engine for work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineMode {
-    /// Takes work.
+    /// Accepts work.
     Serving,
-    /// Takes no new work; changes to the role once idle.
+    /// Accepts no new work; changes to the given role once idle.
     Draining(Role),
-    /// Away for a change to the role.
+    /// Unavailable while it changes to the given role.
     Changing(Role),
     /// Crashed.
     Down,
 }
 
-/// An engine and its batch.
+/// An emulated engine and its batch.
 pub struct EmulatedEngine {
-    /// The batch.
+    /// Batch of running and waiting work.
     pub batch: Batch,
-    /// The role in force.
+    /// Current role.
     pub role: Role,
-    /// What it is doing.
+    /// Availability for work.
     pub mode: EngineMode,
-    /// Grows with each crash.
+    /// Number of crashes so far; events of an earlier incarnation are ignored.
     pub incarnation: u32,
-    /// Whether an iteration is under way.
+    /// Whether an iteration is in progress.
     pub iterating: bool,
-    /// Prompt tokens accepted since the start.
+    /// Prompt tokens accepted since the last crash, or since the start of the run.
     pub accepted_prompt_tokens: f64,
     costs: CostModel,
 }
 
 impl EmulatedEngine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(costs: CostModel, role: Role) -> Self {
         let mut batch = Batch::new(costs);
         batch.set_role(role);
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Whether it takes new work.
+    /// Returns whether the engine accepts new work.
     pub fn accepts_work(&self) -> bool {
         self.mode == EngineMode::Serving
     }
 
-    /// The present load.
+    /// Returns the current load.
     pub fn snapshot(&self, now: Timestamp) -> LoadSnapshot {
         let decoding = self.batch.decoding();
         LoadSnapshot {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Loses everything.
+    /// Crashes the engine, which loses all its work.
     pub fn crash(&mut self) {
         self.batch = Batch::new(self.costs);
         self.batch.set_role(self.role);
@@ -78,8 +78,8 @@
         self.accepted_prompt_tokens = 0.0;
     }
 
-    /// Plays a new role.
-    pub fn take_role(&mut self, role: Role) {
+    /// Sets a new role and accepts work again.
+    pub fn set_role(&mut self, role: Role) {
         self.role = role;
         self.batch.set_role(role);
         self.mode = EngineMode::Serving;
--- a/crates/lab/src/emulator/events.rs
+++ b/crates/lab/src/emulator/events.rs
@@ -1,4 +1,4 @@
-//! The event queue: events in order of time, and of insertion within the same moment.
+//! The event queue: events in order of time; events at the same time in order of insertion.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,7 +6,7 @@
 use tansyhall_core::{Role, Timestamp};
 use tansyhall_routing::LoadSnapshot;
 
-/// Something that happens.
+/// An event of the emulation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event {
     /// A request of the trace arrives at its node.
@@ -20,7 +20,7 @@
         engine: usize,
         /// Index into the trace.
         request: usize,
-        /// Whether this is the answer's part after a KV transfer.
+        /// Whether this is the decode part of a split request, after its KV transfer.
         decode_part: bool,
     },
     /// An engine's iteration ends.
@@ -30,28 +30,28 @@
         /// The engine's incarnation when the iteration began.
         incarnation: u32,
     },
-    /// Engines make their reports.
-    MakeReports,
+    /// All engines send reports.
+    SendReports,
     /// A report reaches a node.
     Report {
         /// The node.
         node: usize,
         /// The engine.
         engine: usize,
-        /// The engine's role when it was made.
+        /// The engine's role when the report was made.
         role: Role,
-        /// Whether the engine took work when it was made.
+        /// Whether the engine accepted work when the report was made.
         accepts_work: bool,
-        /// The load.
+        /// The engine's load when the report was made.
         snapshot: LoadSnapshot,
     },
-    /// The holder plans.
+    /// The lease holder plans roles.
     Plan,
     /// A role change ends.
     RoleChanged {
         /// The engine.
         engine: usize,
-        /// The engine's incarnation when it began.
+        /// The engine's incarnation when the role change began.
         incarnation: u32,
     },
     /// An engine crashes.
@@ -59,7 +59,7 @@
         /// The engine.
         engine: usize,
     },
-    /// A crashed engine is back.
+    /// A crashed engine has restarted.
     Restart {
         /// The engine.
         engine: usize,
@@ -87,7 +87,7 @@
     }
 }
 
-/// Events to come.
+/// Pending events.
 #[derive(Debug, Default)]
 pub struct EventQueue {
     heap: BinaryHeap<Reverse<Entry>>,
@@ -105,7 +105,7 @@
         }));
     }
 
-    /// Takes the next event.
+    /// Removes and returns the next event.
     pub fn pop(&mut self) -> Option<(Timestamp, Event)> {
         self.heap
             .pop()
--- a/crates/lab/src/emulator/mod.rs
+++ b/crates/lab/src/emulator/mod.rs
@@ -1,6 +1,6 @@
-//! A pool in virtual time: engines that run the engine model, nodes that route with old reports
-//! and their own requests, one holder that plans. Everything random comes from the seed, so the
-//! same seed gives the same run to the last event.
+//! Emulates a pool in virtual time: engines that run the engine model, nodes that route by delayed
+//! reports and by the requests they sent themselves, and one lease holder that plans roles. All
+//! randomness comes from the seed, so the same seed reproduces a run event by event.
 
 mod control;
 mod engine;
--- a/crates/lab/src/emulator/node.rs
+++ b/crates/lab/src/emulator/node.rs
@@ -1,16 +1,16 @@
-//! One emulated node: its beliefs about the engines it routes to.
+//! An emulated node: its estimates of the engines that it routes to.
 
 use tansyhall_core::{Role, Timestamp};
 use tansyhall_routing::{EngineEstimate, EngineTracker};
 
-/// A node's trackers, one for each engine.
+/// An emulated node.
 pub struct EmulatedNode {
-    /// The trackers.
+    /// Trackers, one per engine.
     pub engines: Vec<EngineTracker>,
 }
 
 impl EmulatedNode {
-    /// A node that knows the engines' first roles.
+    /// Creates a node that knows the initial roles of the engines.
     pub fn new(roles: &[Role], max_sequences: usize, sharing_nodes: usize) -> Self {
         let tracker = |role: &Role| EngineTracker::new(*role, max_sequences as f64, sharing_nodes);
         Self {
@@ -18,7 +18,7 @@
         }
     }
 
-    /// What the node believes at `now`.
+    /// Returns the node's estimates of the engines at `now`.
     pub fn estimates(&self, now: Timestamp) -> Vec<EngineEstimate> {
         self.engines
             .iter()
--- a/crates/lab/src/emulator/outcome.rs
+++ b/crates/lab/src/emulator/outcome.rs
@@ -1,49 +1,49 @@
-//! What came of a run.
+//! Results of an emulated run.
 
 use hdrhistogram::Histogram;
 
-/// Counts of one second of a run.
+/// Counts for one second of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TimePoint {
     /// Requests that arrived.
     pub offered: u32,
-    /// Requests, by arrival, that met their deadlines.
+    /// Requests that arrived in this second and met their deadlines.
     pub met: u32,
-    /// Part of the offered tokens that are prompt tokens.
+    /// Prompt tokens of the requests that arrived.
     pub prompt_tokens: u64,
-    /// Offered answer tokens.
+    /// Answer tokens of the requests that arrived.
     pub output_tokens: u64,
-    /// Changes of role begun.
+    /// Role changes started.
     pub role_changes: u32,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// Requests that arrived.
     pub offered: u64,
     /// Requests that met their deadlines.
     pub met: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub completed: u64,
-    /// Requests refused as not run.
+    /// Requests rejected as not run.
     pub rejected: u64,
-    /// Changes of role begun.
+    /// Role changes started.
     pub role_changes: u64,
     /// Times to the first token, in microseconds.
     pub first_token: Histogram<u64>,
     /// Times to the last token, in microseconds.
     pub whole: Histogram<u64>,
-    /// Mean times between tokens of each answer, in microseconds.
+    /// Mean time between tokens of each answer, in microseconds.
     pub inter_token: Histogram<u64>,
-    /// Second by second.
+    /// Counts for each second.
     pub timeline: Vec<TimePoint>,
 }
 
 impl Outcome {
-    /// Nothing yet, over `seconds`.
+    /// Creates an empty outcome of a run that lasts `seconds`.
     pub fn new(seconds: usize) -> Self {
-        let histogram = || Histogram::new(3).expect("three digits are valid");
+        let histogram = || Histogram::new(3).expect("3 significant digits are valid");
         Self {
             offered: 0,
             met: 0,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Requests that met their deadlines, as a part of those that arrived.
+    /// Returns the fraction of arrived requests that met their deadlines.
     pub fn goodput(&self) -> f64 {
         self.met as f64 / (self.offered as f64).max(1.0)
     }
--- a/crates/lab/src/emulator/run.rs
+++ b/crates/lab/src/emulator/run.rs
@@ -1,4 +1,4 @@
-//! The event loop.
+//! The event loop of the emulator.
 
 use std::time::Duration;
 
@@ -12,52 +12,52 @@
 use super::events::{Event, EventQueue};
 use super::node::EmulatedNode;
 use super::outcome::Outcome;
-use crate::strategy::{RequestFacts, Strategy};
+use crate::strategy::{RequestInfo, Strategy};
 use crate::workload::TraceRequest;
 
-/// What a run takes place under.
+/// Conditions of a run.
 #[derive(Debug, Clone)]
 pub struct Conditions {
     /// Engines in the pool.
     pub engines: usize,
-    /// Nodes that route to it.
+    /// Nodes that route to the pool.
     pub nodes: usize,
-    /// The engines' costs.
+    /// Cost model of the engines.
     pub costs: CostModel,
-    /// How long an engine is away for a change of role.
+    /// How long an engine is unavailable during a role change.
     pub role_change: Duration,
-    /// Time between reports of an engine.
-    pub report_period: Duration,
-    /// How old a report is when it arrives.
+    /// Interval between the reports of an engine.
+    pub report_interval: Duration,
+    /// Age of a report when it arrives.
     pub report_lag: Duration,
-    /// Part of the reports that never arrive.
+    /// Fraction of reports that never arrive.
     pub report_loss: f64,
-    /// Time between the holder's looks.
-    pub plan_period: Duration,
-    /// One way between a node and an engine.
+    /// Interval between the lease holder's plans.
+    pub plan_interval: Duration,
+    /// One-way delay between a node and an engine.
     pub link_delay: Duration,
-    /// Moving the KV cache of one token between engines, in seconds.
+    /// Time to transfer the KV cache of one token between engines, in seconds.
     pub transfer_token: f64,
-    /// Engine crashes a minute.
+    /// Engine crashes per minute.
     pub crashes_per_minute: f64,
-    /// How long a crashed engine is away.
+    /// How long a crashed engine is unavailable.
     pub restart: Duration,
-    /// When the platform's store is away, so that nobody may plan: start and length.
+    /// Outage of the platform's store, during which no plans are made: start and duration.
     pub outage: Option<(Duration, Duration)>,
-    /// Seed of losses and crashes.
+    /// Seed of report losses and crashes.
     pub seed: u64,
 }
 
-/// Attempts a request has before it is given up.
+/// Maximum number of routing attempts before a request is rejected.
 const MAX_ATTEMPTS: u32 = 4;
-/// Most answer tokens a caller allows, as a multiple of the tokens that the answer will have.
+/// Ratio of the token limit that a caller sets to the actual number of answer tokens.
 const MAX_TOKENS_FACTOR: f64 = 2.0;
 
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Progress {
     pub(super) attempts: u32,
     pub(super) generated: u32,
-    pub(super) base: u32,
+    pub(super) generated_before: u32,
     pub(super) placement: Option<Placement>,
     pub(super) first_token: Option<Timestamp>,
     pub(super) done: bool,
@@ -78,17 +78,17 @@
     pub(super) end: Timestamp,
 }
 
-/// Runs a trace under a strategy.
+/// Runs a trace with a strategy.
 pub fn run(
     conditions: &Conditions,
     trace: &[TraceRequest],
     strategy: &mut dyn Strategy,
 ) -> Outcome {
     let roles = strategy.initial_roles(conditions.engines);
-    let last = trace
+    let last_arrival = trace
         .last()
         .map_or(Timestamp::default(), |request| request.arrival);
-    let seconds = (last.as_millis() / 1_000) as usize + 1;
+    let seconds = (last_arrival.as_millis() / 1_000) as usize + 1;
     let node = || EmulatedNode::new(&roles, conditions.costs.max_sequences, conditions.nodes);
     let mut emulation = Emulation {
         conditions,
@@ -100,38 +100,38 @@
             .iter()
             .map(|role| EmulatedEngine::new(conditions.costs, *role))
             .collect(),
-        true_rates: vec![PrefillRate::new(TRUE_RATE_SECONDS); conditions.engines],
+        true_rates: vec![PrefillRate::new(TRUE_RATE_TIME_CONSTANT_SECONDS); conditions.engines],
         nodes: (0..conditions.nodes).map(|_| node()).collect(),
         progress: vec![Progress::default(); trace.len()],
         random: ChaCha8Rng::seed_from_u64(conditions.seed),
         outcome: Outcome::new(seconds),
-        end: last + DRAIN_TIME,
+        end: last_arrival + DRAIN_DURATION,
     };
-    emulation.schedule();
-    emulation.run();
+    emulation.schedule_initial_events();
+    emulation.run_events();
     emulation.outcome
 }
 
-/// Time constant of the true prefill rate, in seconds.
-const TRUE_RATE_SECONDS: f64 = 3.0;
-/// Time that requests have to end after the last arrival.
-const DRAIN_TIME: Duration = Duration::from_secs(60);
+/// Time constant of the engines' true prefill rates.
+const TRUE_RATE_TIME_CONSTANT_SECONDS: f64 = 3.0;
+/// Time for requests to end after the last arrival.
+const DRAIN_DURATION: Duration = Duration::from_secs(60);
 
 impl Emulation<'_> {
-    pub(super) fn schedule(&mut self) {
+    pub(super) fn schedule_initial_events(&mut self) {
         for (index, request) in self.trace.iter().enumerate() {
             self.events
                 .push(request.arrival, Event::Arrival { request: index });
         }
         let start = Timestamp::default();
         self.events
-            .push(start + self.conditions.report_period, Event::MakeReports);
+            .push(start + self.conditions.report_interval, Event::SendReports);
         self.events
-            .push(start + self.conditions.plan_period, Event::Plan);
+            .push(start + self.conditions.plan_interval, Event::Plan);
         self.schedule_crash();
     }
 
-    pub(super) fn run(&mut self) {
+    pub(super) fn run_events(&mut self) {
         while let Some((at, event)) = self.events.pop() {
             if at > self.end {
                 return;
@@ -143,7 +143,7 @@
 
     pub(super) fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrival { request } => self.arrive(request),
+            Event::Arrival { request } => self.handle_arrival(request),
             Event::Submit {
                 engine,
                 request,
@@ -154,8 +154,8 @@
             Event::IterationEnd {
                 engine,
                 incarnation,
-            } => self.iteration_end(engine, incarnation),
-            Event::MakeReports => self.make_reports(),
+            } => self.finish_iteration(engine, incarnation),
+            Event::SendReports => self.send_reports(),
             Event::Report {
                 node,
                 engine,
@@ -172,16 +172,16 @@
             Event::RoleChanged {
                 engine,
                 incarnation,
-            } => self.role_changed(engine, incarnation),
+            } => self.finish_role_change(engine, incarnation),
             Event::Crash { engine } => self.crash(engine),
             Event::Restart { engine } => {
                 self.engines[engine].mode = EngineMode::Serving;
-                self.tell_nodes(engine);
+                self.notify_nodes(engine);
             }
         }
     }
 
-    pub(super) fn second(&self, at: Timestamp) -> usize {
+    pub(super) fn timeline_index(&self, at: Timestamp) -> usize {
         ((at.as_millis() / 1_000) as usize).min(self.outcome.timeline.len() - 1)
     }
 
@@ -189,10 +189,10 @@
         request % self.nodes.len()
     }
 
-    pub(super) fn facts(&self, request: usize) -> RequestFacts {
+    pub(super) fn request_info(&self, request: usize) -> RequestInfo {
         let traced = &self.trace[request];
         let remaining = f64::from(traced.output_tokens - self.progress[request].generated);
-        RequestFacts {
+        RequestInfo {
             node: self.node_of(request),
             class: traced.class,
             prompt_tokens: f64::from(traced.prompt_tokens + self.progress[request].generated),
@@ -202,16 +202,16 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, request: usize) {
+    pub(super) fn handle_arrival(&mut self, request: usize) {
         let traced = self.trace[request];
-        let second = self.second(traced.arrival);
+        let second = self.timeline_index(traced.arrival);
         let point = &mut self.outcome.timeline[second];
         point.offered += 1;
         point.prompt_tokens += u64::from(traced.prompt_tokens);
         point.output_tokens += u64::from(traced.output_tokens);
         self.outcome.offered += 1;
-        let facts = self.facts(request);
-        self.strategy.offered(self.now, &facts);
+        let info = self.request_info(request);
+        self.strategy.record_offered(self.now, &info);
         self.route(request);
     }
 
@@ -242,13 +242,13 @@
         if self.progress[request].attempts > MAX_ATTEMPTS {
             return self.reject(request);
         }
-        let facts = self.facts(request);
-        let estimates = self.estimates(facts.node);
-        let Choice::Send { placement, .. } = self.strategy.route(&facts, &estimates) else {
+        let info = self.request_info(request);
+        let estimates = self.estimates(info.node);
+        let Choice::Send { placement, .. } = self.strategy.route(&info, &estimates) else {
             return self.reject(request);
         };
         self.progress[request].placement = Some(placement);
-        self.progress[request].base = self.progress[request].generated;
+        self.progress[request].generated_before = self.progress[request].generated;
         let engine = match placement {
             Placement::Single(engine) => engine,
             Placement::Split { prefill, .. } => prefill,
@@ -257,7 +257,7 @@
             request,
             engine,
             false,
-            facts.prompt_tokens,
+            info.prompt_tokens,
             self.conditions.link_delay,
         );
     }
--- a/crates/lab/src/emulator/serve.rs
+++ b/crates/lab/src/emulator/serve.rs
@@ -1,5 +1,5 @@
-//! What happens at engines: work arrives, iterations end, answers advance and complete, engines
-//! crash and lose what they had.
+//! Events at engines: work arrives, iterations end, answers advance and complete, and engines crash
+//! and lose their work.
 
 use std::time::Duration;
 
@@ -69,11 +69,11 @@
         if state.iterating || state.mode == EngineMode::Down {
             return;
         }
-        if let Some(ends) = state.batch.begin_iteration(self.now) {
+        if let Some(end) = state.batch.begin_iteration(self.now) {
             state.iterating = true;
             let incarnation = state.incarnation;
             self.events.push(
-                ends,
+                end,
                 Event::IterationEnd {
                     engine,
                     incarnation,
@@ -82,19 +82,19 @@
         }
     }
 
-    pub(super) fn iteration_end(&mut self, engine: usize, incarnation: u32) {
+    pub(super) fn finish_iteration(&mut self, engine: usize, incarnation: u32) {
         if self.engines[engine].incarnation != incarnation {
             return;
         }
         self.engines[engine].iterating = false;
         for step in self.engines[engine].batch.finish_iteration() {
-            self.advance(engine, step.id.0 as usize, step.generated, step.finished);
+            self.record_progress(engine, step.id.0 as usize, step.generated, step.finished);
         }
         self.start_iteration(engine);
-        self.change_if_idle(engine);
+        self.start_role_change_if_idle(engine);
     }
 
-    pub(super) fn advance(
+    pub(super) fn record_progress(
         &mut self,
         engine: usize,
         request: usize,
@@ -104,7 +104,7 @@
         let node = self.node_of(request);
         let id = RequestId(request as u128);
         let progress = &mut self.progress[request];
-        progress.generated = progress.base + generated;
+        progress.generated = progress.generated_before + generated;
         progress.first_token.get_or_insert(self.now);
         self.nodes[node].engines[engine].record_first_token(self.now, id);
         if !finished {
@@ -116,10 +116,10 @@
             return self.complete(request);
         }
         if let Some(Placement::Split { decode, .. }) = progress.placement {
-            progress.base = progress.generated;
+            progress.generated_before = progress.generated;
             let context = self.trace[request].prompt_tokens + progress.generated;
-            let transfer = f64::from(context) * self.conditions.transfer_token;
-            let delay = Duration::from_secs_f64(transfer) + self.conditions.link_delay;
+            let transfer_seconds = f64::from(context) * self.conditions.transfer_token;
+            let delay = Duration::from_secs_f64(transfer_seconds) + self.conditions.link_delay;
             self.send(request, decode, true, 0.0, delay);
         }
     }
@@ -134,26 +134,26 @@
         self.outcome
             .whole
             .record(whole.max(1))
-            .expect("the histogram resizes");
+            .expect("histogram resizes automatically");
         if let Some(first_token) = progress.first_token {
-            let micros = (first_token + self.conditions.link_delay).since(traced.arrival);
-            let micros = micros.as_micros() as u64;
+            let elapsed = (first_token + self.conditions.link_delay).since(traced.arrival);
+            let micros = elapsed.as_micros() as u64;
             self.outcome
                 .first_token
                 .record(micros.max(1))
-                .expect("the histogram resizes");
-            let between = self.now.since(first_token).as_micros() as u64;
-            let gaps = u64::from(traced.output_tokens.saturating_sub(1)).max(1);
+                .expect("histogram resizes automatically");
+            let generation_micros = self.now.since(first_token).as_micros() as u64;
+            let intervals = u64::from(traced.output_tokens.saturating_sub(1)).max(1);
             self.outcome
                 .inter_token
-                .record((between / gaps).max(1))
-                .expect("it resizes");
+                .record((generation_micros / intervals).max(1))
+                .expect("histogram resizes automatically");
         }
         self.strategy
-            .finished(traced.class, f64::from(traced.output_tokens));
+            .record_finished(traced.class, f64::from(traced.output_tokens));
         if delivered <= traced.deadline {
             self.outcome.met += 1;
-            let second = self.second(traced.arrival);
+            let second = self.timeline_index(traced.arrival);
             self.outcome.timeline[second].met += 1;
         }
     }
@@ -164,11 +164,11 @@
             return;
         }
         self.engines[engine].crash();
-        self.tell_nodes(engine);
-        let back = self.now + self.conditions.restart;
-        self.events.push(back, Event::Restart { engine });
+        self.notify_nodes(engine);
+        let restart_time = self.now + self.conditions.restart;
+        self.events.push(restart_time, Event::Restart { engine });
         let lost: Vec<usize> = (0..self.trace.len())
-            .filter(|request| self.is_at(*request, engine))
+            .filter(|request| self.is_in_progress_at(*request, engine))
             .collect();
         for request in lost {
             let node = self.node_of(request);
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Whether a request is in progress at an engine.
-    pub(super) fn is_at(&self, request: usize, engine: usize) -> bool {
+    /// Returns whether a request is in progress at an engine.
+    pub(super) fn is_in_progress_at(&self, request: usize, engine: usize) -> bool {
         let progress = &self.progress[request];
         if progress.done || self.trace[request].arrival > self.now {
             return false;
--- a/crates/lab/src/fault_soak.rs
+++ b/crates/lab/src/fault_soak.rs
@@ -1,4 +1,5 @@
-//! `tansyhall-lab fault-soak`: gateway processes under random faults, judged from outside them.
+//! `tansyhall-lab fault-soak`: injects random faults into gateway processes and checks what their
+//! callers and workers observe.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +14,8 @@
 };
 
 const HELP: &str = "\
-Gateway processes on real sockets under random faults, judged by what callers and workers see.
+Injects random faults into gateway processes on real sockets and checks what callers and workers
+observe.
 
 USAGE:
   tansyhall-lab fault-soak --minutes N | --seconds N [--seed S] [--seeds N] [--unsolved]
@@ -22,26 +24,28 @@
   tansyhall-lab fault-soak --regressions [--keep DIR] [--json]
 
 OPTIONS:
-  --minutes N     how long faults happen, over all seeds
-  --seconds N     the same in seconds
-  --seed S        the first seed (default: the time); the next ones follow it
-  --seeds N       how many seeds, each with an equal part of the time (default: one for 30 s)
-  --regressions   the seeds that failed once, each for its time
-  --unsolved      also what gateways are known not to withstand: a cut answer whose connection stays
-                  open and brings the whole answer after it, callers before gateways know each other
-  --gateways N    gateway processes (default: 3)
-  --deadly N      requests that end each worker which begins to run them (default: 2)
-  --off NAME      a mechanism of the gateways that is switched off, as under [decisions] of their settings
-  --beside PROGRAM  the program of another build: gateways change between the two with each start, as while a
-                  fleet is upgraded and rolled back; what the build in production does not know is not judged
-  --keep DIR      where failed episodes are kept (default: target/fault-soak)
-  --json          one JSON object for each episode
+  --minutes N     total time during which faults are injected, over all seeds
+  --seconds N     the same, in seconds
+  --seed S        the first seed (default: the current time in seconds); the others follow it
+  --seeds N       number of seeds; each gets an equal part of the time (default: one per 30 s)
+  --regressions   run the seeds that have failed before, each for its recorded duration
+  --unsolved      also inject faults that gateways are known not to handle: a truncated answer whose
+                  connection stays open and then delivers the complete answer, and callers that send
+                  requests before the gateways know each other
+  --gateways N    number of gateway processes (default: 3)
+  --deadly N      number of requests that crash each worker that starts to run them (default: 2)
+  --off NAME      disable a mechanism of the gateways, named as under [decisions] in their settings
+  --beside PROGRAM  executable of another build: gateways alternate between the two builds at each start, as
+                  during an upgrade and a rollback of a fleet; behaviour that the build in production does
+                  not have yet is not checked
+  --keep DIR      directory for failed episodes (default: target/fault-soak)
+  --json          print one JSON object per episode
 ";
 
-/// How long a seed's episode lasts if the number of seeds is not given, in seconds.
-const EPISODE_SECONDS: u64 = 30;
-/// How many violations of an episode are printed.
-const PRINTED_VIOLATIONS: usize = 5;
+/// Duration of an episode if the number of seeds is not given.
+const DEFAULT_EPISODE_SECONDS: u64 = 30;
+/// Maximum number of violations printed per episode.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
 
 /// Runs the command.
 pub fn run(mut arguments: Arguments) -> Result<ExitCode> {
@@ -69,7 +73,7 @@
         plan.deadly_requests = deadly.unwrap_or(plan.deadly_requests);
         plan.switched_off.clone_from(&switched_off);
         plan.beside.clone_from(&beside);
-        let episode = actix_rt::System::new().block_on(run_or_stop(plan))?;
+        let episode = actix_rt::System::new().block_on(run_unless_signalled(plan))?;
         print_episode(&episode, json);
         if !episode.violations.is_empty() {
             code = ExitCode::FAILURE;
@@ -79,19 +83,19 @@
     Ok(code)
 }
 
-/// Runs an episode, or gives it up on a signal; its processes end with it.
-async fn run_or_stop(plan: EpisodePlan) -> Result<Episode> {
-    let stopped = Box::pin(until_signal());
-    match select(Box::pin(run_episode(plan)), stopped).await {
+/// Runs an episode; a signal cancels it and ends its processes.
+async fn run_unless_signalled(plan: EpisodePlan) -> Result<Episode> {
+    let signalled = Box::pin(wait_for_signal());
+    match select(Box::pin(run_episode(plan)), signalled).await {
         Either::Left((episode, _)) => episode,
-        Either::Right((told, _)) => {
-            told?;
-            bail!("stopped by a signal")
+        Either::Right((result, _)) => {
+            result?;
+            bail!("cancelled by a signal")
         }
     }
 }
 
-async fn until_signal() -> Result<()> {
+async fn wait_for_signal() -> Result<()> {
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
     select(Box::pin(interrupt.recv()), Box::pin(terminate.recv())).await;
@@ -100,34 +104,38 @@
 
 fn plans(arguments: &mut Arguments) -> Result<Vec<EpisodePlan>> {
     if arguments.contains("--regressions") {
-        let known = regressions()?.into_iter();
-        return Ok(known
-            .map(|known| EpisodePlan::new(known.seed, known.duration))
+        let known_failures = regressions()?.into_iter();
+        return Ok(known_failures
+            .map(|failure| EpisodePlan::new(failure.seed, failure.duration))
             .collect());
     }
     let minutes: Option<u64> = arguments.opt_value_from_str("--minutes")?;
     let seconds: Option<u64> = arguments.opt_value_from_str("--seconds")?;
     let Some(seconds) = seconds.or(minutes.map(|minutes| minutes * 60)) else {
-        bail!("--minutes or --seconds is needed; see tansyhall-lab fault-soak --help");
+        bail!("--minutes or --seconds is required; see tansyhall-lab fault-soak --help");
     };
     let seed: Option<u64> = arguments.opt_value_from_str("--seed")?;
     let seeds: Option<u64> = arguments.opt_value_from_str("--seeds")?;
-    let first = seed.unwrap_or_else(fresh_seed);
-    let count = seeds.unwrap_or(seconds / EPISODE_SECONDS).max(1);
+    let first = seed.unwrap_or_else(seed_from_clock);
+    let count = seeds.unwrap_or(seconds / DEFAULT_EPISODE_SECONDS).max(1);
     let duration = Duration::from_secs(seconds) / u32::try_from(count)?;
-    let all = first..first + count;
-    Ok(all.map(|seed| EpisodePlan::new(seed, duration)).collect())
+    let seed_range = first..first + count;
+    Ok(seed_range
+        .map(|seed| EpisodePlan::new(seed, duration))
+        .collect())
 }
 
-fn fresh_seed() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_secs())
+fn seed_from_clock() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_secs())
 }
 
 fn print_episode(episode: &Episode, json: bool) {
-    let mut by_rule = FaultCounts::new();
+    let mut violations_by_rule = FaultCounts::new();
     for violation in &episode.violations {
-        *by_rule.entry(format!("{:?}", violation.rule)).or_default() += 1;
+        *violations_by_rule
+            .entry(format!("{:?}", violation.rule))
+            .or_default() += 1;
     }
     let report = serde_json::json!({
         "seed": episode.plan.seed,
@@ -138,14 +146,14 @@
         "readings": episode.evidence.readings.len(),
         "calls": episode.evidence.calls.len(),
         "faults": episode.faults,
-        "violations": by_rule,
+        "violations": violations_by_rule,
     });
     if json {
         println!("{report}");
         return;
     }
     println!(
-        "seed {}: {} requests, {} successes, {} runs, {} readings, {} calls to workers; violations {by_rule:?}",
+        "seed {}: {} requests, {} successes, {} runs, {} readings, {} calls to workers; violations {violations_by_rule:?}",
         episode.plan.seed,
         episode.evidence.sent.len(),
         episode.successes(),
@@ -154,7 +162,7 @@
         episode.evidence.calls.len(),
     );
     println!("  faults {:?}", episode.faults);
-    for violation in episode.violations.iter().take(PRINTED_VIOLATIONS) {
+    for violation in episode.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  {:?}: {}", violation.rule, violation.what);
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Experiments on the system's own decisions: an emulator in virtual time, strategies to compare,
-//! and the reports that show what came of them.
+//! Experiments on the system's decisions: an emulator that runs in virtual time, the strategies that
+//! it compares, and reports of the results.
 
 #![forbid(unsafe_code)]
 
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -1,4 +1,4 @@
-//! Closed and open loops of short requests, over connections that stay open, on a few threads.
+//! Closed-loop and open-loop clients for short requests, over persistent connections on a few threads.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,14 +10,14 @@
 /// Threads that send requests.
 const CLIENT_THREADS: usize = 4;
 
-/// What came of one load.
+/// Results of one load.
 #[derive(Debug, Clone, Serialize)]
 pub struct LoadResult {
-    /// Requests answered with success.
+    /// Requests that were answered with a success status.
     pub requests: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Answers a second.
+    /// Successful requests per second.
     pub requests_per_second: f64,
     /// Median latency, in milliseconds.
     pub median_ms: f64,
@@ -32,28 +32,28 @@
 
 impl Counts {
     fn new() -> Self {
-        let latency = Histogram::new(3).expect("three digits are valid");
+        let latency = Histogram::new(3).expect("3 significant digits are valid");
         Self { latency, failed: 0 }
     }
 
-    fn record(&mut self, answered: bool, latency: Duration) {
-        if !answered {
+    fn record(&mut self, succeeded: bool, latency: Duration) {
+        if !succeeded {
             self.failed += 1;
             return;
         }
         let micros = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
         self.latency
             .record(micros.max(1))
-            .expect("the histogram resizes");
+            .expect("histogram resizes automatically");
     }
 }
 
-/// Every connection sends its next request as soon as it has its answer.
+/// Runs a closed loop: each connection sends its next request as soon as the previous one is answered.
 pub async fn closed_loop(url: &str, duration: Duration, connections: usize) -> LoadResult {
     run(url, duration, connections, None).await
 }
 
-/// Requests are due at a fixed rate; latency counts from when a request was due.
+/// Runs an open loop: requests are due at a fixed rate, and latency is measured from the due time.
 pub async fn open_loop(url: &str, duration: Duration, rate: f64, connections: usize) -> LoadResult {
     let interval = Duration::from_secs_f64(connections as f64 / rate);
     run(url, duration, connections, Some(interval)).await
@@ -65,24 +65,24 @@
     connections: usize,
     interval: Option<Duration>,
 ) -> LoadResult {
-    let per_thread = connections.div_ceil(CLIENT_THREADS);
+    let connections_per_thread = connections.div_ceil(CLIENT_THREADS);
     let threads: Vec<_> = (0..CLIENT_THREADS)
         .map(|_| {
             let url = url.to_owned();
             std::thread::spawn(move || {
-                let task = client_thread(url, duration, per_thread, interval);
+                let task = client_thread(url, duration, connections_per_thread, interval);
                 actix_rt::System::new().block_on(task)
             })
         })
         .collect();
     let mut total = Counts::new();
     for thread in threads {
-        let joined = actix_rt::task::spawn_blocking(move || thread.join()).await;
-        if let Ok(Ok(counts)) = joined {
+        let result = actix_rt::task::spawn_blocking(move || thread.join()).await;
+        if let Ok(Ok(counts)) = result {
             total
                 .latency
                 .add(&counts.latency)
-                .expect("the histogram resizes");
+                .expect("histogram resizes automatically");
             total.failed += counts.failed;
         }
     }
@@ -110,7 +110,8 @@
             let offset = interval.map_or(Duration::ZERO, |interval| {
                 interval.mul_f64(index as f64 / connections as f64)
             });
-            let connection = connection(client.clone(), url.clone(), started + offset, interval);
+            let connection =
+                new_connection(client.clone(), url.clone(), started + offset, interval);
             let counts = Rc::clone(&counts);
             actix_rt::spawn(connection.run(started + duration, counts))
         })
@@ -124,20 +125,20 @@
 struct Connection {
     client: awc::Client,
     url: String,
-    due: Instant,
+    next_due: Instant,
     interval: Option<Duration>,
 }
 
-fn connection(
+fn new_connection(
     client: awc::Client,
     url: String,
-    due: Instant,
+    next_due: Instant,
     interval: Option<Duration>,
 ) -> Connection {
     Connection {
         client,
         url,
-        due,
+        next_due,
         interval,
     }
 }
@@ -146,18 +147,18 @@
     async fn run(mut self, end: Instant, counts: Rc<RefCell<Counts>>) {
         loop {
             if let Some(interval) = self.interval {
-                actix_rt::time::sleep_until(self.due.into()).await;
-                self.due += interval;
+                actix_rt::time::sleep_until(self.next_due.into()).await;
+                self.next_due += interval;
             }
-            let begun = match self.interval {
-                Some(interval) => self.due - interval,
+            let start = match self.interval {
+                Some(interval) => self.next_due - interval,
                 None => Instant::now(),
             };
-            if begun >= end || Instant::now() >= end {
+            if start >= end || Instant::now() >= end {
                 return;
             }
-            let answered = self.request().await;
-            counts.borrow_mut().record(answered, begun.elapsed());
+            let succeeded = self.request().await;
+            counts.borrow_mut().record(succeeded, start.elapsed());
         }
     }
 
--- a/crates/lab/src/load/fleet.rs
+++ b/crates/lab/src/load/fleet.rs
@@ -1,5 +1,5 @@
-//! The processes that are measured: a stand-in platform, application worker and engines, and one
-//! node.
+//! The processes of a measurement: stand-ins of the platform, an application worker and engines, and
+//! one node.
 
 use std::net::SocketAddr;
 
@@ -10,12 +10,12 @@
     eventually, get_json, node, node_settings, standin, tansyhall, NodeProcess, Standin,
 };
 
-/// Engines that hold the concurrent streams.
-const ENGINES: usize = 6;
-/// The engines' model.
+/// Number of engines that serve the concurrent streams.
+const ENGINE_COUNT: usize = 6;
+/// Model that the engines serve.
 pub const MODEL: &str = "base";
 
-/// Running processes, stopped when dropped.
+/// The running processes; they are stopped on drop.
 pub struct Fleet {
     node: NodeProcess,
     _platform: Standin,
@@ -25,12 +25,12 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until the configuration is in force.
+    /// Starts all processes and waits until the node has applied the configuration.
     pub async fn start(threads: usize) -> Result<Self> {
         let directory = tempfile::tempdir()?;
         let platform = standin(&["platform"]);
         let worker = standin(&["app", "--name", "app-0"]);
-        let engines: Vec<Standin> = (0..ENGINES)
+        let engines: Vec<Standin> = (0..ENGINE_COUNT)
             .map(|index| standin(&["engine", "--name", &format!("engine-{index}")]))
             .collect();
         let settings = node_settings("node-0", "local", platform.address)
@@ -38,9 +38,11 @@
         let node = node(directory.path(), "node-0", &settings);
         let file = directory.path().join("resources.toml");
         std::fs::write(&file, resources(&engines, worker.address))?;
-        let file = file.to_str().context("a UTF-8 path")?;
+        let file = file
+            .to_str()
+            .context("path of the resources file is not UTF-8")?;
         tansyhall(&["ctl", "--node", &node.admin.to_string(), "apply", file]);
-        eventually("the configuration is in force", || async {
+        eventually("the node has applied the configuration", || async {
             let status = get_json(node.admin, "/admin/v1/status").await?;
             (status["configuration_revision"].as_u64()? > 0).then_some(())
         })
@@ -55,12 +57,12 @@
         Ok(fleet)
     }
 
-    /// Where the application worker listens.
+    /// Returns the address of the application worker.
     pub fn worker_address(&self) -> SocketAddr {
         self.worker.address
     }
 
-    /// Where the node's callers connect.
+    /// Returns the address at which the node accepts callers.
     pub fn node_address(&self) -> SocketAddr {
         self.node.callers
     }
@@ -70,13 +72,13 @@
         Ok(ProcessInfo::new(id)?)
     }
 
-    /// Processor time that the node has used, in seconds.
+    /// Returns the CPU time that the node has used, in seconds.
     pub fn node_cpu_seconds(&self) -> Result<f64> {
         let stat = self.node_info()?.stat()?;
         Ok((stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64)
     }
 
-    /// Memory that the node holds, in mebibytes.
+    /// Returns the resident memory of the node, in mebibytes.
     pub fn node_memory_mib(&self) -> Result<f64> {
         let bytes = self.node_info()?.stat()?.rss_bytes().get();
         Ok(bytes as f64 / f64::from(1 << 20))
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,6 +1,6 @@
-//! `tansyhall-lab load`: what a node adds to a request. The same load goes straight to a stand-in
-//! and through a node, in one run, as separate processes; only the ratios mean much on a machine
-//! that does other work.
+//! `tansyhall-lab load`: measures what a node adds to the cost of a request. One run sends the same
+//! load directly to a stand-in and through a node, which are separate processes. On a machine that
+//! also does other work, only the ratios are meaningful.
 
 mod client;
 mod fleet;
@@ -19,7 +19,7 @@
 use options::Options;
 use streams::{concurrent_streams, StreamResult};
 
-/// What short application requests cost.
+/// Cost of short application requests.
 #[derive(Debug, Serialize)]
 struct ApplicationReport {
     direct: LoadResult,
@@ -33,7 +33,7 @@
     added_p99_ms: f64,
 }
 
-/// Everything measured.
+/// All measurements of a run.
 #[derive(Debug, Serialize)]
 struct Report {
     node_threads: usize,
@@ -68,7 +68,7 @@
     let direct_url = format!("http://{}/stock/rice", fleet.worker_address());
     let node_url = format!("http://{}/stock/rice", fleet.node_address());
     let (duration, connections) = (options.duration, options.connections);
-    closed_loop(&node_url, WARM_UP, connections).await;
+    closed_loop(&node_url, WARM_UP_DURATION, connections).await;
     let direct = closed_loop(&direct_url, duration, connections).await;
     let cpu_before = fleet.node_cpu_seconds()?;
     let through_node = closed_loop(&node_url, duration, connections).await;
@@ -89,5 +89,5 @@
     })
 }
 
-/// Time before the first measurement.
-const WARM_UP: Duration = Duration::from_secs(1);
+/// Duration of the unmeasured load before the first measurement.
+const WARM_UP_DURATION: Duration = Duration::from_secs(1);
--- a/crates/lab/src/load/options.rs
+++ b/crates/lab/src/load/options.rs
@@ -6,33 +6,34 @@
 use pico_args::Arguments;
 
 const HELP: &str = "\
-What a node adds to a request, against going straight to a stand-in, in one run.
+Measures what a node adds to the cost of a request, compared with direct requests to a stand-in
+in the same run.
 
 USAGE:
   tansyhall-lab load [--seconds N] [--connections N] [--threads N] [--streams N] [--json]
 
 OPTIONS:
-  --seconds N      length of each measurement (default: 5)
-  --connections N  connections of short application requests (default: 64)
-  --threads N      the node's threads (default: 4)
-  --streams N      concurrent streams for the node's memory (default: 2000)
-  --json           one JSON object on the last line
+  --seconds N      duration of each measurement (default: 5)
+  --connections N  number of connections for short application requests (default: 64)
+  --threads N      number of threads of the node (default: 4)
+  --streams N      number of concurrent streams when measuring the node's memory (default: 2000)
+  --json           print one JSON object on the last line
 
-Needs `tansyhall` and `tansyhall-standin` built beside it: cargo build --release --workspace
+Needs the programs `tansyhall` and `tansyhall-standin` in the same build directory: cargo build --release --workspace
 ";
 
 /// The options.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Length of each measurement.
+    /// Duration of each measurement.
     pub duration: Duration,
-    /// Connections of short requests.
+    /// Number of connections for short requests.
     pub connections: usize,
-    /// The node's threads.
+    /// Number of threads of the node.
     pub node_threads: usize,
-    /// Concurrent streams.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Whether to print one line.
+    /// Whether to print the report as JSON on one line.
     pub json: bool,
 }
 
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The `tansyhall-lab` command: experiments on the system's own decisions and programs.
+//! The `tansyhall-lab` command: experiments on the system's decisions and programs.
 
 #![forbid(unsafe_code)]
 
@@ -14,19 +14,19 @@
 Experiments on tansyhall.
 
 USAGE:
-  tansyhall-lab compare --workload FILE ...   every strategy on the same traces, side by side
-  tansyhall-lab load ...                      what a node adds to a request, against going straight
-  tansyhall-lab soak --seconds N ...          random faults in virtual time against an oracle
-  tansyhall-lab fault-soak --minutes N ...    gateway processes under random faults, judged from outside
-  tansyhall-lab agree [--load NAME] ...       one trace in real time and through the emulator
-  tansyhall-lab paired --before TEXT ...      two versions on the same days, from the bench's journal
+  tansyhall-lab compare --workload FILE ...   compare all strategies on the same traces
+  tansyhall-lab load ...                      cost of a node per request, compared with direct requests
+  tansyhall-lab soak --seconds N ...          random faults in virtual time, checked against an oracle
+  tansyhall-lab fault-soak --minutes N ...    random faults in gateway processes, checked from outside
+  tansyhall-lab agree [--load NAME] ...       compare a run in real time with the emulator on one trace
+  tansyhall-lab paired --before TEXT ...      compare two versions on the same days of the bench's journal
 
 `tansyhall-lab COMMAND --help` shows a command's options.
 
 EXIT CODES:
   0  done
   1  failed while running, or a violation was found
-  2  wrong usage
+  2  invalid arguments
 ";
 
 fn main() -> ExitCode {
--- a/crates/lab/src/paired/comparison.rs
+++ b/crates/lab/src/paired/comparison.rs
@@ -1,60 +1,61 @@
-//! Plays of two versions, paired by site, day and seed. Days of one version differ by their luck far
-//! more than two versions do on the same day with the same luck, so that only pairs are compared.
+//! Compares runs of two versions, paired by site, day and seed. Runs of one version with different
+//! seeds differ far more than runs of two versions on the same day with the same seed, so only pairs
+//! are compared.
 
 use std::collections::BTreeMap;
 
-use super::journal::Play;
+use super::journal::DayRun;
 
-/// What a pair has in common.
-type Key = (String, String, u64);
+/// Site, day and seed of a pair.
+type PairKey = (String, String, u64);
 
-/// The two plays of one day with one seed.
+/// The runs of both versions on one day with one seed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pair {
-    /// The deployment.
+    /// Name of the deployment.
     pub site: String,
-    /// The day.
+    /// Name of the day.
     pub day: String,
-    /// The seed.
+    /// Seed of the day's random events.
     pub seed: u64,
-    /// The worth with the version before.
+    /// Score of the version before.
     pub before: f64,
-    /// The worth with the version after.
+    /// Score of the version after.
     pub after: f64,
-    /// Whether both plays kept all rules.
-    pub kept: bool,
+    /// Whether no run of either version violated a rule or failed.
+    pub passed: bool,
 }
 
-/// The pairs of one day, or of all days of a site.
+/// Summary of the pairs of one day, or of all days of a site.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Summary {
-    /// The deployment.
+    /// Name of the deployment.
     pub site: String,
-    /// The day; `all` for all of the site.
+    /// Name of the day; `all` for all days of the site.
     pub day: String,
-    /// Pairs.
+    /// Number of pairs.
     pub pairs: usize,
-    /// Mean worth before.
+    /// Mean score of the version before.
     pub before: f64,
-    /// Mean worth after.
+    /// Mean score of the version after.
     pub after: f64,
-    /// Mean of the differences.
+    /// Mean difference of the scores, after minus before.
     pub difference: f64,
     /// Standard deviation of the differences.
-    pub spread: f64,
-    /// The least worth after.
-    pub least: f64,
-    /// Pairs in which a rule was broken.
-    pub broken: usize,
+    pub standard_deviation: f64,
+    /// Minimum score of the version after.
+    pub min_after: f64,
+    /// Number of pairs in which a rule was violated or a run failed.
+    pub failed_pairs: usize,
 }
 
-/// The pairs of plays whose reasons contain these texts. Of several plays of one day and seed with
-/// one version, the mean counts.
-pub fn pair(plays: &[Play], before: &str, after: &str) -> Vec<Pair> {
-    let before = means(plays, before);
-    let after = means(plays, after);
-    let pairs = before.into_iter().filter_map(|(key, (before, kept))| {
-        let (after, kept_after) = after.get(&key)?;
+/// Pairs the runs whose reasons contain `before` with those whose reasons contain `after`. Several
+/// runs of one version with the same day and seed count as one run with their mean score.
+pub fn pair(runs: &[DayRun], before: &str, after: &str) -> Vec<Pair> {
+    let before = mean_scores(runs, before);
+    let after = mean_scores(runs, after);
+    let pairs = before.into_iter().filter_map(|(key, (before, passed))| {
+        let (after, passed_after) = after.get(&key)?;
         let (site, day, seed) = key;
         Some(Pair {
             site,
@@ -62,27 +63,27 @@
             seed,
             before,
             after: *after,
-            kept: kept && *kept_after,
+            passed: passed && *passed_after,
         })
     });
     pairs.collect()
 }
 
-fn means(plays: &[Play], reason: &str) -> BTreeMap<Key, (f64, bool)> {
-    let mut worths: BTreeMap<Key, (Vec<f64>, bool)> = BTreeMap::new();
-    for play in plays.iter().filter(|play| play.why.contains(reason)) {
-        let key = (play.site.clone(), play.day.clone(), play.seed);
-        let (worth, kept) = worths.entry(key).or_insert((Vec::new(), true));
-        worth.push(play.worth);
-        *kept &= play.kept;
+fn mean_scores(runs: &[DayRun], reason: &str) -> BTreeMap<PairKey, (f64, bool)> {
+    let mut scores_by_key: BTreeMap<PairKey, (Vec<f64>, bool)> = BTreeMap::new();
+    for run in runs.iter().filter(|run| run.reason.contains(reason)) {
+        let key = (run.site.clone(), run.day.clone(), run.seed);
+        let (scores, passed) = scores_by_key.entry(key).or_insert((Vec::new(), true));
+        scores.push(run.score);
+        *passed &= run.passed;
     }
-    worths
+    scores_by_key
         .into_iter()
-        .map(|(key, (worths, kept))| (key, (mean(worths.iter().copied()), kept)))
+        .map(|(key, (scores, passed))| (key, (mean(scores.iter().copied()), passed)))
         .collect()
 }
 
-/// Each day of each site, and each site with all its days.
+/// Summarises the pairs of each day of each site, and those of all days of each site.
 pub fn summarise(pairs: &[Pair]) -> Vec<Summary> {
     let mut groups: BTreeMap<(String, String), Vec<&Pair>> = BTreeMap::new();
     for pair in pairs {
@@ -93,14 +94,14 @@
     }
     let summaries = groups
         .into_iter()
-        .map(|((site, day), pairs)| summary(site, day, &pairs));
+        .map(|((site, day), pairs)| summarise_group(site, day, &pairs));
     summaries.collect()
 }
 
-fn summary(site: String, day: String, pairs: &[&Pair]) -> Summary {
+fn summarise_group(site: String, day: String, pairs: &[&Pair]) -> Summary {
     let differences = || pairs.iter().map(|pair| pair.after - pair.before);
     let difference = mean(differences());
-    let squares = differences().map(|one| (one - difference).powi(2));
+    let squares = differences().map(|value| (value - difference).powi(2));
     Summary {
         site,
         day,
@@ -108,12 +109,12 @@
         before: mean(pairs.iter().map(|pair| pair.before)),
         after: mean(pairs.iter().map(|pair| pair.after)),
         difference,
-        spread: mean(squares).sqrt(),
-        least: pairs
+        standard_deviation: mean(squares).sqrt(),
+        min_after: pairs
             .iter()
             .map(|pair| pair.after)
             .fold(f64::INFINITY, f64::min),
-        broken: pairs.iter().filter(|pair| !pair.kept).count(),
+        failed_pairs: pairs.iter().filter(|pair| !pair.passed).count(),
     }
 }
 
--- a/crates/lab/src/paired/journal.rs
+++ b/crates/lab/src/paired/journal.rs
@@ -1,5 +1,4 @@
-//! The bench's journal as far as a comparison needs it: single days that were played, by site, day
-//! and seed.
+//! Reads the bench's journal: the runs of single days, identified by site, day and seed.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,21 +6,21 @@
 use anyhow::{Context, Result};
 use serde::Deserialize;
 
-/// One day that was played.
+/// One run of a day.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Play {
-    /// The deployment.
+pub struct DayRun {
+    /// Name of the deployment.
     pub site: String,
-    /// The day's name.
+    /// Name of the day.
     pub day: String,
-    /// What its luck was drawn from.
+    /// Seed of the day's random events.
     pub seed: u64,
-    /// What was earned less prices, as a part of what was owed.
-    pub worth: f64,
-    /// Whether no rule was broken and nothing failed.
-    pub kept: bool,
-    /// Why it was played.
-    pub why: String,
+    /// Earnings less costs, as a fraction of the amount owed.
+    pub score: f64,
+    /// Whether no rule was violated and the run did not fail.
+    pub passed: bool,
+    /// Reason given for the run.
+    pub reason: String,
 }
 
 #[derive(Deserialize)]
@@ -39,50 +38,53 @@
     name: String,
     seed: Option<u64>,
     #[serde(rename = "G")]
-    worth: Option<f64>,
-    /// How often each rule was broken.
+    score: Option<f64>,
+    /// Number of violations of each rule.
     #[serde(default)]
     rules: BTreeMap<String, serde_json::Value>,
     #[serde(default)]
     fault: Option<serde_json::Value>,
 }
 
-/// Every day in the entries of a directory, in the order of their file names. Entries that hold no
-/// days are passed over.
-pub fn read(directory: &Path) -> Result<Vec<Play>> {
-    let listed = std::fs::read_dir(directory)
+/// Reads the runs from all journal entries in a directory, in the order of the file names. Entries
+/// without days are skipped.
+pub fn read(directory: &Path) -> Result<Vec<DayRun>> {
+    let entries = std::fs::read_dir(directory)
         .with_context(|| format!("cannot list {}", directory.display()))?;
     let mut files = Vec::new();
-    for file in listed {
+    for file in entries {
         files.push(file?.path());
     }
-    files.retain(|file| file.extension().is_some_and(|ending| ending == "json"));
+    files.retain(|file| {
+        file.extension()
+            .is_some_and(|extension| extension == "json")
+    });
     files.sort();
-    let mut plays = Vec::new();
+    let mut runs = Vec::new();
     for file in files {
         let text = std::fs::read_to_string(&file)
             .with_context(|| format!("cannot read {}", file.display()))?;
         let entry: Entry = serde_json::from_str(&text)
-            .with_context(|| format!("{} is no journal entry", file.display()))?;
-        plays.extend(entry.plays());
+            .with_context(|| format!("{} is not a valid journal entry", file.display()))?;
+        runs.extend(entry.into_runs());
     }
-    Ok(plays)
+    Ok(runs)
 }
 
 impl Entry {
-    fn plays(self) -> Vec<Play> {
+    fn into_runs(self) -> Vec<DayRun> {
         let site = self.site.unwrap_or_default();
-        let why = self.why.unwrap_or_default();
-        let played = self.days.into_iter().filter_map(|day| {
-            Some(Play {
+        let reason = self.why.unwrap_or_default();
+        let runs = self.days.into_iter().filter_map(|day| {
+            Some(DayRun {
                 site: site.clone(),
-                worth: day.worth?,
-                kept: day.rules.is_empty() && day.fault.is_none(),
+                score: day.score?,
+                passed: day.rules.is_empty() && day.fault.is_none(),
                 day: day.name,
                 seed: day.seed?,
-                why: why.clone(),
+                reason: reason.clone(),
             })
         });
-        played.collect()
+        runs.collect()
     }
 }
--- a/crates/lab/src/paired/mod.rs
+++ b/crates/lab/src/paired/mod.rs
@@ -1,4 +1,5 @@
-//! `tansyhall-lab paired`: two versions on the same days with the same luck, from the bench's journal.
+//! `tansyhall-lab paired`: compares two versions on the same days with the same seeds, from the bench's
+//! journal.
 
 pub mod comparison;
 pub mod journal;
@@ -14,16 +15,16 @@
 use comparison::Summary;
 
 const HELP: &str = "\
-Compares two versions by the plays of the bench's journal, paired by site, day and seed.
+Compares two versions by the runs in the bench's journal, paired by site, day and seed.
 
 USAGE:
   tansyhall-lab paired --before TEXT --after TEXT [--journal DIR] [--plot FILE]
 
 OPTIONS:
-  --before TEXT   plays whose reason contains TEXT are those of the version before
-  --after TEXT    and these of the version after
-  --journal DIR   the journal (default: journal)
-  --plot FILE     writes the pairs as an SVG plot
+  --before TEXT   runs whose reason contains TEXT belong to the version before
+  --after TEXT    runs whose reason contains TEXT belong to the version after
+  --journal DIR   directory of the journal (default: journal)
+  --plot FILE     write the pairs to FILE as an SVG plot
 ";
 
 struct Options {
@@ -46,24 +47,24 @@
         journal: journal.unwrap_or_else(|| "journal".into()),
         plot: arguments.opt_value_from_str("--plot")?,
     };
-    let left = arguments.finish();
-    ensure!(left.is_empty(), "unknown arguments: {left:?}");
+    let rest = arguments.finish();
+    ensure!(rest.is_empty(), "unknown arguments: {rest:?}");
     run(&options)
 }
 
 fn run(options: &Options) -> Result<ExitCode> {
-    let plays = journal::read(&options.journal)?;
-    let pairs = comparison::pair(&plays, &options.before, &options.after);
+    let runs = journal::read(&options.journal)?;
+    let pairs = comparison::pair(&runs, &options.before, &options.after);
     ensure!(
         !pairs.is_empty(),
-        "no day was played with one seed for both reasons"
+        "no day was run with the same seed for both reasons"
     );
     println!("{}", table(&comparison::summarise(&pairs)));
     if let Some(file) = &options.plot {
         plot::write(file, &pairs)?;
     }
-    let broken = pairs.iter().any(|pair| !pair.kept);
-    Ok(ExitCode::from(u8::from(broken)))
+    let any_failed = pairs.iter().any(|pair| !pair.passed);
+    Ok(ExitCode::from(u8::from(any_failed)))
 }
 
 fn table(summaries: &[Summary]) -> Table {
@@ -88,9 +89,9 @@
             format!("{:.3}", summary.before),
             format!("{:.3}", summary.after),
             format!("{:+.3}", summary.difference),
-            format!("{:.3}", summary.spread),
-            format!("{:.3}", summary.least),
-            summary.broken.to_string(),
+            format!("{:.3}", summary.standard_deviation),
+            format!("{:.3}", summary.min_after),
+            summary.failed_pairs.to_string(),
         ]);
     }
     table
--- a/crates/lab/src/paired/plot.rs
+++ b/crates/lab/src/paired/plot.rs
@@ -1,4 +1,5 @@
-//! The pairs as points: worth before across, worth after upwards; above the line is better.
+//! Plots the pairs as points: score before on the x axis, score after on the y axis. Points above the
+//! diagonal are improvements.
 
 use std::path::Path;
 
@@ -7,7 +8,7 @@
 
 use super::comparison::Pair;
 
-const SIZE: u32 = 600;
+const SIZE_PIXELS: u32 = 600;
 
 /// Writes the plot as an SVG file.
 pub fn write(file: &Path, pairs: &[Pair]) -> Result<()> {
@@ -15,11 +16,11 @@
 }
 
 fn draw(file: &Path, pairs: &[Pair]) -> Result<(), Box<dyn std::error::Error>> {
-    let worths = || pairs.iter().flat_map(|pair| [pair.before, pair.after]);
-    let least = worths().fold(1.0, f64::min);
-    let most = worths().fold(least, f64::max);
-    let range = (least - 0.02)..(most + 0.02);
-    let area = SVGBackend::new(file, (SIZE, SIZE)).into_drawing_area();
+    let scores = || pairs.iter().flat_map(|pair| [pair.before, pair.after]);
+    let min = scores().fold(1.0, f64::min);
+    let max = scores().fold(min, f64::max);
+    let range = (min - 0.02)..(max + 0.02);
+    let area = SVGBackend::new(file, (SIZE_PIXELS, SIZE_PIXELS)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(10)
@@ -28,13 +29,13 @@
         .build_cartesian_2d(range.clone(), range.clone())?;
     chart
         .configure_mesh()
-        .x_desc("worth before")
-        .y_desc("worth after")
+        .x_desc("score before")
+        .y_desc("score after")
         .draw()?;
-    let equal = [(range.start, range.start), (range.end, range.end)];
-    chart.draw_series(LineSeries::new(equal, &RGBColor(160, 160, 160)))?;
+    let diagonal = [(range.start, range.start), (range.end, range.end)];
+    chart.draw_series(LineSeries::new(diagonal, &RGBColor(160, 160, 160)))?;
     let points = pairs.iter().map(|pair| {
-        let colour = if pair.kept { BLUE } else { RED };
+        let colour = if pair.passed { BLUE } else { RED };
         Circle::new((pair.before, pair.after), 3, colour.filled())
     });
     chart.draw_series(points)?;
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,4 +1,4 @@
-//! `tansyhall-lab soak`: episodes of random faults until the time is up or one fails.
+//! `tansyhall-lab soak`: runs episodes of random faults until the time is up or an episode fails.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -8,17 +8,18 @@
 use tansyhall_soak::{soak, Episode, Report, Rule};
 
 const HELP: &str = "\
-Random faults in virtual time against an oracle, until the time is up or a violation is found.
+Injects random faults in virtual time and checks the results against an oracle, until the time is
+up or a violation is found.
 
 USAGE:
   tansyhall-lab soak --seconds N [--seed S] [--break RULE] [--json]
 
 OPTIONS:
   --seconds N    how long to run
-  --seed S       seed of the first episode (default: the time)
-  --break RULE   switch a mechanism off, which must find a violation: fence, drain, journal,
+  --seed S       seed of the first episode (default: the current time in seconds)
+  --break RULE   disable a mechanism, so that a violation must be found: fence, drain, journal,
                  verdict or monotonic
-  --json         one JSON object on the last line
+  --json         print one JSON object on the last line
 ";
 
 /// Runs the command.
@@ -35,10 +36,10 @@
     if !rest.is_empty() {
         bail!("unknown arguments {rest:?}; see tansyhall-lab --help");
     }
-    let seed = seed.unwrap_or_else(fresh_seed);
+    let seed = seed.unwrap_or_else(seed_from_clock);
     let broken = broken.as_deref().map(parse_rule).transpose()?;
-    let until = Instant::now() + Duration::from_secs(seconds);
-    let (report, failed) = soak(seed, broken, |_| Instant::now() < until);
+    let deadline = Instant::now() + Duration::from_secs(seconds);
+    let (report, failed) = soak(seed, broken, |_| Instant::now() < deadline);
     if let Some(episode) = &failed {
         print_failure(episode)?;
     }
@@ -49,14 +50,14 @@
     })
 }
 
-fn fresh_seed() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |since| since.as_secs())
+fn seed_from_clock() -> u64 {
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_secs())
 }
 
 fn parse_rule(name: &str) -> Result<Rule> {
     let rule = Rule::ALL.into_iter().find(|rule| rule.name() == name);
-    rule.with_context(|| format!("no rule {name} can be broken; see tansyhall-lab --help"))
+    rule.with_context(|| format!("there is no rule {name} to break; see tansyhall-lab --help"))
 }
 
 fn print_failure(episode: &Episode) -> Result<()> {
--- a/crates/lab/src/strategy/clairvoyant.rs
+++ b/crates/lab/src/strategy/clairvoyant.rs
@@ -1,22 +1,22 @@
-//! The bound to compare with: the system's choice rules with nothing hidden. It sees the engines'
-//! true state without lag and every answer's true length, and its roles over time are given: the
-//! comparison searches for the schedule that serves the whole trace best.
+//! The bound that other strategies are compared with: the system's choice rules with full knowledge.
+//! It sees the engines' true state without delay and the true length of each answer, and follows a
+//! given schedule of roles. The comparison searches for the schedule that serves the trace best.
 
 use tansyhall_core::{Role, Timestamp};
 use tansyhall_routing::{choose, Choice, ChoiceSettings, EngineEstimate, ServiceRates};
 
-use super::{PoolFacts, RequestFacts, RoleChange, Strategy};
+use super::{PoolView, RequestInfo, RoleChange, Strategy};
 
-/// Roles from a moment on.
+/// Roles of the engines from a given time on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScheduleStep {
-    /// When the roles are wanted.
+    /// When the roles take effect.
     pub from: Timestamp,
-    /// The engines' roles.
+    /// Roles of the engines.
     pub roles: Vec<Role>,
 }
 
-/// A strategy that knows the trace.
+/// A strategy that knows the trace in advance.
 pub struct Clairvoyant {
     rates: ServiceRates,
     settings: ChoiceSettings,
@@ -24,7 +24,7 @@
 }
 
 impl Clairvoyant {
-    /// A strategy with a schedule of roles; its first step holds from the start.
+    /// Creates a strategy with a schedule of roles. The first step applies from the start.
     pub fn new(rates: ServiceRates, settings: ChoiceSettings, schedule: Vec<ScheduleStep>) -> Self {
         Self {
             rates,
@@ -54,18 +54,18 @@
         true
     }
 
-    fn route(&mut self, facts: &RequestFacts, engines: &[EngineEstimate]) -> Choice {
-        let request = facts.estimate(facts.true_output_tokens);
+    fn route(&mut self, info: &RequestInfo, engines: &[EngineEstimate]) -> Choice {
+        let request = info.estimate(info.true_output_tokens);
         choose(
             &self.rates,
             &self.settings,
             engines,
             &request,
-            facts.time_left,
+            info.time_left,
         )
     }
 
-    fn plan(&mut self, pool: &PoolFacts) -> Option<RoleChange> {
+    fn plan(&mut self, pool: &PoolView) -> Option<RoleChange> {
         let step = self
             .schedule
             .iter()
--- a/crates/lab/src/strategy/mod.rs
+++ b/crates/lab/src/strategy/mod.rs
@@ -1,5 +1,5 @@
-//! Strategies to compare: how requests are routed, and how roles are planned. All of them run on
-//! the same engines with the same trace.
+//! The strategies that are compared: each routes requests and plans roles. All of them run on the
+//! same engines with the same trace.
 
 pub mod clairvoyant;
 mod predictive;
@@ -14,25 +14,25 @@
 pub use reactive::Reactive;
 pub use simple::{Balance, Static};
 
-/// What a strategy knows of a request when it routes it.
+/// What a strategy knows about a request when it routes it.
 #[derive(Debug, Clone, Copy)]
-pub struct RequestFacts {
-    /// The node it arrived at.
+pub struct RequestInfo {
+    /// The node at which the request arrived.
     pub node: usize,
-    /// Its class.
+    /// Index of the class.
     pub class: usize,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: f64,
-    /// Most tokens its answer may have.
+    /// Maximum number of answer tokens.
     pub max_tokens: f64,
-    /// Tokens its answer will have; only the clairvoyant may look.
+    /// Actual number of answer tokens; only the clairvoyant strategy may use it.
     pub true_output_tokens: f64,
-    /// Seconds to its deadline.
+    /// Seconds until the deadline.
     pub time_left: f64,
 }
 
-impl RequestFacts {
-    /// What the request asks of an engine, if its answer has this many tokens.
+impl RequestInfo {
+    /// Returns the work that the request causes at an engine if its answer has `output_tokens` tokens.
     pub fn estimate(&self, output_tokens: f64) -> RequestEstimate {
         RequestEstimate {
             prefill_tokens: self.prompt_tokens,
@@ -42,51 +42,51 @@
     }
 }
 
-/// What the holder knows of the pool when it plans.
+/// What the lease holder knows about the pool when it plans roles.
 #[derive(Debug, Clone)]
-pub struct PoolFacts {
-    /// The time.
+pub struct PoolView {
+    /// Current time.
     pub now: Timestamp,
-    /// The engines, as reported.
+    /// Estimates of the engines.
     pub engines: Vec<EngineEstimate>,
 }
 
-/// A change of role to make.
+/// A planned role change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RoleChange {
     /// The engine.
     pub engine: usize,
-    /// Its new role.
+    /// The new role of the engine.
     pub role: Role,
 }
 
-/// One strategy.
+/// A strategy that routes requests and plans roles.
 pub trait Strategy {
-    /// Its name in tables.
+    /// Returns the name that tables show.
     fn name(&self) -> String;
-    /// The engines' first roles.
+    /// Returns the initial roles of the engines.
     fn initial_roles(&self, engines: usize) -> Vec<Role>;
-    /// Whether nodes see the engines' true state instead of reports.
+    /// Returns whether nodes see the true state of the engines instead of reports.
     fn sees_true_state(&self) -> bool {
         false
     }
-    /// Whether it uses the classes' priorities.
+    /// Returns whether engines queue by the priorities of the classes.
     fn uses_priorities(&self) -> bool {
         false
     }
     /// Routes one request.
-    fn route(&mut self, facts: &RequestFacts, engines: &[EngineEstimate]) -> Choice;
-    /// A request was offered: the planner counts demand.
-    fn offered(&mut self, _now: Timestamp, _facts: &RequestFacts) {}
-    /// An answer ended.
-    fn finished(&mut self, _class: usize, _output_tokens: f64) {}
-    /// The next change of role, if one is worth it.
-    fn plan(&mut self, _pool: &PoolFacts) -> Option<RoleChange> {
+    fn route(&mut self, info: &RequestInfo, engines: &[EngineEstimate]) -> Choice;
+    /// Records a request that arrived; planners use it to estimate demand.
+    fn record_offered(&mut self, _now: Timestamp, _info: &RequestInfo) {}
+    /// Records a completed answer.
+    fn record_finished(&mut self, _class: usize, _output_tokens: f64) {}
+    /// Returns the next role change, if one is worthwhile.
+    fn plan(&mut self, _pool: &PoolView) -> Option<RoleChange> {
         None
     }
 }
 
-/// Costs of the emulated engines as strategies know them.
+/// Converts the cost model of the emulated engines to the service rates that strategies use.
 pub fn service_rates(
     costs: &tansyhall_engine_model::CostModel,
     transfer_token: f64,
@@ -101,7 +101,7 @@
     }
 }
 
-/// `prefill` engines that prefill and the rest that decode.
+/// Assigns the prefill role to `prefill` engines and the decode role to the others.
 pub fn split_roles(engines: usize, prefill: usize) -> Vec<Role> {
     (0..engines)
         .map(|engine| {
--- a/crates/lab/src/strategy/predictive.rs
+++ b/crates/lab/src/strategy/predictive.rs
@@ -1,5 +1,5 @@
-//! The system's own strategy: the routing crate's choice on every request, the planner crate's
-//! decision on roles.
+//! The strategy that the system uses: the routing crate chooses engines for requests, and the planner
+//! crate decides on roles.
 
 use tansyhall_core::{Role, Timestamp};
 use tansyhall_planner::predictive::{Demand, Planner, PlannerSettings, PoolState, RoleCount};
@@ -7,9 +7,9 @@
     choose, Choice, ChoiceSettings, EngineEstimate, OutputEstimator, ServiceRates,
 };
 
-use super::{PoolFacts, RequestFacts, RoleChange, Strategy};
+use super::{PoolView, RequestInfo, RoleChange, Strategy};
 
-/// The system's own strategy.
+/// The strategy that the system uses.
 pub struct Predictive {
     rates: ServiceRates,
     settings: ChoiceSettings,
@@ -18,7 +18,7 @@
 }
 
 impl Predictive {
-    /// A strategy for engines with these costs.
+    /// Creates a strategy for engines with these service rates.
     pub fn new(rates: ServiceRates, settings: ChoiceSettings, planner: PlannerSettings) -> Self {
         let planner = Planner::new(planner);
         Self {
@@ -43,31 +43,31 @@
         true
     }
 
-    fn route(&mut self, facts: &RequestFacts, engines: &[EngineEstimate]) -> Choice {
-        let request = facts.estimate(self.outputs.expected_tokens(&facts.class, facts.max_tokens));
+    fn route(&mut self, info: &RequestInfo, engines: &[EngineEstimate]) -> Choice {
+        let request = info.estimate(self.outputs.expected_tokens(&info.class, info.max_tokens));
         choose(
             &self.rates,
             &self.settings,
             engines,
             &request,
-            facts.time_left,
+            info.time_left,
         )
     }
 
-    fn offered(&mut self, now: Timestamp, facts: &RequestFacts) {
-        let output_tokens = self.outputs.expected_tokens(&facts.class, facts.max_tokens);
+    fn record_offered(&mut self, now: Timestamp, info: &RequestInfo) {
+        let output_tokens = self.outputs.expected_tokens(&info.class, info.max_tokens);
         let demand = Demand {
-            prompt_tokens: facts.prompt_tokens,
+            prompt_tokens: info.prompt_tokens,
             output_tokens,
         };
         self.planner.observe(now, demand);
     }
 
-    fn finished(&mut self, class: usize, output_tokens: f64) {
+    fn record_finished(&mut self, class: usize, output_tokens: f64) {
         self.outputs.learn(class, output_tokens);
     }
 
-    fn plan(&mut self, pool: &PoolFacts) -> Option<RoleChange> {
+    fn plan(&mut self, pool: &PoolView) -> Option<RoleChange> {
         let serving = pool.engines.iter().filter(|engine| engine.accepts_work);
         let state = PoolState {
             now: pool.now,
--- a/crates/lab/src/strategy/reactive.rs
+++ b/crates/lab/src/strategy/reactive.rs
@@ -1,19 +1,20 @@
-//! The usual alternative: an even split by least load, and a planner that moves one engine when
-//! one side's load passes the other's by a threshold, at most once in a while.
+//! The usual alternative: an even split of the roles with least-load routing, and a planner that moves
+//! one engine when the load of one role exceeds that of the other by a factor. Changes are limited to
+//! one per cooldown.
 
 use std::time::Duration;
 
 use tansyhall_core::{Role, Timestamp};
 use tansyhall_routing::{Choice, EngineEstimate};
 
-use super::simple::{pick_by_balance, Balance};
-use super::{split_roles, PoolFacts, RequestFacts, RoleChange, Strategy};
+use super::simple::{place_by_balance, Balance};
+use super::{split_roles, PoolView, RequestInfo, RoleChange, Strategy};
 
-/// Seconds of work on one side for each on the other that trigger a change.
-const IMBALANCE: f64 = 2.0;
-/// Pending work below this many seconds an engine triggers nothing.
-const FLOOR_SECONDS: f64 = 0.3;
-/// Least time between changes.
+/// Ratio of the load of one role to that of the other that triggers a change.
+const IMBALANCE_RATIO: f64 = 2.0;
+/// Minimum pending work that triggers a change, in seconds per engine.
+const MIN_PENDING_SECONDS: f64 = 0.3;
+/// Minimum time between changes.
 const COOLDOWN: Duration = Duration::from_secs(8);
 
 /// The reactive threshold planner.
@@ -24,7 +25,7 @@
 }
 
 impl Reactive {
-    /// A planner for engines with these costs.
+    /// Creates a planner for engines with these costs.
     pub fn new(prefill_token: f64, max_sequences: usize) -> Self {
         Self {
             prefill_token,
@@ -33,15 +34,15 @@
         }
     }
 
-    fn pressure(&self, engines: &[EngineEstimate], role: Role) -> Option<f64> {
-        let side: Vec<&EngineEstimate> = engines
+    fn mean_load(&self, engines: &[EngineEstimate], role: Role) -> Option<f64> {
+        let engines_in_role: Vec<&EngineEstimate> = engines
             .iter()
             .filter(|engine| engine.role == role)
             .collect();
-        if side.is_empty() {
+        if engines_in_role.is_empty() {
             return None;
         }
-        let total: f64 = side
+        let total: f64 = engines_in_role
             .iter()
             .map(|engine| match role {
                 Role::Prefill => engine.pending_prefill_tokens * self.prefill_token,
@@ -50,7 +51,7 @@
                 }
             })
             .sum();
-        Some(total / side.len() as f64)
+        Some(total / engines_in_role.len() as f64)
     }
 }
 
@@ -63,34 +64,34 @@
         split_roles(engines, engines / 2)
     }
 
-    fn route(&mut self, _facts: &RequestFacts, engines: &[EngineEstimate]) -> Choice {
-        pick_by_balance(Balance::LeastLoad, 0, engines)
+    fn route(&mut self, _info: &RequestInfo, engines: &[EngineEstimate]) -> Choice {
+        place_by_balance(Balance::LeastLoad, 0, engines)
     }
 
-    fn plan(&mut self, pool: &PoolFacts) -> Option<RoleChange> {
+    fn plan(&mut self, pool: &PoolView) -> Option<RoleChange> {
         if self
             .last_change
             .is_some_and(|last| pool.now.since(last) < COOLDOWN)
         {
             return None;
         }
-        let prefill = self.pressure(&pool.engines, Role::Prefill)?;
-        let decode = self.pressure(&pool.engines, Role::Decode)?;
-        let (from, to) = if prefill > FLOOR_SECONDS && prefill > decode * IMBALANCE {
+        let prefill = self.mean_load(&pool.engines, Role::Prefill)?;
+        let decode = self.mean_load(&pool.engines, Role::Decode)?;
+        let (from, to) = if prefill > MIN_PENDING_SECONDS && prefill > decode * IMBALANCE_RATIO {
             (Role::Decode, Role::Prefill)
-        } else if decode > FLOOR_SECONDS && decode > prefill * IMBALANCE {
+        } else if decode > MIN_PENDING_SECONDS && decode > prefill * IMBALANCE_RATIO {
             (Role::Prefill, Role::Decode)
         } else {
             return None;
         };
-        let donors: Vec<usize> = (0..pool.engines.len())
+        let candidates: Vec<usize> = (0..pool.engines.len())
             .filter(|index| pool.engines[*index].role == from && pool.engines[*index].accepts_work)
             .collect();
-        if donors.len() < 2 {
+        if candidates.len() < 2 {
             return None;
         }
         let load = |index: &usize| pool.engines[*index].decoding + pool.engines[*index].waiting;
-        let engine = donors
+        let engine = candidates
             .into_iter()
             .min_by(|left, right| load(left).total_cmp(&load(right)))?;
         self.last_change = Some(pool.now);
--- a/crates/lab/src/strategy/simple.rs
+++ b/crates/lab/src/strategy/simple.rs
@@ -1,27 +1,27 @@
-//! Fixed roles, with round robin or least load among the engines that accept the work.
+//! Strategies with fixed roles: round-robin or least-load routing among the engines that accept work.
 
 use tansyhall_core::Role;
 use tansyhall_routing::{Choice, EngineEstimate, Placement, Prediction};
 
-use super::{split_roles, RequestFacts, Strategy};
+use super::{split_roles, RequestInfo, Strategy};
 
-/// How an engine is picked among those of the right role.
+/// How an engine is chosen among those of the required role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Balance {
-    /// In turn.
+    /// Each engine in turn.
     RoundRobin,
-    /// The one with the fewest requests.
+    /// The engine with the fewest requests.
     LeastLoad,
 }
 
-/// Fixed roles.
+/// A strategy with fixed roles.
 pub struct Static {
     prefill: Option<usize>,
     balance: Balance,
     turn: usize,
 }
 
-/// Static strategies predict nothing.
+/// Static strategies do not predict completion times.
 const NO_PREDICTION: Prediction = Prediction {
     first_token: 0.0,
     last_token: 0.0,
@@ -29,7 +29,7 @@
 };
 
 impl Static {
-    /// All engines mixed.
+    /// Creates a strategy in which all engines are mixed.
     pub fn mixed(balance: Balance) -> Self {
         Self {
             prefill: None,
@@ -38,7 +38,8 @@
         }
     }
 
-    /// `prefill` engines that prefill and the rest that decode, by least load.
+    /// Creates a strategy with `prefill` prefill engines and decode engines otherwise, and least-load
+    /// routing.
     pub fn split(prefill: usize) -> Self {
         Self {
             prefill: Some(prefill),
@@ -64,16 +65,20 @@
         }
     }
 
-    fn route(&mut self, _facts: &RequestFacts, engines: &[EngineEstimate]) -> Choice {
+    fn route(&mut self, _info: &RequestInfo, engines: &[EngineEstimate]) -> Choice {
         self.turn += 1;
-        pick_by_balance(self.balance, self.turn, engines)
+        place_by_balance(self.balance, self.turn, engines)
     }
 }
 
-/// A placement by turn or load alone.
-pub fn pick_by_balance(balance: Balance, turn: usize, engines: &[EngineEstimate]) -> Choice {
-    let pick = |role| pick_one(balance, turn, engines, role);
-    let placement = match (pick(Role::Prefill), pick(Role::Decode), pick(Role::Mixed)) {
+/// Chooses a placement by turn or load alone.
+pub fn place_by_balance(balance: Balance, turn: usize, engines: &[EngineEstimate]) -> Choice {
+    let choose = |role| choose_engine(balance, turn, engines, role);
+    let placement = match (
+        choose(Role::Prefill),
+        choose(Role::Decode),
+        choose(Role::Mixed),
+    ) {
         (Some(prefill), Some(decode), _) => Placement::Split { prefill, decode },
         (_, _, Some(engine)) => Placement::Single(engine),
         _ => return Choice::NoEngine,
@@ -84,22 +89,22 @@
     }
 }
 
-fn pick_one(
+fn choose_engine(
     balance: Balance,
     turn: usize,
     engines: &[EngineEstimate],
     role: Role,
 ) -> Option<usize> {
-    let usable: Vec<usize> = (0..engines.len())
+    let available: Vec<usize> = (0..engines.len())
         .filter(|index| engines[*index].accepts_work && engines[*index].role == role)
         .collect();
-    if usable.is_empty() {
+    if available.is_empty() {
         return None;
     }
     let load = |index: &usize| engines[*index].decoding + engines[*index].waiting;
     match balance {
-        Balance::RoundRobin => Some(usable[turn % usable.len()]),
-        Balance::LeastLoad => usable
+        Balance::RoundRobin => Some(available[turn % available.len()]),
+        Balance::LeastLoad => available
             .into_iter()
             .min_by(|left, right| load(left).total_cmp(&load(right))),
     }
--- a/crates/lab/src/workload.rs
+++ b/crates/lab/src/workload.rs
@@ -1,5 +1,5 @@
-//! Workload files: classes of requests, phases that shift the mix between them, and the fleet that
-//! serves them. `docs/workloads.md` documents every key.
+//! Workload files: request classes, phases that change the mix of the classes, and the fleet that
+//! serves the requests. `docs/workloads.md` documents every key.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,14 +18,14 @@
     pub name: String,
     /// Engines in the pool.
     pub engines: usize,
-    /// Nodes that route to it.
+    /// Nodes that route to the pool.
     pub nodes: usize,
-    /// How long an engine is away for a change of role.
+    /// How long an engine is unavailable during a role change.
     #[serde(with = "humantime_serde", default = "default_role_change")]
     pub role_change: Duration,
-    /// Kinds of request.
+    /// Request classes by name.
     pub class: BTreeMap<String, ClassSpec>,
-    /// Stretches of time, each with its own mix.
+    /// Phases in order of time, each with its own mix of classes.
     pub phase: Vec<PhaseSpec>,
 }
 
@@ -33,21 +33,21 @@
     Duration::from_secs(4)
 }
 
-/// One kind of request.
+/// A request class.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Mean tokens of the prompt.
+    /// Mean number of prompt tokens.
     pub prompt_tokens: f64,
-    /// Mean tokens of the answer.
+    /// Mean number of answer tokens.
     pub output_tokens: f64,
-    /// Spread of both, as the sigma of a log-normal distribution.
+    /// Sigma of the log-normal distributions of prompt and answer tokens.
     #[serde(default = "default_spread")]
     pub spread: f64,
-    /// When the whole answer is due.
+    /// Time from arrival by which the complete answer is due.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
-    /// Queue order within an engine; lower runs first.
+    /// Queue priority within an engine; lower values run first.
     #[serde(default = "default_priority")]
     pub priority: u8,
 }
@@ -60,19 +60,19 @@
     1
 }
 
-/// A stretch of time with one mix.
+/// A period of time with a constant mix of classes.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PhaseSpec {
-    /// How long it lasts.
+    /// How long the phase lasts.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
-    /// Requests a second of each class.
+    /// Requests per second of each class.
     pub rate: BTreeMap<String, f64>,
-    /// Every `burst_every`, the rates are multiplied by `burst` for a tenth of that time.
+    /// Factor by which the rates are multiplied during the first tenth of each `burst_every`.
     #[serde(default = "default_burst")]
     pub burst: f64,
-    /// Time between bursts.
+    /// Time between the starts of bursts.
     #[serde(with = "humantime_serde", default = "default_burst_every")]
     pub burst_every: Duration,
 }
@@ -88,46 +88,46 @@
 /// One request of a trace.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TraceRequest {
-    /// When it arrives.
+    /// When the request arrives.
     pub arrival: Timestamp,
-    /// Index of its class, in order of the classes' names.
+    /// Index of the class, in order of the class names.
     pub class: usize,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens its answer will have; nobody but the clairvoyant knows.
+    /// Number of tokens of the answer; only the clairvoyant strategy may use it.
     pub output_tokens: u32,
-    /// When the whole answer is due.
+    /// When the complete answer is due.
     pub deadline: Timestamp,
-    /// Queue order within an engine.
+    /// Queue priority within an engine; lower values run first.
     pub priority: u8,
 }
 
 impl Workload {
     /// Parses and checks a workload file.
     pub fn parse(text: &str) -> Result<Self> {
-        let workload: Self = toml::from_str(text).context("the workload does not parse")?;
+        let workload: Self = toml::from_str(text).context("cannot parse the workload file")?;
         if workload.engines == 0 || workload.nodes == 0 {
             bail!("engines and nodes must be 1 or more");
         }
         for (index, phase) in workload.phase.iter().enumerate() {
             for (class, rate) in &phase.rate {
                 if !workload.class.contains_key(class) {
-                    bail!("phase {index}: no class is named {class}");
+                    bail!("phase {index}: class {class} is not defined");
                 }
                 if !(*rate >= 0.0 && rate.is_finite()) {
-                    bail!("phase {index}: the rate of {class} must be 0 or more");
+                    bail!("phase {index}: the rate of {class} must be finite and 0 or more");
                 }
             }
         }
         Ok(workload)
     }
 
-    /// How long the workload lasts.
+    /// Returns the total duration of all phases.
     pub fn duration(&self) -> Duration {
         self.phase.iter().map(|phase| phase.duration).sum()
     }
 
-    /// The requests of one seed, in order of arrival.
+    /// Generates the requests for a seed, in order of arrival.
     pub fn trace(&self, seed: u64) -> Vec<TraceRequest> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut trace = Vec::new();
@@ -135,9 +135,9 @@
         for phase in &self.phase {
             for (index, (name, class)) in self.class.iter().enumerate() {
                 let rate = phase.rate.get(name).copied().unwrap_or(0.0);
-                let arrivals = phase_arrivals(phase, rate, &mut random);
+                let arrivals = draw_phase_arrivals(phase, rate, &mut random);
                 for offset in arrivals {
-                    trace.push(request(index, class, start + offset, &mut random));
+                    trace.push(draw_request(index, class, start + offset, &mut random));
                 }
             }
             start += phase.duration;
@@ -147,29 +147,30 @@
     }
 }
 
-/// Poisson arrivals by thinning: drawn at the burst rate, kept with the rate of their moment.
-fn phase_arrivals(phase: &PhaseSpec, rate: f64, random: &mut ChaCha8Rng) -> Vec<Duration> {
+/// Draws Poisson arrivals by thinning: candidates are drawn at the peak rate, and each is
+/// kept with the probability of the current rate over the peak rate.
+fn draw_phase_arrivals(phase: &PhaseSpec, rate: f64, random: &mut ChaCha8Rng) -> Vec<Duration> {
     let mut arrivals = Vec::new();
-    let peak = rate * phase.burst.max(1.0);
-    if peak <= 0.0 {
+    let peak_rate = rate * phase.burst.max(1.0);
+    if peak_rate <= 0.0 {
         return arrivals;
     }
     let mut offset = 0.0;
     loop {
-        offset += -(1.0 - random.random::<f64>()).ln() / peak;
+        offset += -(1.0 - random.random::<f64>()).ln() / peak_rate;
         if offset >= phase.duration.as_secs_f64() {
             return arrivals;
         }
-        let position = offset % phase.burst_every.as_secs_f64();
-        let bursting = position < phase.burst_every.as_secs_f64() / 10.0;
-        let present = if bursting { rate * phase.burst } else { rate };
-        if random.random::<f64>() * peak < present {
+        let burst_offset = offset % phase.burst_every.as_secs_f64();
+        let is_burst = burst_offset < phase.burst_every.as_secs_f64() / 10.0;
+        let current_rate = if is_burst { rate * phase.burst } else { rate };
+        if random.random::<f64>() * peak_rate < current_rate {
             arrivals.push(Duration::from_secs_f64(offset));
         }
     }
 }
 
-fn request(
+fn draw_request(
     class_index: usize,
     class: &ClassSpec,
     arrival: Duration,
@@ -179,15 +180,15 @@
     TraceRequest {
         arrival,
         class: class_index,
-        prompt_tokens: log_normal(class.prompt_tokens, class.spread, random),
-        output_tokens: log_normal(class.output_tokens, class.spread, random),
+        prompt_tokens: draw_log_normal(class.prompt_tokens, class.spread, random),
+        output_tokens: draw_log_normal(class.output_tokens, class.spread, random),
         deadline: arrival + class.deadline,
         priority: class.priority,
     }
 }
 
-/// A log-normal draw with the given mean, at least one.
-fn log_normal(mean: f64, sigma: f64, random: &mut ChaCha8Rng) -> u32 {
+/// Draws from a log-normal distribution with the given mean; returns at least 1.
+fn draw_log_normal(mean: f64, sigma: f64, random: &mut ChaCha8Rng) -> u32 {
     let radius = (-2.0 * (1.0 - random.random::<f64>()).ln()).sqrt();
     let normal = radius * (std::f64::consts::TAU * random.random::<f64>()).cos();
     let value = mean * (sigma * normal - sigma * sigma / 2.0).exp();
