--- a/crates/lab/src/fault_soak.rs
+++ b/crates/lab/src/fault_soak.rs
@@ -10,7 +10,8 @@
 use futures_util::future::{select, Either};
 use pico_args::Arguments;
 use tansyhall_fault_soak::{
-    keep, regressions, run_episode, Episode, EpisodePlan, FaultCounts, KEEP_DIRECTORY,
+    load_regressions, run_episode, save_episode, Episode, EpisodePlan, FaultCounts,
+    DEFAULT_OUTPUT_DIRECTORY,
 };
 
 const HELP: &str = "\
@@ -53,31 +54,31 @@
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
     }
-    let with_unsolved = arguments.contains("--unsolved");
+    let include_unsolved = arguments.contains("--unsolved");
     let plans = plans(&mut arguments)?;
     let gateways: Option<usize> = arguments.opt_value_from_str("--gateways")?;
-    let deadly: Option<usize> = arguments.opt_value_from_str("--deadly")?;
-    let switched_off: Vec<String> = arguments.values_from_str("--off")?;
-    let beside: Option<PathBuf> = arguments.opt_value_from_str("--beside")?;
+    let crashing_requests: Option<usize> = arguments.opt_value_from_str("--deadly")?;
+    let disabled_mechanisms: Vec<String> = arguments.values_from_str("--off")?;
+    let other_build: Option<PathBuf> = arguments.opt_value_from_str("--beside")?;
     let directory: Option<PathBuf> = arguments.opt_value_from_str("--keep")?;
     let json = arguments.contains("--json");
     let rest = arguments.finish();
     if !rest.is_empty() {
         bail!("unknown arguments {rest:?}; see tansyhall-lab fault-soak --help");
     }
-    let directory = directory.unwrap_or_else(|| KEEP_DIRECTORY.into());
+    let directory = directory.unwrap_or_else(|| DEFAULT_OUTPUT_DIRECTORY.into());
     let mut code = ExitCode::SUCCESS;
     for mut plan in plans {
-        plan.with_unsolved = with_unsolved;
+        plan.include_unsolved = include_unsolved;
         plan.gateways = gateways.unwrap_or(plan.gateways);
-        plan.deadly_requests = deadly.unwrap_or(plan.deadly_requests);
-        plan.switched_off.clone_from(&switched_off);
-        plan.beside.clone_from(&beside);
+        plan.crashing_requests = crashing_requests.unwrap_or(plan.crashing_requests);
+        plan.disabled_mechanisms.clone_from(&disabled_mechanisms);
+        plan.other_build.clone_from(&other_build);
         let episode = actix_rt::System::new().block_on(run_unless_signalled(plan))?;
         print_episode(&episode, json);
         if !episode.violations.is_empty() {
             code = ExitCode::FAILURE;
-            println!("kept in {}", keep(&episode, &directory)?.display());
+            println!("kept in {}", save_episode(&episode, &directory)?.display());
         }
     }
     Ok(code)
@@ -104,9 +105,9 @@
 
 fn plans(arguments: &mut Arguments) -> Result<Vec<EpisodePlan>> {
     if arguments.contains("--regressions") {
-        let known_failures = regressions()?.into_iter();
-        return Ok(known_failures
-            .map(|failure| EpisodePlan::new(failure.seed, failure.duration))
+        let known = load_regressions()?.into_iter();
+        return Ok(known
+            .map(|known| EpisodePlan::new(known.seed, known.duration))
             .collect());
     }
     let minutes: Option<u64> = arguments.opt_value_from_str("--minutes")?;
