--- a/crates/engine/src/protocol.rs
+++ b/crates/engine/src/protocol.rs
@@ -134,7 +134,7 @@
 pub struct EngineChunk {
     /// The identifier of the request that this chunk belongs to.
     pub id: String,
-    /// The zero-based index of the chunk's first token in the whole answer.
+    /// The zero-based index of the chunk's first token in the complete answer.
     pub token_index: u32,
     /// The number of tokens in this chunk.
     pub tokens: u32,
--- a/crates/forwarding/src/directory/tracked.rs
+++ b/crates/forwarding/src/directory/tracked.rs
@@ -30,17 +30,18 @@
 const RESERVED_SLOT_FRACTION: f64 = 0.1;
 /// Least and greatest slowness of a worker relative to the expected time.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 30.0);
-/// Time for which a worker that refused a request is passed over at first. It doubles with each
-/// further refusal until the worker answers.
+/// Time after a worker's first refusal of a request for which it is chosen only if there is no other
+/// worker. It doubles with each further refusal until the worker answers.
 const INITIAL_REFUSAL_PAUSE: Duration = Duration::from_millis(100);
 /// The longest of these pauses: an engine that is about to change its role refuses all requests until it has.
 const MAX_REFUSAL_PAUSE: Duration = Duration::from_millis(1_600);
-/// Time for which an unreachable worker is passed over at first. It doubles each further time.
+/// Time after a worker was first unreachable for which it is chosen only if there is no other worker.
+/// It doubles each further time until the worker answers.
 const INITIAL_UNREACHABLE_PAUSE: Duration = Duration::from_millis(1_000);
 /// The longest of these pauses.
 const MAX_UNREACHABLE_PAUSE: Duration = Duration::from_secs(4);
-/// Time for which a worker that was found absent is passed over, unless it is announced with
-/// changed data: its store entry is removed after it has been silent for about as long.
+/// Time for which a worker that was found absent is chosen only if there is no other worker, unless
+/// it is announced with changed data: its store entry is removed after it has been silent for about as long.
 const ABSENCE_PAUSE: Duration = Duration::from_secs(5);
 
 /// How a send ended.
--- a/crates/forwarding/src/relay_plan.rs
+++ b/crates/forwarding/src/relay_plan.rs
@@ -9,15 +9,15 @@
 //! 1. The first gateways of the ranking, one for each [`GATEWAYS_PER_RELAY`], are relays. The first of them follows
 //!    the store, and the other relays request changes from it, so the store is called once per zone instead of once
 //!    per gateway. Every other gateway requests changes from one of the relays, also chosen by hashing.
-//! 2. A relay sends changes with their age: the time since the store answered it. A gateway whose copy becomes older
-//!    than its maximum age asks the store itself. This maximum grows with the rank, so that the successor of a relay
-//!    that is cut off asks first and serves the others.
+//! 2. A relay sends changes with their age: the time since the store answered it. A gateway whose mirror becomes older
+//!    than its maximum age queries the store itself. This maximum grows with the rank, so that the successor of a
+//!    relay that is cut off queries it first and serves the others.
 //! 3. A relay that does not answer, or sends outdated changes, is skipped for a while. If it was the first of the
 //!    ranking, the next gateway takes its place.
-//! 4. While the store does not answer a gateway, that gateway asks another gateway between its attempts.
+//! 4. While the store does not answer a gateway, that gateway queries another gateway between its attempts.
 //!
 //! Nothing depends on agreement between gateways: two gateways that both consider themselves the first relay cost some
-//! additional calls, and a gateway that finds no relay asks the store.
+//! additional calls, and a gateway that finds no relay queries the store.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -30,16 +30,16 @@
 /// Number of gateways of a zone that one relay serves. One relay is enough for them, because each sends a few requests
 /// per second and changes are rare. A long configuration is compressed (deflate) once for all of them.
 pub const GATEWAYS_PER_RELAY: usize = 64;
-/// Age of its copy above which the first successor of a relay asks the store itself.
+/// Age of its mirror above which the first successor of a relay queries the store itself.
 pub const MAX_COPY_AGE: Duration = Duration::from_millis(1_200);
 /// Additional age for each of the first [`EARLY_SUCCESSORS`] further ranks. It is short, because any of them may be cut
 /// off as well.
 const EARLY_SUCCESSOR_STEP: Duration = Duration::from_millis(60);
 /// Number of ranks to which [`EARLY_SUCCESSOR_STEP`] applies.
 const EARLY_SUCCESSORS: usize = 5;
-/// Additional age for each later rank. It is longer, so that these gateways ask one after the other, however many
-/// there are. When all of them asked at once, a store that had not answered for a second was asked for a snapshot by
-/// 986 gateways, and answered none of them in time.
+/// Additional age for each later rank. It is longer, so that these gateways query the store one after the other,
+/// however many there are. When all of them queried it at once, a store that had not answered for a second received
+/// requests for a snapshot from 986 gateways, and answered none of them in time.
 const LATER_SUCCESSOR_STEP: Duration = Duration::from_millis(400);
 /// How long a gateway that did not answer is skipped.
 const UNRESPONSIVE_RELAY_BACKOFF: Duration = Duration::from_secs(3);
@@ -100,7 +100,7 @@
     }
 
     /// Returns where to request changes from now. `members` are the gateways of the zone, and `age` is the time since
-    /// the store sent the answer that this gateway's copy is based on.
+    /// the store sent the answer that this gateway's mirror is based on.
     pub fn upstream(
         &mut self,
         now: Timestamp,
@@ -138,7 +138,7 @@
         self.store_failed_at = Some(now);
     }
 
-    /// Records that a relay has answered, and the age of its copy.
+    /// Records that a relay has answered, and the age of its mirror.
     pub fn record_relay_answer(&mut self, now: Timestamp, relay: &str, age: Duration) {
         if age > MAX_COPY_AGE {
             self.skip_until(relay, now + STALE_RELAY_BACKOFF);
@@ -200,9 +200,9 @@
     MAX_COPY_AGE + EARLY_SUCCESSOR_STEP * early as u32 + LATER_SUCCESSOR_STEP * later as u32
 }
 
-/// Decides whether the next request to the store asks for changes since the copy or for a snapshot.
+/// Decides whether the next request to the store is for changes since the mirror's position or for a snapshot.
 ///
-/// A store that failed may have lost the history after the copy's revision. Other gateways with a copy of the same
+/// A store that failed may have lost the history after the mirror's revision. Other gateways with a mirror of the same
 /// revision can't help: until one of them sends something newer, or a snapshot of the store has been read, requests
 /// for changes would fail again. In a test in which four gateways have all lost the history and three configurations
 /// are applied, this took 7.2 s when any answer of another gateway let them request changes again, and 2.5 s with this
@@ -237,7 +237,7 @@
         self.needs_snapshot = false;
     }
 
-    /// Records the answer of a relay, with the positions of the copy before and after it was applied.
+    /// Records the answer of a relay, with the positions of the mirror before and after it was applied.
     pub fn record_relay_answer(&mut self, before: Position, after: Position) {
         if after > before {
             self.needs_snapshot = false;
--- a/crates/forwarding/tests/directory.rs
+++ b/crates/forwarding/tests/directory.rs
@@ -320,7 +320,7 @@
     assert!(matches!(refused, Admission::Refused { .. }));
 }
 
-/// Guards against callers that retry at the time they were told and are refused again.
+/// Guards against callers that retry at the time they were given and are refused again.
 #[test]
 fn refused_callers_are_told_to_retry_later_as_demand_grows() {
     let caller = Caller::new();
--- a/crates/forwarding/tests/relay_plan.rs
+++ b/crates/forwarding/tests/relay_plan.rs
@@ -14,9 +14,9 @@
 const FRESH_AGE: Duration = Duration::from_millis(300);
 const STALE_AGE: Duration = Duration::from_millis(2_000);
 const SECOND_MS: u64 = 1_000;
-/// Maximum number of gateways of a zone that ask the store when their copy is two seconds old.
+/// Maximum number of gateways of a zone that query the store when their mirror is two seconds old.
 const MAX_EARLY_ASKERS: usize = 7;
-/// Additional age of the copy at which each further gateway asks the store.
+/// Additional age of the mirror at which each further gateway queries the store.
 const LATER_SUCCESSOR_STEP: Duration = Duration::from_millis(400);
 
 fn names(count: usize) -> Vec<String> {
@@ -87,8 +87,9 @@
         }
     }
 
-    /// After any failures, a gateway with an old copy asks the store within a second. With a copy that is two seconds
-    /// old, the first few gateways of a zone do so; the others follow one after the other as their copies get older.
+    /// After any failures, a gateway with an old mirror queries the store within a second. With a mirror that is two
+    /// seconds old, the first few gateways of a zone do so; the others follow one after the other as their mirrors get
+    /// older.
     #[test]
     fn a_gateway_with_an_old_copy_asks_the_store(
         count in 1_usize..40,
--- a/crates/gateway/src/answer_body.rs
+++ b/crates/gateway/src/answer_body.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Reads the whole body. Returns `None` if it is incomplete or longer than `max_bytes`.
+    /// Reads the complete body. Returns `None` if it is incomplete or longer than `max_bytes`.
     pub async fn read_whole(&mut self, max_bytes: usize) -> Option<Bytes> {
         let mut body = BytesMut::new();
         while let Some(bytes) = self.next().await.ok()? {
--- a/crates/gateway/src/follower.rs
+++ b/crates/gateway/src/follower.rs
@@ -1,4 +1,4 @@
-//! Keeps this gateway's copy of the store up to date, by calls to the store or to a relay of its zone (see
+//! Keeps this gateway's mirror of the store up to date, by calls to the store or to a relay of its zone (see
 //! [`tansyhall_forwarding::relay_plan`]). It reads a snapshot once and then requests changes, so the
 //! number of calls from a fleet grows with its zones and not with its gateways or with the writes of workers.
 
@@ -46,7 +46,7 @@
 /// Minimum pause after a failed call.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Keeps the copy of the store up to date; runs forever.
+/// Keeps the mirror of the store up to date; runs forever.
 pub async fn follow(shared: Arc<Shared>, store: Rc<dyn KeyValueStore>) {
     let plan = {
         let settings = shared.settings.read();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Makes the next call read a snapshot, because no watch can continue from this gateway's copy.
+    /// Makes the next call read a snapshot, because no watch can continue from this gateway's mirror.
     fn require_snapshot(&mut self) {
         self.watch = None;
         self.read_state.record_store_failure();
@@ -182,7 +182,7 @@
         sleep(pause.max(MIN_RETRY_PAUSE)).await;
     }
 
-    /// Applies the next changes of the store. Without a watch, starts one at the position of the copy if that is
+    /// Applies the next changes of the store. Without a watch, starts one at the position of the mirror if that is
     /// possible, for instance after a relay has sent newer changes or a snapshot, and reads a snapshot otherwise.
     async fn apply_changes(&mut self) -> Result<(), StoreError> {
         let known = self.shared.mirror.lock().position();
@@ -211,7 +211,7 @@
         Ok(())
     }
 
-    /// Returns whether a watch can continue from this position of the copy.
+    /// Returns whether a watch can continue from this position of the mirror.
     fn can_watch_from(&self, known: Position) -> bool {
         let is_present = known.epoch == self.store.epoch().0;
         is_present && !known.is_start() && !self.read_state.needs_snapshot()
@@ -303,8 +303,9 @@
     }
 }
 
-/// Reads a snapshot of the store page by page, and replaces the copy with it. A refused page is requested again, so
-/// that many gateways that start together all succeed with a store that serves only some of them at a time.
+/// Reads a snapshot of the store page by page, and replaces the contents of the mirror with it. A refused page is
+/// requested again, so that many gateways that start together all succeed with a store that serves only some of them
+/// at a time.
 async fn read_all_pages(
     shared: &Arc<Shared>,
     store: &dyn KeyValueStore,
@@ -340,7 +341,7 @@
 }
 
 /// Updates the metric for the store's revision after a snapshot was read, and logs an event if that revision is lower
-/// than the copy's.
+/// than the mirror's.
 fn record_store_revision(shared: &Shared, store_revision: u64) {
     let gauge = i64::try_from(store_revision).unwrap_or(i64::MAX);
     shared.metrics.store_revision.set(gauge);
--- a/crates/gateway/src/follower/first_copy.rs
+++ b/crates/gateway/src/follower/first_copy.rs
@@ -1,4 +1,4 @@
-//! The first copy of the store, for a gateway that has just started.
+//! The first snapshot of the store, for a gateway that has just started.
 //!
 //! In a small fleet, each gateway reads the store itself, and at once if the store fits into one page. In a large
 //! fleet, only the first relay of each zone reads it, and the other gateways get it from there. If 986 gateways that
@@ -21,12 +21,12 @@
 use crate::presence::{self, Member};
 use crate::store_call::with_timeout;
 
-/// Time in which relays get the copy and send it to their subscribers: 4 MB in 52 pages, while all other gateways read
-/// the list of gateways. Afterwards their successors read the store as well, one after another.
+/// Time in which relays get the snapshot and send it to their subscribers: 4 MB in 52 pages, while all other gateways
+/// read the list of gateways. Afterwards their successors read the store as well, one after another.
 const RELAY_DISTRIBUTION_TIME: Duration = Duration::from_secs(3);
 
 impl Follower {
-    /// Obtains a copy, or pauses after a failure.
+    /// Obtains a snapshot, or pauses after a failure.
     pub(super) async fn obtain_first_copy(&mut self) {
         match self.first_copy().await {
             Ok(()) => {
@@ -73,7 +73,7 @@
             .any(|member| member.name == settings.node.name)
     }
 
-    /// Requests the copy from the relay of this gateway's zone. Returns whether this gateway has a copy now.
+    /// Requests the snapshot from the relay of this gateway's zone. Returns whether this gateway has one now.
     async fn request_copy_from_relay(&mut self, listed: &[Member]) -> bool {
         let members = self.members_in_own_zone(listed);
         let candidates: Vec<RelayCandidate<'_>> = members.iter().map(candidate).collect();
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -8,7 +8,7 @@
 /// All metrics of a gateway.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by route, service, outcome and cause. The outcome says what the caller was told.
+    /// Requests by route, service, outcome and cause. The outcome is the one reported to the caller.
     pub requests: IntCounterVec,
     /// Seconds from the arrival of a request to the head of its answer, by route.
     pub latency: HistogramVec,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -44,7 +44,7 @@
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest pause between two chunks of an answer's body.
 const BODY_CHUNK_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest time for the whole body of an answer.
+/// Longest time for the complete body of an answer.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long a relay may wait for changes before it answers a request.
 pub const MAX_RELAY_WAIT: Duration = Duration::from_millis(300);
--- a/crates/gateway/src/quarantine/listed.rs
+++ b/crates/gateway/src/quarantine/listed.rs
@@ -1,5 +1,5 @@
 //! The list of barred requests in the store. Gateways that start, or return after a network partition or a power
-//! failure, know the list before they serve, because they read the configuration from the same copy of the store.
+//! failure, know the list before they serve, because they read the configuration from the same mirror of the store.
 //!
 //! Each entry is a key with its own lease that is never renewed, so the entry expires. Any gateway may write an entry.
 //! Gateways wait for a time that depends on their rank, so that usually only one of them writes it.
@@ -28,11 +28,11 @@
 const DELAY_PER_RANK: Duration = Duration::from_millis(500);
 /// Maximum number of these delays that a gateway waits.
 const MAX_DELAYS: u32 = 6;
-/// How long to wait before a change is written again if it is not visible in the copy of the store: it may have failed,
-/// or it may not have reached the copy yet.
+/// How long to wait before a change is written again if it is not visible in the mirror of the store: it may have
+/// failed, or it may not have reached the mirror yet.
 const RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Updates the quarantine with the barred requests that the copy of the store lists.
+/// Updates the quarantine with the barred requests that the mirror of the store lists.
 pub fn read_store_list(shared: &Shared) {
     let listed = listed(&shared.mirror.lock());
     let now = shared.now();
--- a/crates/gateway/src/usage/exchange.rs
+++ b/crates/gateway/src/usage/exchange.rs
@@ -108,7 +108,7 @@
     }
 }
 
-/// Collects the counts that another gateway sends, and acknowledges them with the fleet's time of day.
+/// Collects the counts that another gateway sends, and acknowledges them with the fleet's wall-clock time.
 pub fn receive_counts(shared: &Shared, sender: SocketAddr, message: UsageMessage) {
     let Some(usage) = shared.usage.as_ref() else {
         return;
--- a/crates/gateway/src/usage/message.rs
+++ b/crates/gateway/src/usage/message.rs
@@ -32,7 +32,7 @@
     /// Sequence number of the message.
     #[prost(uint64, tag = "5")]
     pub sequence: u64,
-    /// The time of day by the sender's own clock, in milliseconds since 1970.
+    /// The wall-clock time by the sender's own clock, in milliseconds since 1970.
     #[prost(uint64, tag = "6")]
     pub own_time: u64,
 }
@@ -68,7 +68,7 @@
     /// Incarnation of the gateway that sent the message.
     #[prost(fixed64, tag = "2")]
     pub incarnation: u64,
-    /// The time of day that the fleet agrees on, in milliseconds since 1970.
+    /// The wall-clock time that the fleet agrees on, in milliseconds since 1970.
     #[prost(uint64, tag = "3")]
     pub time: u64,
     /// Incarnation of the collector.
--- a/crates/gateway/src/usage/reporter.rs
+++ b/crates/gateway/src/usage/reporter.rs
@@ -60,7 +60,7 @@
     known: KnownReports,
     /// The decided counts of the windows that are still in the store.
     decided: BTreeMap<WindowNumber, TenantCounts>,
-    /// Revision of the key of the last closed window in the copy of the store. Each decision writes this key.
+    /// Revision of the key of the last closed window in the mirror of the store. Each decision writes this key.
     closed_at: Option<Revision>,
 }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Reads earlier decisions from the copy of the store.
+    /// Reads earlier decisions from the mirror of the store.
     fn read_decisions(&mut self) {
         let mirror = self.shared.mirror.lock();
         let item = mirror.get(CLOSED_KEY);
--- a/crates/gateway/src/usage/state.rs
+++ b/crates/gateway/src/usage/state.rs
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Returns the time of day that the fleet agrees on, or `None` before any clock was read.
+    /// Returns the wall-clock time that the fleet agrees on, or `None` before any clock was read.
     pub fn time(&self, now: Timestamp) -> Option<UnixMillis> {
         self.clock.lock().time(now)
     }
@@ -73,7 +73,8 @@
     }
 }
 
-/// Returns the time of day of this machine. A time before 1970 counts as 1970: the clocks of other gateways outvote it.
+/// Returns the wall-clock time of this machine. A time before 1970 counts as 1970: the clocks of other gateways outvote
+/// it.
 fn time_of_day() -> UnixMillis {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since_epoch.unwrap_or_default().as_millis();
--- a/crates/gateway/src/worker_orders/mod.rs
+++ b/crates/gateway/src/worker_orders/mod.rs
@@ -163,7 +163,7 @@
                 lease: None,
             }],
         };
-        // The result is not used: the numbers are read back from the copy of the store.
+        // The result is not used: the numbers are read back from the mirror of the store.
         if let Err(error) = with_timeout(self.store.transact(&transaction)).await {
             log::debug!("planned numbers of workers may not have been written: {error}");
         }
--- a/crates/gateway/tests/questions_to_gateways.rs
+++ b/crates/gateway/tests/questions_to_gateways.rs
@@ -22,7 +22,7 @@
     value.unwrap_or(0)
 }
 
-/// Returns the answer of a gateway whose copy is one revision ahead of the requesting gateway's.
+/// Returns the answer of a gateway whose mirror is one revision ahead of the requesting gateway's.
 fn answer(target: &str, number: u64) -> Answer {
     let snapshot = Snapshot {
         items: Vec::new(),
